--- a/coltsfoothall-call/src/own.rs
+++ b/coltsfoothall-call/src/own.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coltsfoothall::catalog;
-use coltsfoothall::choice::{self, Ask, Endpoint, Router, Run};
+use coltsfoothall::choice::{self, Query, Endpoint, Router, Run};
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 use coltsfoothall::index::Event;
@@ -105,18 +105,18 @@
     fn send(&mut self, now: Time, at: usize, call: Call<'_>) -> Option<usize> {
         let entry = &mut self.entries[at];
         let exclude: Vec<id::Endpoint> = call.exclude.iter().map(|engine| name(*engine)).collect();
-        let ask = ask(&self.service, &entry.domain, &exclude, call);
-        let pick = entry.router.choose(now, &ask)?;
-        let run = entry.router.began(now, &pick.endpoint, &ask);
+        let query = query(&self.service, &entry.domain, &exclude, call);
+        let pick = entry.router.choose(now, &query)?;
+        let run = entry.router.began(now, &pick.endpoint, &query);
         self.open[call.number].run = Some(run);
         Some(engine(&pick.endpoint))
     }
 
     fn expect(&mut self, now: Time, at: usize, call: Call<'_>) -> Tokens {
         let entry = &mut self.entries[at];
-        let ask = ask(&self.service, &entry.domain, &[], call);
-        let pick = entry.router.choose(now, &ask);
-        pick.map_or(ask.prompt, |pick| ask.prompt.minus(pick.cached))
+        let query = query(&self.service, &entry.domain, &[], call);
+        let pick = entry.router.choose(now, &query);
+        pick.map_or(query.prompt, |pick| query.prompt.minus(pick.cached))
     }
 
     fn set_room(&mut self, now: Time, at: usize) {
@@ -126,13 +126,13 @@
     }
 }
 
-fn ask<'a>(
+fn query<'a>(
     service: &'a id::Service,
     domain: &'a id::Domain,
     exclude: &'a [id::Endpoint],
     call: Call<'a>,
-) -> Ask<'a> {
-    Ask {
+) -> Query<'a> {
+    Query {
         service,
         model: None,
         blocks: &call.request.blocks,
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -338,12 +338,12 @@
             suspicion::Verdict::Free => false,
         };
         let exclude = self.unfit(now, &waiting.pick, alone);
-        let ask = waiting.pick.ask(&self.domain, &exclude, alone);
-        let Some(chosen) = self.router.choose(now, &ask) else {
+        let query = waiting.pick.query(&self.domain, &exclude, alone);
+        let Some(chosen) = self.router.choose(now, &query) else {
             let wait = if alone { LATER } else { NONE };
             return self.stop(now, &waiting, no_pick(wait));
         };
-        let run = self.router.began(now, &chosen.endpoint, &ask);
+        let run = self.router.began(now, &chosen.endpoint, &query);
         let (attempt, reply) = (waiting.pick.attempt, waiting.reply.clone());
         self.judge
             .started(now, attempt, &chosen.endpoint, waiting.pick.print, alone);
--- a/coltsfoothall-entry/src/pick.rs
+++ b/coltsfoothall-entry/src/pick.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfoothall::choice::{self, Ask};
+use coltsfoothall::choice::{self, Query};
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 use coltsfoothall::limit::{Number, Ticket};
@@ -88,13 +88,13 @@
     }
 
     /// What the router is asked. `exclude` names the endpoints that are out of question.
-    pub(crate) fn ask<'a>(
+    pub(crate) fn query<'a>(
         &'a self,
         domain: &'a id::Domain,
         exclude: &'a [id::Endpoint],
         alone: bool,
-    ) -> Ask<'a> {
-        Ask {
+    ) -> Query<'a> {
+        Query {
             service: &self.ticket.service,
             model: self.model.as_ref(),
             blocks: &self.blocks,
--- a/coltsfoothall/benches/choice.rs
+++ b/coltsfoothall/benches/choice.rs
@@ -4,7 +4,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use coltsfoothall::choice::{Ask, Endpoint, Router, Run, Settings};
+use coltsfoothall::choice::{Query, Endpoint, Router, Run, Settings};
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 use coltsfoothall::prefix::Block;
@@ -43,13 +43,13 @@
     for n in 0..REQUESTS * 2 {
         let now = Time::START + Duration::from_millis(n);
         let blocks = prompt(n);
-        let ask = ask(&service, &domain, &blocks);
+        let query = query(&service, &domain, &blocks);
         let start = Instant::now();
-        let pick = router.choose(now, black_box(&ask));
+        let pick = router.choose(now, black_box(&query));
         let chosen = start.elapsed();
         let Some(pick) = pick else { continue };
         let start = Instant::now();
-        let mut run = router.began(now, &pick.endpoint, &ask);
+        let mut run = router.began(now, &pick.endpoint, &query);
         router.first(now, &mut run, Some(pick.cached));
         open.push(run);
         if open.len() > OPEN {
@@ -91,8 +91,8 @@
     shared.chain(own).collect()
 }
 
-fn ask<'a>(service: &'a id::Service, domain: &'a id::Domain, blocks: &'a [Block]) -> Ask<'a> {
-    Ask {
+fn query<'a>(service: &'a id::Service, domain: &'a id::Domain, blocks: &'a [Block]) -> Query<'a> {
+    Query {
         service,
         model: None,
         blocks,
--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfoothall::catalog::{Catalog, Revision, Workspace};
-use coltsfoothall::choice::{Ask, Endpoint, Router, Settings};
+use coltsfoothall::choice::{Query, Endpoint, Router, Settings};
 use coltsfoothall::clock::Time;
 use coltsfoothall::duty::{Sight, duties};
 use coltsfoothall::id;
@@ -318,7 +318,7 @@
     let shared: Vec<Block> = events(0, 1, 256).iter().map(stored).collect();
     let lengths = [("short", 1), ("long", 16)];
     for (label, blocks) in lengths {
-        let ask = Ask {
+        let query = Query {
             service: &service,
             model: None,
             blocks: &shared[7..7 + blocks],
@@ -330,14 +330,14 @@
             alone: false,
         };
         measure(&format!("endpoints={count} choose_{label}"), |round| {
-            black_box(router.choose(at(1000 + round as u64), &ask));
+            black_box(router.choose(at(1000 + round as u64), &query));
         });
         measure(
             &format!("endpoints={count} choose_began_ended_{label}"),
             |round| {
                 let now = at(2000 + round as u64);
-                if let Some(pick) = router.choose(now, &ask) {
-                    let run = router.began(now, &pick.endpoint, &ask);
+                if let Some(pick) = router.choose(now, &query) {
+                    let run = router.began(now, &pick.endpoint, &query);
                     router.ended(now, run);
                 }
             },
--- a/coltsfoothall/src/choice.rs
+++ b/coltsfoothall/src/choice.rs
@@ -98,7 +98,7 @@
 
 /// What a request asks of an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct Query<'a> {
     /// The service.
     pub service: &'a id::Service,
     /// The model, for engines.
@@ -199,41 +199,41 @@
     }
 
     /// Chooses an endpoint, or none if no endpoint may take the request.
-    pub fn choose(&mut self, now: Time, ask: &Ask<'_>) -> Option<Pick> {
-        self.gather(now, ask);
+    pub fn choose(&mut self, now: Time, query: &Query<'_>) -> Option<Pick> {
+        self.gather(now, query);
         let mut best: Option<(f64, Candidate)> = None;
         // Equal costs are common, and all instances must not settle them alike.
         let from = self.random.random_range(0..self.candidates.len().max(1));
         let (before, after) = self.candidates.split_at(from);
         for candidate in after.iter().chain(before) {
-            let cost = self.cost(now, ask, *candidate);
+            let cost = self.cost(now, query, *candidate);
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, *candidate));
             }
         }
         let (_, candidate) = best?;
-        Some(self.pick(now, ask, candidate))
+        Some(self.pick(now, query, candidate))
     }
 
     /// A request goes to an endpoint.
-    pub fn began(&mut self, now: Time, endpoint: &id::Endpoint, ask: &Ask<'_>) -> Run {
+    pub fn began(&mut self, now: Time, endpoint: &id::Endpoint, query: &Query<'_>) -> Run {
         let mut run = Run {
             endpoint: endpoint.clone(),
             held: Held::default(),
             prefill: Tokens(0),
             began: now,
-            alone: ask.alone,
+            alone: query.alone,
         };
         if let Some(node) = self.table.get_mut(endpoint) {
-            run.held = self.index.held(node.holder, ask.blocks);
-            run.prefill = ask.prompt.minus(tokens(run.held.blocks));
+            run.held = self.index.held(node.holder, query.blocks);
+            run.prefill = query.prompt.minus(tokens(run.held.blocks));
             node.load.began(now, run.prefill, &self.settings.load);
-            node.alone += u32::from(ask.alone);
-            self.index.touch(node.holder, ask.blocks);
+            node.alone += u32::from(query.alone);
+            self.index.touch(node.holder, query.blocks);
             let pool = node.pool;
             let slot = self.settings.step.0 as f64 * 1e3 / f64::from(self.settings.slots.max(1));
-            let work = run.prefill.0 as f64 * self.settings.read + ask.max_tokens.0 as f64 * slot;
-            self.table.note_work(pool, ask.class, work);
+            let work = run.prefill.0 as f64 * self.settings.read + query.max_tokens.0 as f64 * slot;
+            self.table.note_work(pool, query.class, work);
         }
         run
     }
@@ -300,24 +300,24 @@
     }
 
     /// Fills the list of candidates.
-    fn gather(&mut self, now: Time, ask: &Ask<'_>) {
+    fn gather(&mut self, now: Time, query: &Query<'_>) {
         self.candidates.clear();
-        self.add_candidates(now, ask, false);
+        self.add_candidates(now, query, false);
         if self.candidates.is_empty() {
-            self.add_candidates(now, ask, true);
+            self.add_candidates(now, query, true);
         }
     }
 
-    fn add_candidates(&mut self, now: Time, ask: &Ask<'_>, suspects: bool) {
-        let fits = |node: &Node| node.serves(ask) && (suspects || node.suspect <= now);
-        let members = self.table.range(ask.service);
+    fn add_candidates(&mut self, now: Time, query: &Query<'_>, suspects: bool) {
+        let fits = |node: &Node| node.serves(query) && (suspects || node.suspect <= now);
+        let members = self.table.range(query.service);
         self.found.clear();
         let usable = |holder: Holder| {
             let node = self.table.holder(holder);
             node.is_some_and(|node| members.contains(&node) && fits(self.table.at(node)))
         };
         let limit = self.settings.holders;
-        self.index.best(ask.blocks, limit, &usable, &mut self.found);
+        self.index.best(query.blocks, limit, &usable, &mut self.found);
         for found in &self.found {
             if let Some(node) = self.table.holder(found.holder) {
                 let blocks = found.blocks;
@@ -329,13 +329,13 @@
             }
         }
         let known = self.found.first().map_or(0, |found| found.blocks);
-        let anchor = ask.blocks.get(known).or(ask.blocks.last());
+        let anchor = query.blocks.get(known).or(query.blocks.last());
         if let Some(anchor) = anchor {
-            let part = self.table.part(ask.service) * self.settings.weights.apart;
+            let part = self.table.part(query.service) * self.settings.weights.apart;
             let len = members.len() as f64;
-            let weight = |rank: f64| class_weight(ask.class, part, rank, len);
+            let weight = |rank: f64| class_weight(query.class, part, rank, len);
             let homes = self.settings.homes;
-            for node in self.table.homes(ask.service, &weight, *anchor, homes) {
+            for node in self.table.homes(query.service, &weight, *anchor, homes) {
                 add(&mut self.candidates, node, fits(self.table.at(node)));
                 let home = self.candidates.iter_mut().find(|have| have.node == node);
                 if let Some(home) = home {
@@ -365,12 +365,12 @@
     }
 
     /// Expected cost of a candidate in microseconds.
-    fn cost(&self, now: Time, ask: &Ask<'_>, candidate: Candidate) -> f64 {
+    fn cost(&self, now: Time, query: &Query<'_>, candidate: Candidate) -> f64 {
         let weights = &self.settings.weights;
         let node = self.table.at(candidate.node);
         let work = self.work(now, node);
-        let uncached = ask.prompt.minus(tokens(candidate.blocks));
-        let hop = f64::from(u8::from(node.endpoint.domain != *ask.domain));
+        let uncached = query.prompt.minus(tokens(candidate.blocks));
+        let hop = f64::from(u8::from(node.endpoint.domain != *query.domain));
         let home = f64::from(u8::from(candidate.home));
         weights.queued * work.prefill
             + weights.open * work.open
@@ -384,10 +384,10 @@
         node.load.estimate(now, &view)
     }
 
-    fn pick(&self, now: Time, ask: &Ask<'_>, candidate: Candidate) -> Pick {
+    fn pick(&self, now: Time, query: &Query<'_>, candidate: Candidate) -> Pick {
         let node = self.table.at(candidate.node);
-        let cached = tokens(candidate.blocks).min(ask.prompt);
-        let unread = self.work(now, node).prefill + ask.prompt.minus(cached).0 as f64;
+        let cached = tokens(candidate.blocks).min(query.prompt);
+        let unread = self.work(now, node).prefill + query.prompt.minus(cached).0 as f64;
         Pick {
             endpoint: node.endpoint.id.clone(),
             cached,
--- a/coltsfoothall/src/pool.rs
+++ b/coltsfoothall/src/pool.rs
@@ -7,7 +7,7 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::choice::{Ask, Endpoint};
+use crate::choice::{Query, Endpoint};
 use crate::clock::Time;
 use crate::id;
 use crate::index::{Holder, Index};
@@ -43,18 +43,18 @@
 
 impl Node {
     /// Whether the endpoint may take the request.
-    pub(crate) fn serves(&self, ask: &Ask<'_>) -> bool {
+    pub(crate) fn serves(&self, query: &Query<'_>) -> bool {
         let models = &self.endpoint.models;
-        let model = match ask.model {
+        let model = match query.model {
             Some(model) => models.is_empty() || models.binary_search(model).is_ok(),
             None => true,
         };
-        let empty = !ask.alone || self.load.own().open < 0.5;
-        model && empty && self.alone == 0 && !self.leaving && !self.excluded(ask)
+        let empty = !query.alone || self.load.own().open < 0.5;
+        model && empty && self.alone == 0 && !self.leaving && !self.excluded(query)
     }
 
-    fn excluded(&self, ask: &Ask<'_>) -> bool {
-        ask.exclude.contains(&self.endpoint.id)
+    fn excluded(&self, query: &Query<'_>) -> bool {
+        query.exclude.contains(&self.endpoint.id)
     }
 }
 
--- a/coltsfoothall/tests/choice.rs
+++ b/coltsfoothall/tests/choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfoothall::choice::{Ask, Endpoint, Router, Run, Settings};
+use coltsfoothall::choice::{Query, Endpoint, Router, Run, Settings};
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 use coltsfoothall::load::Report;
@@ -53,8 +53,8 @@
 }
 
 impl Want {
-    fn ask(&self) -> Ask<'_> {
-        Ask {
+    fn query(&self) -> Query<'_> {
+        Query {
             service: &self.service,
             model: None,
             blocks: &self.blocks,
@@ -70,9 +70,9 @@
 
 fn send(router: &mut Router, now: Time, want: &Want) -> Run {
     let pick = router
-        .choose(now, &want.ask())
+        .choose(now, &want.query())
         .expect("an endpoint may serve");
-    router.began(now, &pick.endpoint, &want.ask())
+    router.began(now, &pick.endpoint, &want.query())
 }
 
 #[test]
@@ -82,7 +82,7 @@
     router.first(at(100), &mut first, Some(Tokens(0)));
     let endpoint = first.endpoint.clone();
     router.ended(at(200), first);
-    let pick = router.choose(at(300), &want(0..44).ask()).unwrap();
+    let pick = router.choose(at(300), &want(0..44).query()).unwrap();
     assert_eq!(pick.endpoint, endpoint);
     assert_eq!(pick.cached, Tokens(40 * 256));
 }
@@ -112,7 +112,7 @@
                 ..Settings::default()
             };
             let mut router = router(450, settings);
-            router.choose(at(0), &want(key..key + 9).ask()).unwrap()
+            router.choose(at(0), &want(key..key + 9).query()).unwrap()
         };
         assert_eq!(pick(1).endpoint, pick(2).endpoint);
     }
@@ -130,17 +130,17 @@
         assert_eq!(run.endpoint.as_str(), "e0001");
     }
     router.leaving(&"e0001".parse().unwrap());
-    assert!(router.choose(at(60), &want(0..3).ask()).is_none());
+    assert!(router.choose(at(60), &want(0..3).query()).is_none());
 }
 
 #[test]
 fn suspect_last() {
     let mut router = router(2, Settings::default());
     router.suspect(&"e0000".parse().unwrap(), at(1_000));
-    let pick = router.choose(at(0), &want(0..3).ask()).unwrap();
+    let pick = router.choose(at(0), &want(0..3).query()).unwrap();
     assert_eq!(pick.endpoint.as_str(), "e0001");
     router.leaving(&"e0001".parse().unwrap());
-    let pick = router.choose(at(0), &want(0..3).ask()).unwrap();
+    let pick = router.choose(at(0), &want(0..3).query()).unwrap();
     assert_eq!(pick.endpoint.as_str(), "e0000");
 }
 
@@ -149,7 +149,7 @@
     let mut router = router(2, Settings::default());
     let mut want = want(0..3);
     want.exclude = vec!["e0000".parse().unwrap(), "e0001".parse().unwrap()];
-    assert!(router.choose(at(0), &want.ask()).is_none());
+    assert!(router.choose(at(0), &want.query()).is_none());
 }
 
 #[test]
@@ -162,11 +162,11 @@
     assert_ne!(run.endpoint, beside.endpoint);
     let next = send(&mut router, at(2), &want(0..3));
     assert_eq!(next.endpoint, beside.endpoint);
-    assert!(router.choose(at(3), &lonely.ask()).is_none());
+    assert!(router.choose(at(3), &lonely.query()).is_none());
     router.ended(at(4), run);
     router.ended(at(4), beside);
     router.ended(at(4), next);
-    assert!(router.choose(at(5), &lonely.ask()).is_some());
+    assert!(router.choose(at(5), &lonely.query()).is_some());
 }
 
 #[test]
@@ -219,14 +219,14 @@
         let good = |n: usize| !leaving[n] && !suspect[n];
         for (first, ends) in asks {
             let want = want(first..first + 5);
-            let Some(pick) = router.choose(at(0), &want.ask()) else {
+            let Some(pick) = router.choose(at(0), &want.query()) else {
                 prop_assert!(leaving.iter().all(|leaving| *leaving));
                 continue;
             };
             let n: usize = pick.endpoint.as_str()[1..].parse().unwrap();
             prop_assert!(!leaving[n]);
             prop_assert!(good(n) || (0..12).all(|n| !good(n)));
-            let run = router.began(at(0), &pick.endpoint, &want.ask());
+            let run = router.began(at(0), &pick.endpoint, &want.query());
             if ends {
                 router.ended(at(0), run);
             }
