--- a/coltsfoothall-call/src/own.rs
+++ b/coltsfoothall-call/src/own.rs
@@ -141,7 +141,7 @@
         class: call.request.class,
         domain,
         exclude,
-        alone: false,
+        isolated: false,
     }
 }
 
--- a/coltsfoothall-entry/src/pick.rs
+++ b/coltsfoothall-entry/src/pick.rs
@@ -92,7 +92,7 @@
         &'a self,
         domain: &'a id::Domain,
         exclude: &'a [id::Endpoint],
-        alone: bool,
+        isolated: bool,
     ) -> Query<'a> {
         Query {
             service: &self.ticket.service,
@@ -103,7 +103,7 @@
             class: self.ticket.class,
             domain,
             exclude,
-            alone,
+            isolated,
         }
     }
 }
--- a/coltsfoothall/benches/choice.rs
+++ b/coltsfoothall/benches/choice.rs
@@ -101,6 +101,6 @@
         class: Class::Interactive,
         domain,
         exclude: &[],
-        alone: false,
+        isolated: false,
     }
 }
--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -327,7 +327,7 @@
             class: Class::Interactive,
             domain: &domain,
             exclude: &[],
-            alone: false,
+            isolated: false,
         };
         measure(&format!("endpoints={count} choose_{label}"), |round| {
             black_box(router.choose(at(1000 + round as u64), &query));
--- a/coltsfoothall/src/choice.rs
+++ b/coltsfoothall/src/choice.rs
@@ -116,7 +116,7 @@
     /// Endpoints that failed it before.
     pub exclude: &'a [id::Endpoint],
     /// Whether nothing else may run beside it.
-    pub alone: bool,
+    pub isolated: bool,
 }
 
 /// A chosen endpoint.
@@ -141,7 +141,7 @@
     /// Prompt tokens not yet known to be read.
     prefill: Tokens,
     began: Time,
-    alone: bool,
+    isolated: bool,
 }
 
 /// Chooses endpoints; owned by the control thread.
@@ -222,13 +222,13 @@
             held: Held::default(),
             prefill: Tokens(0),
             began: now,
-            alone: query.alone,
+            isolated: query.isolated,
         };
         if let Some(node) = self.table.get_mut(endpoint) {
             run.held = self.index.held(node.holder, query.blocks);
             run.prefill = query.prompt.minus(tokens(run.held.blocks));
             node.load.began(now, run.prefill, &self.settings.load);
-            node.alone += u32::from(query.alone);
+            node.isolated += u32::from(query.isolated);
             self.index.touch(node.holder, query.blocks);
             let pool = node.pool;
             let slot = self.settings.step.0 as f64 * 1e3 / f64::from(self.settings.slots.max(1));
@@ -256,7 +256,7 @@
         if let Some(node) = self.table.get_mut(&run.endpoint) {
             node.load.read(now, run.prefill, &self.settings.load);
             node.load.ended(now, &self.settings.load);
-            node.alone = node.alone.saturating_sub(u32::from(run.alone));
+            node.isolated = node.isolated.saturating_sub(u32::from(run.isolated));
             let pool = node.pool;
             self.table.note_hold(pool, now.since(run.began));
         }
--- a/coltsfoothall/src/pool.rs
+++ b/coltsfoothall/src/pool.rs
@@ -33,7 +33,7 @@
     /// Avoided before this time.
     pub(crate) suspect: Time,
     /// Open requests that nothing may run beside.
-    pub(crate) alone: u32,
+    pub(crate) isolated: u32,
     /// Place of its service in the table.
     pub(crate) pool: usize,
     hash: u64,
@@ -49,8 +49,8 @@
             Some(model) => models.is_empty() || models.binary_search(model).is_ok(),
             None => true,
         };
-        let empty = !query.alone || self.load.own().open < 0.5;
-        model && empty && self.alone == 0 && !self.leaving && !self.excluded(query)
+        let empty = !query.isolated || self.load.own().open < 0.5;
+        model && empty && self.isolated == 0 && !self.leaving && !self.excluded(query)
     }
 
     fn excluded(&self, query: &Query<'_>) -> bool {
@@ -289,7 +289,7 @@
         load: load::State::default(),
         leaving: false,
         suspect: Time::START,
-        alone: 0,
+        isolated: 0,
         pool: 0,
         rank: 0.0,
         hash: xxh3_64(endpoint.id.as_str().as_bytes()),
--- a/coltsfoothall/tests/choice.rs
+++ b/coltsfoothall/tests/choice.rs
@@ -39,7 +39,7 @@
     domain: id::Domain,
     blocks: Vec<Block>,
     exclude: Vec<id::Endpoint>,
-    alone: bool,
+    isolated: bool,
 }
 
 fn want(blocks: std::ops::Range<u64>) -> Want {
@@ -48,7 +48,7 @@
         domain: "smichov".parse().expect("a valid name"),
         blocks: blocks.map(Block).collect(),
         exclude: Vec::new(),
-        alone: false,
+        isolated: false,
     }
 }
 
@@ -63,7 +63,7 @@
             class: Class::Interactive,
             domain: &self.domain,
             exclude: &self.exclude,
-            alone: self.alone,
+            isolated: self.isolated,
         }
     }
 }
@@ -156,17 +156,17 @@
 fn alone_means_alone() {
     let mut router = router(2, Settings::default());
     let beside = send(&mut router, at(0), &want(0..3));
-    let mut lonely = want(0..3);
-    lonely.alone = true;
-    let run = send(&mut router, at(1), &lonely);
+    let mut exclusive = want(0..3);
+    exclusive.isolated = true;
+    let run = send(&mut router, at(1), &exclusive);
     assert_ne!(run.endpoint, beside.endpoint);
     let next = send(&mut router, at(2), &want(0..3));
     assert_eq!(next.endpoint, beside.endpoint);
-    assert!(router.choose(at(3), &lonely.query()).is_none());
+    assert!(router.choose(at(3), &exclusive.query()).is_none());
     router.ended(at(4), run);
     router.ended(at(4), beside);
     router.ended(at(4), next);
-    assert!(router.choose(at(5), &lonely.query()).is_some());
+    assert!(router.choose(at(5), &exclusive.query()).is_some());
 }
 
 #[test]
