--- a/coltsfoothall/src/limit.rs
+++ b/coltsfoothall/src/limit.rs
@@ -18,7 +18,7 @@
 use crate::catalog::Workspace;
 use crate::clock::Time;
 use crate::id;
-use crate::lane::{Lane, Waiting};
+use crate::queue::{Queue, Waiting};
 use crate::quota::Quota;
 use crate::record::{Cause, Class};
 use crate::size::{Millis, Tokens};
@@ -123,7 +123,7 @@
     workspace: id::Workspace,
     service: id::Service,
     class: Class,
-    /// Work that it holds in its lane; nothing while it waits.
+    /// Work that it holds in its queue; nothing while it waits.
     held: Option<Tokens>,
     began: Time,
 }
@@ -133,7 +133,7 @@
 pub struct Gate {
     settings: Settings,
     quotas: Vec<Quota>,
-    lanes: Vec<Lane>,
+    queues: Vec<Queue>,
     entries: Vec<Entry>,
     next: u64,
     /// Let on while another request was offered; handed out by the next poll.
@@ -149,7 +149,7 @@
         Self {
             settings,
             quotas: Vec::new(),
-            lanes: Vec::new(),
+            queues: Vec::new(),
             entries: Vec::new(),
             next: 0,
             ready: Vec::new(),
@@ -165,17 +165,17 @@
             self.quotas.push(Quota::new(workspace, had));
         }
         self.quotas.sort_by(|a, b| a.workspace.cmp(&b.workspace));
-        for lane in &mut self.lanes {
-            lane.clear_shares();
+        for queue in &mut self.queues {
+            queue.clear_shares();
             for quota in &self.quotas {
-                lane.set_share(&quota.workspace, quota.share);
+                queue.set_share(&quota.workspace, quota.share);
             }
         }
     }
 
     /// Sets the work that may be open at a service, as the router has it.
     pub fn set_room(&mut self, service: &id::Service, room: Tokens) {
-        self.lane(service).room = room.0;
+        self.queue(service).room = room.0;
     }
 
     /// A request arrives.
@@ -203,7 +203,7 @@
         entry.held = Some(held.min(slot));
         let (workspace, service, class) = entry.key();
         let rest = held.minus(slot);
-        self.lane(&service).release(&workspace, class, rest);
+        self.queue(&service).release(&workspace, class, rest);
         self.pump(now, &service);
     }
 
@@ -213,14 +213,14 @@
         let entry = self.entries.remove(place);
         self.ready.retain(|have| *have != number);
         let (workspace, service, class) = entry.key();
-        let lane = self.lane(&service);
+        let queue = self.queue(&service);
         match entry.held {
             Some(held) => {
-                lane.release(&workspace, class, held);
+                queue.release(&workspace, class, held);
                 self.hold = (self.hold * 15 + now.since(entry.began)) / 16;
             }
             None => {
-                lane.withdraw(&workspace, class, number);
+                queue.withdraw(&workspace, class, number);
             }
         }
         self.leave(&workspace);
@@ -230,9 +230,9 @@
     pub fn poll(&mut self, now: Time) -> Vec<Outcome> {
         let mut outcomes = Vec::new();
         let mut late = Vec::new();
-        for at in 0..self.lanes.len() {
-            self.lanes[at].review(now, &mut late);
-            let service = self.lanes[at].service.clone();
+        for at in 0..self.queues.len() {
+            self.queues[at].review(now, &mut late);
+            let service = self.queues[at].service.clone();
             self.pump(now, &service);
         }
         for number in late {
@@ -246,7 +246,7 @@
     /// Requests that wait.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        self.lanes.iter().map(Lane::waits).sum()
+        self.queues.iter().map(Queue::waits).sum()
     }
 
     /// Requests that wait or are open.
@@ -271,10 +271,10 @@
             return refuse(Cause::Deadline, settings.shortest.duration());
         }
         let waiting = self.waiting();
-        let lane = self.lane(&ticket.service);
-        let wait = lane.wait(&ticket.workspace, ticket.class);
-        let mine = lane.waits_of(&ticket.workspace);
-        if lane.room == 0 {
+        let queue = self.queue(&ticket.service);
+        let wait = queue.wait(&ticket.workspace, ticket.class);
+        let mine = queue.waits_of(&ticket.workspace);
+        if queue.room == 0 {
             return refuse(Cause::NoEndpoint, settings.longest.duration() / 8);
         }
         if waiting >= settings.queue || mine >= settings.each || now + wait > ticket.deadline {
@@ -307,7 +307,7 @@
             deadline: ticket.deadline,
             cost: ticket.cost.plus(self.settings.slot),
         };
-        self.lane(&ticket.service)
+        self.queue(&ticket.service)
             .push(&ticket.workspace, ticket.class, waiting);
         self.entries.push(Entry {
             number,
@@ -326,7 +326,7 @@
     fn pump(&mut self, now: Time, service: &id::Service) {
         let mut starts = Vec::new();
         let settings = self.settings.clone();
-        self.lane(service).pump(now, &settings, &mut starts);
+        self.queue(service).pump(now, &settings, &mut starts);
         for start in starts {
             let place = self
                 .find(start.number)
@@ -342,7 +342,7 @@
         if let Ok(place) = self.find(number) {
             let entry = self.entries.remove(place);
             let (workspace, service, class) = entry.key();
-            retry_after = self.lane(&service).wait(&workspace, class);
+            retry_after = self.queue(&service).wait(&workspace, class);
             self.leave(&workspace);
         }
         let shortest = self.settings.shortest.duration();
@@ -372,19 +372,19 @@
             .binary_search_by_key(&number, |entry| entry.number)
     }
 
-    fn lane(&mut self, service: &id::Service) -> &mut Lane {
+    fn queue(&mut self, service: &id::Service) -> &mut Queue {
         let place = self
-            .lanes
-            .binary_search_by(|lane| lane.service.cmp(service));
+            .queues
+            .binary_search_by(|queue| queue.service.cmp(service));
         let place = place.unwrap_or_else(|place| {
-            let mut lane = Lane::new(service.clone());
+            let mut queue = Queue::new(service.clone());
             for quota in &self.quotas {
-                lane.set_share(&quota.workspace, quota.share);
+                queue.set_share(&quota.workspace, quota.share);
             }
-            self.lanes.insert(place, lane);
+            self.queues.insert(place, queue);
             place
         });
-        &mut self.lanes[place]
+        &mut self.queues[place]
     }
 }
 
--- a/coltsfoothall/src/lane.rs
+++ b/coltsfoothall/src/queue.rs
@@ -16,9 +16,9 @@
 /// Shortest time between two looks for waiting requests that cannot make it;
 /// it bounds what a long queue costs a poll.
 const REVIEW: Duration = Duration::from_millis(20);
-/// Time in which a lane is taken to serve its room before that was measured.
+/// Time in which a queue is taken to serve its room before that was measured.
 const FIRST_GUESS: Duration = Duration::from_secs(2);
-/// A lane is taken to be at most so many times slower than first guessed.
+/// A queue is taken to be at most so many times slower than first guessed.
 const SLOWEST: f64 = 16.0;
 /// A request counts as at most this part of the room when it is let on, so
 /// that a long prompt does not wait for an idle service.
@@ -53,7 +53,7 @@
 
 /// One service's waiting and open work.
 #[derive(Debug)]
-pub(crate) struct Lane {
+pub(crate) struct Queue {
     pub(crate) service: id::Service,
     pub(crate) room: u64,
     flows: Vec<Flow>,
@@ -77,7 +77,7 @@
     pub(crate) held: Tokens,
 }
 
-impl Lane {
+impl Queue {
     pub(crate) fn new(service: id::Service) -> Self {
         Self {
             service,
@@ -123,14 +123,14 @@
     pub(crate) fn wait(&self, workspace: &id::Workspace, class: Class) -> Duration {
         let behind = self
             .flow(workspace)
-            .map_or(0, |flow| flow.behind[lane(class)]);
+            .map_or(0, |flow| flow.behind[class_index(class)]);
         self.span(workspace, class, behind)
     }
 
     pub(crate) fn push(&mut self, workspace: &id::Workspace, class: Class, waiting: Waiting) {
         let flow = self.flow_mut(workspace);
-        flow.behind[lane(class)] += waiting.cost.0;
-        flow.waiting[lane(class)].push_back(waiting);
+        flow.behind[class_index(class)] += waiting.cost.0;
+        flow.waiting[class_index(class)].push_back(waiting);
         self.waits += 1;
     }
 
@@ -142,10 +142,10 @@
         number: Number,
     ) -> Option<Waiting> {
         let flow = self.flow_mut(workspace);
-        let queue = &mut flow.waiting[lane(class)];
+        let queue = &mut flow.waiting[class_index(class)];
         let place = queue.iter().position(|have| have.number == number)?;
         let waiting = queue.remove(place)?;
-        flow.behind[lane(class)] -= waiting.cost.0;
+        flow.behind[class_index(class)] -= waiting.cost.0;
         self.waits -= 1;
         Some(waiting)
     }
@@ -196,7 +196,7 @@
     }
 
     fn review_flow(&mut self, now: Time, at: usize, class: Class, late: &mut Vec<Number>) {
-        if self.flows[at].waiting[lane(class)].is_empty() {
+        if self.flows[at].waiting[class_index(class)].is_empty() {
             return;
         }
         let workspace = self.flows[at].workspace.clone();
@@ -204,7 +204,7 @@
         let flow = &mut self.flows[at];
         let before = late.len();
         let mut ahead = 0;
-        flow.waiting[lane(class)].retain(|waiting| {
+        flow.waiting[class_index(class)].retain(|waiting| {
             let begin = now + Duration::from_secs_f64(ahead as f64 * token);
             let fits = begin <= waiting.deadline;
             if fits {
@@ -214,7 +214,7 @@
             }
             fits
         });
-        flow.behind[lane(class)] = ahead;
+        flow.behind[class_index(class)] = ahead;
         self.waits -= late.len() - before;
     }
 
@@ -224,7 +224,7 @@
         let mut own = 1;
         for flow in &self.flows {
             let same = flow.workspace == *workspace;
-            if same || !flow.waiting[lane(class)].is_empty() {
+            if same || !flow.waiting[class_index(class)].is_empty() {
                 all += flow.share;
             }
             if same {
@@ -256,7 +256,7 @@
         let (class, at) = order
             .into_iter()
             .find_map(|class| Some((class, self.lowest(class, settings)?)))?;
-        let first = self.flows[at].waiting[lane(class)].front()?;
+        let first = self.flows[at].waiting[class_index(class)].front()?;
         // Smaller requests of others do not pass one that does not fit yet, or
         // a stream of them would keep it out.
         self.fits(first.cost.0)
@@ -268,10 +268,10 @@
         let shares: u64 = self.flows.iter().map(|flow| flow.share).sum();
         let mut best: Option<(u64, usize)> = None;
         for (at, flow) in self.flows.iter().enumerate() {
-            let Some(first) = flow.waiting[lane(class)].front() else {
+            let Some(first) = flow.waiting[class_index(class)].front() else {
                 continue;
             };
-            let tag = flow.tags[lane(class)].max(self.clock[lane(class)]);
+            let tag = flow.tags[class_index(class)].max(self.clock[class_index(class)]);
             let lower = best.is_none_or(|(least, _)| tag < least);
             if lower && self.may(flow, shares, class, first.cost.0, settings) {
                 best = Some((tag, at));
@@ -303,16 +303,16 @@
     }
 
     fn start(&mut self, class: Class, at: usize, settings: &Settings) -> Start {
-        let clock = &mut self.clock[lane(class)];
+        let clock = &mut self.clock[class_index(class)];
         let flow = &mut self.flows[at];
-        let waiting = flow.waiting[lane(class)]
+        let waiting = flow.waiting[class_index(class)]
             .pop_front()
             .expect("`lowest` only returns workspaces with a waiting request");
         let cost = waiting.cost.0;
-        let tag = flow.tags[lane(class)].max(*clock);
+        let tag = flow.tags[class_index(class)].max(*clock);
         *clock = tag;
-        flow.tags[lane(class)] = tag + cost * TAG / flow.share;
-        flow.behind[lane(class)] -= cost;
+        flow.tags[class_index(class)] = tag + cost * TAG / flow.share;
+        flow.behind[class_index(class)] -= cost;
         let held = cost.min(self.room / LARGEST);
         flow.used += held;
         self.used += held;
@@ -376,8 +376,8 @@
     }
 }
 
-/// Place of a class in a lane's pairs.
-fn lane(class: Class) -> usize {
+/// Place of a class in a queue's pairs.
+fn class_index(class: Class) -> usize {
     match class {
         Class::Interactive => 0,
         Class::Batch => 1,
