--- a/coltsfoothall/src/wish.rs
+++ b/coltsfoothall/src/pending.rs
@@ -20,19 +20,19 @@
 }
 
 #[derive(Debug, Clone)]
-struct Wish {
+struct Pending {
     token: Token,
     cell: Cell,
     asked_at: Time,
 }
 
-/// The open wishes, sorted by token.
+/// The open starts, sorted by token.
 #[derive(Debug, Clone)]
 pub(crate) struct List {
     service: id::Service,
     fence: Fence,
     number: u64,
-    wishes: Vec<Wish>,
+    starts: Vec<Pending>,
 }
 
 impl List {
@@ -41,20 +41,20 @@
             service,
             fence,
             number: 0,
-            wishes: Vec::new(),
+            starts: Vec::new(),
         }
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.wishes.len()
+        self.starts.len()
     }
 
-    /// The kinds wished for, one entry a wish.
+    /// The kinds wished for, one entry a start.
     pub(crate) fn cells(&self) -> impl Iterator<Item = &Cell> {
-        self.wishes.iter().map(|wish| &wish.cell)
+        self.starts.iter().map(|start| &start.cell)
     }
 
-    /// Makes a wish. Digits are padded, so that later tokens sort last.
+    /// Makes a start. Digits are padded, so that later tokens sort last.
     pub(crate) fn add(&mut self, now: Time, cell: Cell) -> Token {
         self.number += 1;
         let Self {
@@ -64,7 +64,7 @@
             ..
         } = self;
         let token = Token(format!("{service}-{fence:020}-{number:010}"));
-        self.wishes.push(Wish {
+        self.starts.push(Pending {
             token: token.clone(),
             cell,
             asked_at: now,
@@ -72,22 +72,22 @@
         token
     }
 
-    /// Removes an answered wish.
+    /// Removes an answered start.
     pub(crate) fn take(&mut self, token: &Token) -> Option<Cell> {
         let at = self
-            .wishes
-            .binary_search_by(|wish| wish.token.cmp(token))
+            .starts
+            .binary_search_by(|start| start.token.cmp(token))
             .ok()?;
-        Some(self.wishes.remove(at).cell)
+        Some(self.starts.remove(at).cell)
     }
 
     /// Wishes to ask for again, having waited for `repeat`.
     pub(crate) fn late(&mut self, now: Time, repeat: Duration) -> Vec<(Token, Cell)> {
-        let late = |wish: &&mut Wish| wish.asked_at + repeat <= now;
-        let again = |wish: &mut Wish| {
-            wish.asked_at = now;
-            (wish.token.clone(), wish.cell.clone())
+        let late = |start: &&mut Pending| start.asked_at + repeat <= now;
+        let again = |start: &mut Pending| {
+            start.asked_at = now;
+            (start.token.clone(), start.cell.clone())
         };
-        self.wishes.iter_mut().filter(late).map(again).collect()
+        self.starts.iter_mut().filter(late).map(again).collect()
     }
 }
--- a/coltsfoothall/src/start.rs
+++ b/coltsfoothall/src/start.rs
@@ -21,10 +21,10 @@
 use crate::id;
 use crate::size::Price;
 use crate::steward::Fence;
-use crate::wish;
+use crate::pending;
 
 pub use crate::held::{Machine, Phase};
-pub use crate::wish::Token;
+pub use crate::pending::Token;
 
 /// Span of [`Settings::per_minute`], and time from one telling to stop to the next.
 const MINUTE: Duration = Duration::from_secs(60);
@@ -121,7 +121,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Progress {
     /// Wishes made.
-    pub wishes: u64,
+    pub requested: u64,
     /// Starts refused.
     pub refused: u64,
     /// Starts asked again after a lost answer.
@@ -141,7 +141,7 @@
     listed: bool,
     wanted: Wanted,
     set: held::Set,
-    wishes: wish::List,
+    pending: pending::List,
     backoffs: backoff::Table,
     started: Vec<Time>,
     progress: Progress,
@@ -157,7 +157,7 @@
             listed: false,
             wanted: Wanted::default(),
             set: held::Set::default(),
-            wishes: wish::List::new(service, fence),
+            pending: pending::List::new(service, fence),
             backoffs: backoff::Table::new(settings.backoff, settings.seed ^ fence),
             started: Vec::new(),
             progress: Progress::default(),
@@ -196,7 +196,7 @@
         self.set
             .forget(now, self.settings.absent, self.settings.outage);
         let mut actions = self.repeat(now);
-        let mut tally = self.set.tally(self.wishes.cells());
+        let mut tally = self.set.tally(self.pending.cells());
         if self.listed {
             self.start(now, &mut tally, &mut actions);
             self.stop_slow(now);
@@ -209,7 +209,7 @@
     }
 
     fn started(&mut self, now: Time, token: &Token, id: id::Instance) {
-        let Some(cell) = self.wishes.take(token) else {
+        let Some(cell) = self.pending.take(token) else {
             return;
         };
         self.backoffs.clear(&cell);
@@ -218,14 +218,14 @@
     }
 
     fn refuse(&mut self, now: Time, token: &Token) {
-        if let Some(cell) = self.wishes.take(token) {
+        if let Some(cell) = self.pending.take(token) {
             self.progress.refused += 1;
             self.backoffs.refuse(now, cell);
         }
     }
 
     fn repeat(&mut self, now: Time) -> Vec<Action> {
-        let late = self.wishes.late(now, self.settings.repeat);
+        let late = self.pending.late(now, self.settings.repeat);
         self.progress.repeats += late.len() as u64;
         let again = |(token, cell)| Action::Start { token, cell };
         late.into_iter().map(again).collect()
@@ -234,14 +234,14 @@
     fn start(&mut self, now: Time, tally: &mut Tally, actions: &mut Vec<Action>) {
         self.started.retain(|at| now < *at + MINUTE);
         let rest = self.settings.per_minute.saturating_sub(self.started.len());
-        let idle = self.settings.at_once.saturating_sub(self.wishes.len());
+        let idle = self.settings.at_once.saturating_sub(self.pending.len());
         for _start in 0..rest.min(idle) {
             let Some(cell) = self.next_cell(now, tally) else {
                 return;
             };
             tally.add(&cell, false);
-            let token = self.wishes.add(now, cell.clone());
-            self.progress.wishes += 1;
+            let token = self.pending.add(now, cell.clone());
+            self.progress.requested += 1;
             self.started.push(now);
             actions.push(Action::Start { token, cell });
         }
@@ -276,7 +276,7 @@
 
     /// Whether a kind may be asked for; one that was refused is probed by one start at a time.
     fn is_free(&self, now: Time, cell: &Cell) -> bool {
-        let probed = || self.wishes.cells().any(|wished| wished == cell);
+        let probed = || self.pending.cells().any(|wished| wished == cell);
         let probing = self.backoffs.is_suspect(cell) && probed();
         !probing && !self.backoffs.waits(now, cell)
     }
@@ -323,7 +323,7 @@
                 return;
             };
             self.set.known[at].stop(now);
-            *tally = self.set.tally(self.wishes.cells());
+            *tally = self.set.tally(self.pending.cells());
         }
     }
 
