--- a/coltsfoothall/src/start.rs
+++ b/coltsfoothall/src/start.rs
@@ -17,13 +17,13 @@
 use crate::backoff;
 use crate::clock::Time;
 use crate::fleet::{Cell, Hold, Offer, Speed};
-use crate::held::{self, Known, Tally};
+use crate::instances::{self, Known, Tally};
 use crate::id;
 use crate::size::Price;
 use crate::steward::Fence;
 use crate::pending;
 
-pub use crate::held::{Machine, Phase};
+pub use crate::instances::{Machine, Phase};
 pub use crate::pending::Token;
 
 /// Span of [`Settings::per_minute`], and time from one telling to stop to the next.
@@ -140,7 +140,7 @@
     /// Whether a list was read that shows all that a predecessor started.
     listed: bool,
     wanted: Wanted,
-    set: held::Set,
+    set: instances::Set,
     pending: pending::List,
     backoffs: backoff::Table,
     started: Vec<Time>,
@@ -156,7 +156,7 @@
             first_start_at: now + settings.lag,
             listed: false,
             wanted: Wanted::default(),
-            set: held::Set::default(),
+            set: instances::Set::default(),
             pending: pending::List::new(service, fence),
             backoffs: backoff::Table::new(settings.backoff, settings.seed ^ fence),
             started: Vec::new(),
@@ -298,8 +298,8 @@
             .sum()
     }
 
-    fn load_of(&self, tally: &Tally, count: impl Fn(&held::Row) -> u32) -> u64 {
-        let load = |row: &held::Row| self.load(&row.cell) * u64::from(count(row));
+    fn load_of(&self, tally: &Tally, count: impl Fn(&instances::Row) -> u32) -> u64 {
+        let load = |row: &instances::Row| self.load(&row.cell) * u64::from(count(row));
         tally.rows.iter().map(load).sum()
     }
 
@@ -329,14 +329,14 @@
 
     /// The costliest live instance beyond the plan whose load can be spared.
     fn surplus(&self, tally: &Tally, spare: u64) -> Option<usize> {
-        let fits = |row: &&held::Row| self.is_surplus(row, spare);
+        let fits = |row: &&instances::Row| self.is_surplus(row, spare);
         let rows = tally.rows.iter().filter(fits);
         let row = rows.max_by_key(|row| (self.price(&row.cell), &row.cell))?;
         let live = |k: &Known| k.machine.phase == Phase::Live && k.machine.cell == row.cell;
         self.set.known.iter().rposition(live)
     }
 
-    fn is_surplus(&self, row: &held::Row, spare: u64) -> bool {
+    fn is_surplus(&self, row: &instances::Row, spare: u64) -> bool {
         let hold = self
             .wanted
             .holds
