--- a/coltsfoothall-entry/src/start.rs
+++ b/coltsfoothall-entry/src/start.rs
@@ -11,7 +11,7 @@
 
 use coltsfoothall::catalog::{Placement, Service};
 use coltsfoothall::clock::Time;
-use coltsfoothall::fleet::{self, Cell, Demand, Offer, Speed};
+use coltsfoothall::fleet::{self, Kind, Demand, Offer, Speed};
 use coltsfoothall::id;
 use coltsfoothall::start::{self, Action, Input, Queue, Token, Wanted};
 use coltsfoothall::steward::Fence;
@@ -112,7 +112,7 @@
         {
             Ok(read) => {
                 let offer = |offer: coltsfoothall_wire::cloud::Offer| Offer {
-                    cell: Cell {
+                    kind: Kind {
                         domain: offer.domain,
                         class: offer.class,
                         lend: offer.lend,
@@ -159,7 +159,7 @@
         let mut starts = Vec::new();
         for action in actions {
             match action {
-                Action::Start { token, cell } => starts.push(begin(duty, fence, token, cell)),
+                Action::Start { token, kind } => starts.push(begin(duty, fence, token, kind)),
                 Action::Stop(id) => self.stop(duty, now, id),
             }
         }
@@ -223,7 +223,7 @@
         let settings = &duty.node.settings.stewards;
         let surge = duty.surge.load(Ordering::Relaxed);
         let load = estimate.load() + if surge { settings.carries } else { 0 };
-        let mut classes: Vec<&id::Class> = market.offers.iter().map(|o| &o.cell.class).collect();
+        let mut classes: Vec<&id::Class> = market.offers.iter().map(|o| &o.kind.class).collect();
         classes.sort_unstable();
         classes.dedup();
         let speed = |class: &id::Class| Speed {
@@ -290,14 +290,14 @@
 }
 
 /// Asks for an instance if the lease still allows it.
-async fn begin(duty: &Duty, fence: Fence, token: Token, cell: Cell) -> Input {
+async fn begin(duty: &Duty, fence: Fence, token: Token, kind: Kind) -> Input {
     let node = &duty.node;
     let start = Start {
         token: token.as_str().into(),
         service: duty.service.clone(),
-        domain: cell.domain,
-        class: cell.class,
-        lend: cell.lend,
+        domain: kind.domain,
+        class: kind.class,
+        lend: kind.lend,
     };
     let cloud = node.settings.cloud.to_string();
     if !duty.lease.allows(fence) {
@@ -348,14 +348,14 @@
         lend,
         ..
     } = machine.clone();
-    let cell = Cell {
+    let kind = Kind {
         domain,
         class,
         lend,
     };
     start::Machine {
         id: machine.id.clone(),
-        cell,
+        kind,
         phase: machine.phase,
     }
 }
@@ -373,9 +373,9 @@
 /// Offers that the placement allows, for substitutes.
 fn allowed(market: &Market, placement: &Placement) -> Vec<Offer> {
     let allows = |offer: &&Offer| {
-        let cell = &offer.cell;
-        let domain = placement.domains.is_empty() || placement.domains.contains(&cell.domain);
-        let class = placement.classes.is_empty() || placement.classes.contains(&cell.class);
+        let kind = &offer.kind;
+        let domain = placement.domains.is_empty() || placement.domains.contains(&kind.domain);
+        let class = placement.classes.is_empty() || placement.classes.contains(&kind.class);
         let price = placement.price.0 == 0 || offer.price <= placement.price;
         domain && class && price
     };
--- a/coltsfoothall/benches/fleet.rs
+++ b/coltsfoothall/benches/fleet.rs
@@ -5,7 +5,7 @@
 
 use coltsfoothall::catalog::Placement;
 use coltsfoothall::clock::Time;
-use coltsfoothall::fleet::{Cell, Demand, Lend, Offer, Plan, Speed, plan};
+use coltsfoothall::fleet::{Kind, Demand, Lend, Offer, Plan, Speed, plan};
 use coltsfoothall::order::{Engine, Loaded, Role, Wanted, Weights};
 use coltsfoothall::rollout::{Rollout, Settings};
 use coltsfoothall::size::{Bytes, Price};
@@ -41,7 +41,7 @@
                 let class = format!("class-{class}").parse().expect("a name");
                 let price = Price(price);
                 offers.push(Offer {
-                    cell: Cell {
+                    kind: Kind {
                         domain,
                         class,
                         lend,
@@ -113,16 +113,16 @@
 fn starts(demand: Demand, offers: Vec<Offer>, plan: Plan) {
     let service = "rights-reader".parse().expect("a name");
     let mut queue = Queue::new(Time::START, start::Settings::default(), service, 1);
-    let cells = plan
+    let kinds = plan
         .holds
         .iter()
-        .flat_map(|hold| (0..hold.count).map(|_n| &hold.offer.cell));
-    let machine = |(n, cell): (usize, &Cell)| Machine {
+        .flat_map(|hold| (0..hold.count).map(|_n| &hold.offer.kind));
+    let machine = |(n, kind): (usize, &Kind)| Machine {
         id: format!("i-{n:05}").parse().expect("a name"),
-        cell: cell.clone(),
+        kind: kind.clone(),
         phase: Phase::Live,
     };
-    let machines: Vec<Machine> = cells.enumerate().map(machine).collect();
+    let machines: Vec<Machine> = kinds.enumerate().map(machine).collect();
     let wanted = start::Wanted {
         holds: plan.holds,
         offers,
--- a/coltsfoothall/src/backoff.rs
+++ b/coltsfoothall/src/backoff.rs
@@ -6,14 +6,14 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::clock::Time;
-use crate::fleet::Cell;
+use crate::fleet::Kind;
 
 /// Longest backoff, as a power of two of the first.
 const MAX_DOUBLINGS: u32 = 6;
 
 #[derive(Debug, Clone)]
 struct Row {
-    cell: Cell,
+    kind: Kind,
     refusals: u32,
     until: Time,
 }
@@ -37,15 +37,15 @@
         }
     }
 
-    fn find(&self, cell: &Cell) -> Result<usize, usize> {
-        self.rows.binary_search_by(|row| row.cell.cmp(cell))
+    fn find(&self, kind: &Kind) -> Result<usize, usize> {
+        self.rows.binary_search_by(|row| row.kind.cmp(kind))
     }
 
     /// Backs a kind off; refusals of starts that were asked before the backoff count once.
-    pub fn refuse(&mut self, now: Time, cell: Cell) {
-        let at = self.find(&cell).unwrap_or_else(|at| {
+    pub fn refuse(&mut self, now: Time, kind: Kind) {
+        let at = self.find(&kind).unwrap_or_else(|at| {
             let row = Row {
-                cell,
+                kind,
                 refusals: 0,
                 until: Time::START,
             };
@@ -61,27 +61,27 @@
     }
 
     /// Forgets a kind's refusals, since it was had.
-    pub fn clear(&mut self, cell: &Cell) {
-        if let Ok(at) = self.find(cell) {
+    pub fn clear(&mut self, kind: &Kind) {
+        if let Ok(at) = self.find(kind) {
             self.rows.remove(at);
         }
     }
 
     /// Whether a kind must wait.
     #[must_use]
-    pub fn waits(&self, now: Time, cell: &Cell) -> bool {
-        self.find(cell).is_ok_and(|at| now < self.rows[at].until)
+    pub fn waits(&self, now: Time, kind: &Kind) -> bool {
+        self.find(kind).is_ok_and(|at| now < self.rows[at].until)
     }
 
     /// Whether a kind was refused since it was last had.
     #[must_use]
-    pub fn is_suspect(&self, cell: &Cell) -> bool {
-        self.find(cell).is_ok()
+    pub fn is_suspect(&self, kind: &Kind) -> bool {
+        self.find(kind).is_ok()
     }
 
     /// Kinds that must wait.
-    pub fn waiting(&self, now: Time) -> impl Iterator<Item = &Cell> {
+    pub fn waiting(&self, now: Time) -> impl Iterator<Item = &Kind> {
         let waits = move |row: &&Row| now < row.until;
-        self.rows.iter().filter(waits).map(|row| &row.cell)
+        self.rows.iter().filter(waits).map(|row| &row.kind)
     }
 }
--- a/coltsfoothall/src/fleet.rs
+++ b/coltsfoothall/src/fleet.rs
@@ -33,7 +33,7 @@
 
 /// A kind of instance that can be had.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Cell {
+pub struct Kind {
     /// Failure domain.
     pub domain: id::Domain,
     /// Machine class.
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Offer {
     /// What is offered.
-    pub cell: Cell,
+    pub kind: Kind,
     /// Price of one instance.
     pub price: Price,
 }
@@ -154,7 +154,7 @@
         if item.exposed {
             self.lost[item.domain] += load;
         }
-        if item.offer.cell.lend == Lend::OnDemand {
+        if item.offer.kind.lend == Lend::OnDemand {
             self.on_demand += count;
         }
     }
@@ -167,7 +167,7 @@
         if item.exposed {
             self.lost[item.domain] -= item.load;
         }
-        if item.offer.cell.lend == Lend::OnDemand {
+        if item.offer.kind.lend == Lend::OnDemand {
             self.on_demand -= 1;
         }
     }
@@ -187,7 +187,7 @@
 
 impl<'a> Search<'a> {
     fn new(demand: &'a Demand, offers: &[Offer], placement: &Placement) -> Self {
-        let mut domains: Vec<&id::Domain> = offers.iter().map(|o| &o.cell.domain).collect();
+        let mut domains: Vec<&id::Domain> = offers.iter().map(|o| &o.kind.domain).collect();
         domains.sort_unstable();
         domains.dedup();
         let item = |offer: &Offer| item(offer, demand, placement, &domains);
@@ -195,7 +195,7 @@
         let rank = |d: &id::Domain| placement.domains.iter().position(|p| p == d);
         items.sort_by(|a, b| {
             let by_load = (a.price * b.load).cmp(&(b.price * a.load));
-            by_load.then_with(|| rank(&a.offer.cell.domain).cmp(&rank(&b.offer.cell.domain)))
+            by_load.then_with(|| rank(&a.offer.kind.domain).cmp(&rank(&b.offer.kind.domain)))
         });
         Self {
             demand,
@@ -247,7 +247,7 @@
     fn greedy(&self, order: &[usize], bound: u64) -> Set {
         let mut set = self.empty();
         self.fill(&mut set, order, bound, |item, set| {
-            match item.offer.cell.lend {
+            match item.offer.kind.lend {
                 Lend::OnDemand => self.on_demand.saturating_sub(set.on_demand),
                 Lend::Reclaimable => 0,
             }
@@ -342,7 +342,7 @@
         };
         let holds = self.items.iter().zip(&set.counts).map(hold);
         let mut holds: Vec<Hold> = holds.filter(|hold| hold.count > 0).collect();
-        holds.sort_by(|a, b| a.offer.cell.cmp(&b.offer.cell));
+        holds.sort_by(|a, b| a.offer.kind.cmp(&b.offer.kind));
         Plan {
             holds,
             count: set.count,
@@ -359,11 +359,11 @@
     placement: &Placement,
     domains: &[&id::Domain],
 ) -> Option<Item> {
-    let cell = &offer.cell;
-    let speed = demand.speeds.iter().find(|s| s.class == cell.class)?;
-    let domain = domains.binary_search(&&cell.domain).ok()?;
-    let in_domain = placement.domains.is_empty() || placement.domains.contains(&cell.domain);
-    let in_class = placement.classes.is_empty() || placement.classes.contains(&cell.class);
+    let kind = &offer.kind;
+    let speed = demand.speeds.iter().find(|s| s.class == kind.class)?;
+    let domain = domains.binary_search(&&kind.domain).ok()?;
+    let in_domain = placement.domains.is_empty() || placement.domains.contains(&kind.domain);
+    let in_class = placement.classes.is_empty() || placement.classes.contains(&kind.class);
     let in_price = placement.price.0 == 0 || offer.price <= placement.price;
     let allowed = in_domain && in_class && in_price && speed.load > 0;
     allowed.then(|| Item {
@@ -371,6 +371,6 @@
         domain,
         load: speed.load,
         price: offer.price.0,
-        exposed: demand.loss == Loss::All || cell.lend == Lend::Reclaimable,
+        exposed: demand.loss == Loss::All || kind.lend == Lend::Reclaimable,
     })
 }
--- a/coltsfoothall/src/instances.rs
+++ b/coltsfoothall/src/instances.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Time;
-use crate::fleet::Cell;
+use crate::fleet::Kind;
 use crate::id;
 
 /// One in so many absent at once is taken for a fault of the list.
@@ -29,7 +29,7 @@
     /// Its name.
     pub id: id::Instance,
     /// Its kind.
-    pub cell: Cell,
+    pub kind: Kind,
     /// Its phase.
     pub phase: Phase,
 }
@@ -138,13 +138,13 @@
     }
 
     /// Counts by kind.
-    pub(crate) fn tally<'a>(&'a self, wished: impl Iterator<Item = &'a Cell>) -> Tally {
+    pub(crate) fn tally<'a>(&'a self, wished: impl Iterator<Item = &'a Kind>) -> Tally {
         let mut tally = Tally::default();
         for known in self.known.iter().filter(|known| known.stays()) {
             let live = known.machine.phase == Phase::Live;
-            tally.add(&known.machine.cell, live);
+            tally.add(&known.machine.kind, live);
         }
-        wished.for_each(|cell| tally.add(cell, false));
+        wished.for_each(|kind| tally.add(kind, false));
         tally
     }
 }
@@ -152,7 +152,7 @@
 /// Instances of one kind.
 #[derive(Debug, Clone)]
 pub(crate) struct Row {
-    pub(crate) cell: Cell,
+    pub(crate) kind: Kind,
     /// Here or on the way.
     pub(crate) held: u32,
     /// Serving.
@@ -166,11 +166,11 @@
 }
 
 impl Tally {
-    pub(crate) fn add(&mut self, cell: &Cell, live: bool) {
-        let found = self.rows.binary_search_by(|row| row.cell.cmp(cell));
+    pub(crate) fn add(&mut self, kind: &Kind, live: bool) {
+        let found = self.rows.binary_search_by(|row| row.kind.cmp(kind));
         let at = found.unwrap_or_else(|at| {
             let row = Row {
-                cell: cell.clone(),
+                kind: kind.clone(),
                 held: 0,
                 live: 0,
             };
@@ -182,8 +182,8 @@
     }
 
     /// Instances of a kind that are here or on the way.
-    pub(crate) fn held(&self, cell: &Cell) -> u32 {
-        let found = self.rows.binary_search_by(|row| row.cell.cmp(cell));
+    pub(crate) fn held(&self, kind: &Kind) -> u32 {
+        let found = self.rows.binary_search_by(|row| row.kind.cmp(kind));
         found.map_or(0, |at| self.rows[at].held)
     }
 }
--- a/coltsfoothall/src/pending.rs
+++ b/coltsfoothall/src/pending.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::fleet::Cell;
+use crate::fleet::Kind;
 use crate::id;
 use crate::steward::Fence;
 
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 struct Pending {
     token: Token,
-    cell: Cell,
+    kind: Kind,
     asked_at: Time,
 }
 
@@ -50,12 +50,12 @@
     }
 
     /// The kinds wished for, one entry a start.
-    pub(crate) fn cells(&self) -> impl Iterator<Item = &Cell> {
-        self.starts.iter().map(|start| &start.cell)
+    pub(crate) fn kinds(&self) -> impl Iterator<Item = &Kind> {
+        self.starts.iter().map(|start| &start.kind)
     }
 
     /// Makes a start. Digits are padded, so that later tokens sort last.
-    pub(crate) fn add(&mut self, now: Time, cell: Cell) -> Token {
+    pub(crate) fn add(&mut self, now: Time, kind: Kind) -> Token {
         self.number += 1;
         let Self {
             service,
@@ -66,27 +66,27 @@
         let token = Token(format!("{service}-{fence:020}-{number:010}"));
         self.starts.push(Pending {
             token: token.clone(),
-            cell,
+            kind,
             asked_at: now,
         });
         token
     }
 
     /// Removes an answered start.
-    pub(crate) fn take(&mut self, token: &Token) -> Option<Cell> {
+    pub(crate) fn take(&mut self, token: &Token) -> Option<Kind> {
         let at = self
             .starts
             .binary_search_by(|start| start.token.cmp(token))
             .ok()?;
-        Some(self.starts.remove(at).cell)
+        Some(self.starts.remove(at).kind)
     }
 
     /// Wishes to ask for again, having waited for `repeat`.
-    pub(crate) fn late(&mut self, now: Time, repeat: Duration) -> Vec<(Token, Cell)> {
+    pub(crate) fn late(&mut self, now: Time, repeat: Duration) -> Vec<(Token, Kind)> {
         let late = |start: &&mut Pending| start.asked_at + repeat <= now;
         let again = |start: &mut Pending| {
             start.asked_at = now;
-            (start.token.clone(), start.cell.clone())
+            (start.token.clone(), start.kind.clone())
         };
         self.starts.iter_mut().filter(late).map(again).collect()
     }
--- a/coltsfoothall/src/start.rs
+++ b/coltsfoothall/src/start.rs
@@ -16,7 +16,7 @@
 
 use crate::backoff;
 use crate::clock::Time;
-use crate::fleet::{Cell, Hold, Offer, Speed};
+use crate::fleet::{Kind, Hold, Offer, Speed};
 use crate::instances::{self, Known, Tally};
 use crate::id;
 use crate::size::Price;
@@ -111,7 +111,7 @@
         /// Names the wish.
         token: Token,
         /// The kind.
-        cell: Cell,
+        kind: Kind,
     },
     /// Stop an instance: drain it, then give it back.
     Stop(id::Instance),
@@ -171,7 +171,7 @@
     }
 
     /// Kinds that can't be had for now, for an operator to see.
-    pub fn refused(&self, now: Time) -> impl Iterator<Item = &Cell> {
+    pub fn refused(&self, now: Time) -> impl Iterator<Item = &Kind> {
         self.backoffs.waiting(now)
     }
 
@@ -196,7 +196,7 @@
         self.set
             .forget(now, self.settings.absent, self.settings.outage);
         let mut actions = self.repeat(now);
-        let mut tally = self.set.tally(self.pending.cells());
+        let mut tally = self.set.tally(self.pending.kinds());
         if self.listed {
             self.start(now, &mut tally, &mut actions);
             self.stop_slow(now);
@@ -209,25 +209,25 @@
     }
 
     fn started(&mut self, now: Time, token: &Token, id: id::Instance) {
-        let Some(cell) = self.pending.take(token) else {
+        let Some(kind) = self.pending.take(token) else {
             return;
         };
-        self.backoffs.clear(&cell);
+        self.backoffs.clear(&kind);
         let phase = Phase::Starting;
-        self.set.started(now, Machine { id, cell, phase });
+        self.set.started(now, Machine { id, kind, phase });
     }
 
     fn refuse(&mut self, now: Time, token: &Token) {
-        if let Some(cell) = self.pending.take(token) {
+        if let Some(kind) = self.pending.take(token) {
             self.progress.refused += 1;
-            self.backoffs.refuse(now, cell);
+            self.backoffs.refuse(now, kind);
         }
     }
 
     fn repeat(&mut self, now: Time) -> Vec<Action> {
         let late = self.pending.late(now, self.settings.repeat);
         self.progress.repeats += late.len() as u64;
-        let again = |(token, cell)| Action::Start { token, cell };
+        let again = |(token, kind)| Action::Start { token, kind };
         late.into_iter().map(again).collect()
     }
 
@@ -236,57 +236,57 @@
         let rest = self.settings.per_minute.saturating_sub(self.started.len());
         let idle = self.settings.at_once.saturating_sub(self.pending.len());
         for _start in 0..rest.min(idle) {
-            let Some(cell) = self.next_cell(now, tally) else {
+            let Some(kind) = self.next_kind(now, tally) else {
                 return;
             };
-            tally.add(&cell, false);
-            let token = self.pending.add(now, cell.clone());
+            tally.add(&kind, false);
+            let token = self.pending.add(now, kind.clone());
             self.progress.requested += 1;
             self.started.push(now);
-            actions.push(Action::Start { token, cell });
+            actions.push(Action::Start { token, kind });
         }
     }
 
     /// The kind to start next: one that the plan lacks, else a substitute for refused load.
-    fn next_cell(&self, now: Time, tally: &Tally) -> Option<Cell> {
-        let lacks = |hold: &&Hold| tally.held(&hold.offer.cell) < hold.count;
+    fn next_kind(&self, now: Time, tally: &Tally) -> Option<Kind> {
+        let lacks = |hold: &&Hold| tally.held(&hold.offer.kind) < hold.count;
         let mut lacking = self.wanted.holds.iter().filter(lacks).peekable();
         lacking.peek()?;
-        let free = lacking.find(|hold| self.is_free(now, &hold.offer.cell));
+        let free = lacking.find(|hold| self.is_free(now, &hold.offer.kind));
         let held = self.load_of(tally, |row| row.held);
         match free {
-            Some(hold) => Some(hold.offer.cell.clone()),
+            Some(hold) => Some(hold.offer.kind.clone()),
             None if held < self.wanted_load() => self.substitute(now, tally),
             None => None,
         }
     }
 
     /// The cheapest kind for its load that isn't backed off; the least held among equals.
-    fn substitute(&self, now: Time, tally: &Tally) -> Option<Cell> {
-        let free = |offer: &&Offer| self.is_free(now, &offer.cell);
+    fn substitute(&self, now: Time, tally: &Tally) -> Option<Kind> {
+        let free = |offer: &&Offer| self.is_free(now, &offer.kind);
         let cost = |offer: &Offer| {
-            let load = self.load(&offer.cell);
+            let load = self.load(&offer.kind);
             let price = u128::from(offer.price.0) * 1_000_000;
-            (load > 0).then(|| (price / u128::from(load), tally.held(&offer.cell)))
+            (load > 0).then(|| (price / u128::from(load), tally.held(&offer.kind)))
         };
         let offers = self.wanted.offers.iter().filter(free);
-        let costs = offers.filter_map(|offer| Some((cost(offer)?, &offer.cell)));
-        costs.min().map(|(_cost, cell)| cell.clone())
+        let costs = offers.filter_map(|offer| Some((cost(offer)?, &offer.kind)));
+        costs.min().map(|(_cost, kind)| kind.clone())
     }
 
     /// Whether a kind may be asked for; one that was refused is probed by one start at a time.
-    fn is_free(&self, now: Time, cell: &Cell) -> bool {
-        let probed = || self.pending.cells().any(|wished| wished == cell);
-        let probing = self.backoffs.is_suspect(cell) && probed();
-        !probing && !self.backoffs.waits(now, cell)
+    fn is_free(&self, now: Time, kind: &Kind) -> bool {
+        let probed = || self.pending.kinds().any(|wished| wished == kind);
+        let probing = self.backoffs.is_suspect(kind) && probed();
+        !probing && !self.backoffs.waits(now, kind)
     }
 
-    fn load(&self, cell: &Cell) -> u64 {
+    fn load(&self, kind: &Kind) -> u64 {
         let speed = self
             .wanted
             .speeds
             .iter()
-            .find(|speed| speed.class == cell.class);
+            .find(|speed| speed.class == kind.class);
         speed.map_or(0, |speed| speed.load)
     }
 
@@ -299,7 +299,7 @@
     }
 
     fn load_of(&self, tally: &Tally, count: impl Fn(&instances::Row) -> u32) -> u64 {
-        let load = |row: &instances::Row| self.load(&row.cell) * u64::from(count(row));
+        let load = |row: &instances::Row| self.load(&row.kind) * u64::from(count(row));
         tally.rows.iter().map(load).sum()
     }
 
@@ -323,7 +323,7 @@
                 return;
             };
             self.set.known[at].stop(now);
-            *tally = self.set.tally(self.pending.cells());
+            *tally = self.set.tally(self.pending.kinds());
         }
     }
 
@@ -331,8 +331,8 @@
     fn surplus(&self, tally: &Tally, spare: u64) -> Option<usize> {
         let fits = |row: &&instances::Row| self.is_surplus(row, spare);
         let rows = tally.rows.iter().filter(fits);
-        let row = rows.max_by_key(|row| (self.price(&row.cell), &row.cell))?;
-        let live = |k: &Known| k.machine.phase == Phase::Live && k.machine.cell == row.cell;
+        let row = rows.max_by_key(|row| (self.price(&row.kind), &row.kind))?;
+        let live = |k: &Known| k.machine.phase == Phase::Live && k.machine.kind == row.kind;
         self.set.known.iter().rposition(live)
     }
 
@@ -341,13 +341,13 @@
             .wanted
             .holds
             .iter()
-            .find(|hold| hold.offer.cell == row.cell);
+            .find(|hold| hold.offer.kind == row.kind);
         let count = hold.map_or(0, |hold| hold.count);
-        row.live > 0 && row.held > count && self.load(&row.cell) <= spare
+        row.live > 0 && row.held > count && self.load(&row.kind) <= spare
     }
 
-    fn price(&self, cell: &Cell) -> Price {
-        let offer = self.wanted.offers.iter().find(|offer| offer.cell == *cell);
+    fn price(&self, kind: &Kind) -> Price {
+        let offer = self.wanted.offers.iter().find(|offer| offer.kind == *kind);
         offer.map_or(Price(0), |offer| offer.price)
     }
 
--- a/coltsfoothall/tests/fleet.rs
+++ b/coltsfoothall/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Cheapest sets against brute force and against plain rules.
 
 use coltsfoothall::catalog::Placement;
-use coltsfoothall::fleet::{Cell, Demand, Lend, Loss, Offer, Plan, Speed, plan};
+use coltsfoothall::fleet::{Kind, Demand, Lend, Loss, Offer, Plan, Speed, plan};
 use coltsfoothall::size::Price;
 use proptest::prelude::*;
 
@@ -9,7 +9,7 @@
     let domain = format!("domain-{domain:02}").parse().expect("a name");
     let class = format!("class-{class}").parse().expect("a name");
     Offer {
-        cell: Cell {
+        kind: Kind {
             domain,
             class,
             lend,
@@ -42,14 +42,14 @@
         let speed = demand
             .speeds
             .iter()
-            .find(|s| s.class == offer.cell.class)
+            .find(|s| s.class == offer.kind.class)
             .expect("the test sets it up");
         speed.load * u64::from(*count)
     };
     let rows = || offers.iter().zip(counts);
-    let lost = |o: &Offer| demand.loss == Loss::All || o.cell.lend == Lend::Reclaimable;
+    let lost = |o: &Offer| demand.loss == Loss::All || o.kind.lend == Lend::Reclaimable;
     let domain = |d: &Offer| {
-        let there = rows().filter(|(o, _)| o.cell.domain == d.cell.domain && lost(o));
+        let there = rows().filter(|(o, _)| o.kind.domain == d.kind.domain && lost(o));
         there.map(load).sum::<u64>()
     };
     rows().map(load).sum::<u64>() - offers.iter().map(domain).max().unwrap_or(0)
@@ -71,7 +71,7 @@
         let count: u32 = counts.iter().sum();
         let rows = || offers.iter().zip(&counts);
         let lasting = rows()
-            .filter(|(o, _)| o.cell.lend == Lend::OnDemand)
+            .filter(|(o, _)| o.kind.lend == Lend::OnDemand)
             .map(|(_, n)| n);
         let met = count >= demand.min
             && (demand.max == 0 || count <= demand.max)
@@ -149,7 +149,7 @@
 /// As many of the cheapest class everywhere as carry the load with one domain fewer.
 fn spread(demand: &Demand, offers: &[Offer], domains: u64) -> u64 {
     let per = |class: &Speed| {
-        let there = |o: &&Offer| o.cell.class == class.class && o.cell.lend == Lend::Reclaimable;
+        let there = |o: &&Offer| o.kind.class == class.class && o.kind.lend == Lend::Reclaimable;
         let each = demand.load.div_ceil(class.load).div_ceil(domains - 1);
         offers
             .iter()
@@ -167,12 +167,12 @@
 
 /// The load on demand at the lowest price, with nothing to spare.
 fn lasting(demand: &Demand, offers: &[Offer]) -> u64 {
-    let lasting = offers.iter().filter(|o| o.cell.lend == Lend::OnDemand);
+    let lasting = offers.iter().filter(|o| o.kind.lend == Lend::OnDemand);
     let all = |o: &Offer| {
         let speed = demand
             .speeds
             .iter()
-            .find(|s| s.class == o.cell.class)
+            .find(|s| s.class == o.kind.class)
             .expect("the test sets it up");
         demand.load.div_ceil(speed.load) * o.price.0
     };
@@ -185,7 +185,7 @@
         let speed = demand
             .speeds
             .iter()
-            .find(|s| s.class == o.cell.class)
+            .find(|s| s.class == o.kind.class)
             .expect("the test sets it up");
         speed.load as f64
     };
@@ -194,14 +194,14 @@
     let mut room = vec![lost as f64; domains];
     let (mut missing, mut cost) = ((demand.load + lost) as f64, 0.0);
     for row in rows {
-        let domain: usize = row.cell.domain.as_str()["domain-".len()..]
+        let domain: usize = row.kind.domain.as_str()["domain-".len()..]
             .parse()
             .expect("a name");
-        let bought = match row.cell.lend {
+        let bought = match row.kind.lend {
             Lend::Reclaimable => missing.min(room[domain]),
             Lend::OnDemand => missing,
         };
-        if row.cell.lend == Lend::Reclaimable {
+        if row.kind.lend == Lend::Reclaimable {
             room[domain] -= bought;
         }
         missing -= bought;
@@ -304,11 +304,11 @@
     let lasting = found
         .holds
         .iter()
-        .filter(|h| h.offer.cell.lend == Lend::OnDemand);
+        .filter(|h| h.offer.kind.lend == Lend::OnDemand);
     assert!(lasting.map(|hold| hold.count).sum::<u32>() >= 2);
     for hold in &found.holds {
-        assert!(placement.domains.contains(&hold.offer.cell.domain));
-        assert!(placement.classes.contains(&hold.offer.cell.class));
+        assert!(placement.domains.contains(&hold.offer.kind.domain));
+        assert!(placement.classes.contains(&hold.offer.kind.class));
     }
     let demand = Demand { max: 2, ..demand };
     assert!(
--- a/coltsfoothall/tests/start.rs
+++ b/coltsfoothall/tests/start.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::fleet::{Cell, Hold, Lend, Offer, Speed};
+use coltsfoothall::fleet::{Kind, Hold, Lend, Offer, Speed};
 use coltsfoothall::id;
 use coltsfoothall::size::Price;
 use coltsfoothall::start::{Action, Input, Machine, Phase, Queue, Settings, Wanted};
@@ -14,9 +14,9 @@
 const EACH: u32 = 9;
 const LAG: u64 = 10;
 
-fn cell(domain: usize, lend: Lend) -> Cell {
+fn kind(domain: usize, lend: Lend) -> Kind {
     let domain = format!("domain-{domain}").parse().expect("a name");
-    Cell {
+    Kind {
         domain,
         class: "gpu".parse().expect("a name"),
         lend,
@@ -31,7 +31,7 @@
             100 + domain as u64
         };
         Offer {
-            cell: cell(domain, lend),
+            kind: kind(domain, lend),
             price: Price(price),
         }
     };
@@ -69,7 +69,7 @@
     second: u64,
     booked: Vec<Booked>,
     lists: Vec<Vec<Machine>>,
-    refusing: Vec<Cell>,
+    refusing: Vec<Kind>,
     lost: f64,
     starts: usize,
     refused: usize,
@@ -89,11 +89,11 @@
         }
     }
 
-    fn start(&mut self, token: &str, cell: Cell) -> Option<id::Instance> {
+    fn start(&mut self, token: &str, kind: Kind) -> Option<id::Instance> {
         if let Some(booked) = self.booked.iter().find(|booked| booked.token == token) {
             return Some(booked.machine.id.clone());
         }
-        if self.refusing.contains(&cell) {
+        if self.refusing.contains(&kind) {
             self.refused += 1;
             return None;
         }
@@ -101,7 +101,7 @@
         let id: id::Instance = format!("i-{:05}", self.starts).parse().expect("a name");
         let machine = Machine {
             id: id.clone(),
-            cell,
+            kind,
             phase: Phase::Starting,
         };
         let (token, at) = (token.into(), self.second);
@@ -117,8 +117,8 @@
     /// Answers one action, unless the answer is lost.
     fn act(&mut self, action: Action) -> Option<Input> {
         match action {
-            Action::Start { token, cell } => {
-                let answer = self.start(token.as_str(), cell);
+            Action::Start { token, kind } => {
+                let answer = self.start(token.as_str(), kind);
                 if self.rng.random_bool(self.lost) {
                     return Some(Input::Unknown(token));
                 }
@@ -144,9 +144,9 @@
     /// A domain's reclaimable instances get notice; they are gone half a minute later.
     fn reclaim(&mut self, domain: usize) -> Vec<Input> {
         let gone_at = self.second + 30;
-        let lost = cell(domain, Lend::Reclaimable);
+        let lost = kind(domain, Lend::Reclaimable);
         let mut notices = Vec::new();
-        let stays = |b: &&mut Booked| b.machine.phase != Phase::Leaving && b.machine.cell == lost;
+        let stays = |b: &&mut Booked| b.machine.phase != Phase::Leaving && b.machine.kind == lost;
         for booked in self.booked.iter_mut().filter(stays) {
             booked.gone_at = booked.gone_at.min(gone_at);
             booked.machine.phase = Phase::Leaving;
@@ -241,7 +241,7 @@
         let domain = cloud.rng.random_range(0..DOMAINS);
         if refuses {
             let next = (domain + cloud.rng.random_range(0..2)) % DOMAINS;
-            cloud.refusing = [domain, next].map(|d| cell(d, Lend::Reclaimable)).into();
+            cloud.refusing = [domain, next].map(|d| kind(d, Lend::Reclaimable)).into();
         }
         let notices = cloud.reclaim(domain);
         reclaimed += notices.len();
@@ -401,12 +401,12 @@
 fn substitute_given_back() {
     let mut cloud = Cloud::new(1);
     cloud.refusing = (0..DOMAINS)
-        .map(|domain| cell(domain, Lend::Reclaimable))
+        .map(|domain| kind(domain, Lend::Reclaimable))
         .collect();
     let mut steward = queue(0, Settings::default(), 1);
     cloud.run(&mut steward, 120);
     let lasting = |cloud: &Cloud| {
-        let lasting = |b: &&Booked| b.machine.cell.lend == Lend::OnDemand;
+        let lasting = |b: &&Booked| b.machine.kind.lend == Lend::OnDemand;
         cloud.booked.iter().filter(lasting).count()
     };
     assert_eq!(lasting(&cloud), NEEDED);
