--- a/coltsfoothall-entry/src/start.rs
+++ b/coltsfoothall-entry/src/start.rs
@@ -245,7 +245,7 @@
             .unwrap_or_else(|| anywhere(&service.name));
         let plan = fleet::plan(&demand, &market.offers, &placement);
         let wanted = Wanted {
-            holds: plan.holds,
+            allocations: plan.allocations,
             offers: allowed(market, &placement),
             speeds,
         };
--- a/coltsfoothall/benches/fleet.rs
+++ b/coltsfoothall/benches/fleet.rs
@@ -114,9 +114,9 @@
     let service = "rights-reader".parse().expect("a name");
     let mut queue = Queue::new(Time::START, start::Settings::default(), service, 1);
     let kinds = plan
-        .holds
+        .allocations
         .iter()
-        .flat_map(|hold| (0..hold.count).map(|_n| &hold.offer.kind));
+        .flat_map(|allocation| (0..allocation.count).map(|_n| &allocation.offer.kind));
     let machine = |(n, kind): (usize, &Kind)| Machine {
         id: format!("i-{n:05}").parse().expect("a name"),
         kind: kind.clone(),
@@ -124,7 +124,7 @@
     };
     let machines: Vec<Machine> = kinds.enumerate().map(machine).collect();
     let wanted = start::Wanted {
-        holds: plan.holds,
+        allocations: plan.allocations,
         offers,
         speeds: demand.speeds,
     };
--- a/coltsfoothall/src/fleet.rs
+++ b/coltsfoothall/src/fleet.rs
@@ -87,7 +87,7 @@
 
 /// Instances to hold of one kind.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Hold {
+pub struct Allocation {
     /// The kind and its price.
     pub offer: Offer,
     /// Load that one carries.
@@ -96,11 +96,11 @@
     pub count: u32,
 }
 
-/// The set of instances to hold.
+/// The set of instances to allocation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Plan {
     /// The instances, in the order of the offers.
-    pub holds: Vec<Hold>,
+    pub allocations: Vec<Allocation>,
     /// How many.
     pub count: u32,
     /// Price of all in an hour.
@@ -111,7 +111,7 @@
     pub exact: bool,
 }
 
-/// Finds the set of instances to hold.
+/// Finds the set of instances to allocation.
 #[must_use]
 pub fn plan(demand: &Demand, offers: &[Offer], placement: &Placement) -> Plan {
     let search = Search::new(demand, offers, placement);
@@ -335,16 +335,16 @@
     }
 
     fn plan(&self, set: &Set, exact: bool) -> Plan {
-        let hold = |(item, &count): (&Item, &u32)| Hold {
+        let allocation = |(item, &count): (&Item, &u32)| Allocation {
             offer: item.offer.clone(),
             load: item.load,
             count,
         };
-        let holds = self.items.iter().zip(&set.counts).map(hold);
-        let mut holds: Vec<Hold> = holds.filter(|hold| hold.count > 0).collect();
-        holds.sort_by(|a, b| a.offer.kind.cmp(&b.offer.kind));
+        let allocations = self.items.iter().zip(&set.counts).map(allocation);
+        let mut allocations: Vec<Allocation> = allocations.filter(|allocation| allocation.count > 0).collect();
+        allocations.sort_by(|a, b| a.offer.kind.cmp(&b.offer.kind));
         Plan {
-            holds,
+            allocations,
             count: set.count,
             cost: Price(set.cost),
             short: self.demand.load.saturating_sub(set.carried()),
--- a/coltsfoothall/src/start.rs
+++ b/coltsfoothall/src/start.rs
@@ -16,7 +16,7 @@
 
 use crate::backoff;
 use crate::clock::Time;
-use crate::fleet::{Kind, Hold, Offer, Speed};
+use crate::fleet::{Kind, Allocation, Offer, Speed};
 use crate::instances::{self, Known, Tally};
 use crate::id;
 use crate::size::Price;
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Wanted {
     /// The plan's instances.
-    pub holds: Vec<Hold>,
+    pub allocations: Vec<Allocation>,
     /// All that can be had, for substitutes.
     pub offers: Vec<Offer>,
     /// What the classes carry, sorted by class.
@@ -249,13 +249,13 @@
 
     /// The kind to start next: one that the plan lacks, else a substitute for refused load.
     fn next_kind(&self, now: Time, tally: &Tally) -> Option<Kind> {
-        let lacks = |hold: &&Hold| tally.held(&hold.offer.kind) < hold.count;
-        let mut lacking = self.wanted.holds.iter().filter(lacks).peekable();
+        let lacks = |allocation: &&Allocation| tally.held(&allocation.offer.kind) < allocation.count;
+        let mut lacking = self.wanted.allocations.iter().filter(lacks).peekable();
         lacking.peek()?;
-        let free = lacking.find(|hold| self.is_free(now, &hold.offer.kind));
+        let free = lacking.find(|allocation| self.is_free(now, &allocation.offer.kind));
         let held = self.load_of(tally, |row| row.held);
         match free {
-            Some(hold) => Some(hold.offer.kind.clone()),
+            Some(allocation) => Some(allocation.offer.kind.clone()),
             None if held < self.wanted_load() => self.substitute(now, tally),
             None => None,
         }
@@ -292,9 +292,9 @@
 
     fn wanted_load(&self) -> u64 {
         self.wanted
-            .holds
+            .allocations
             .iter()
-            .map(|hold| hold.load * u64::from(hold.count))
+            .map(|allocation| allocation.load * u64::from(allocation.count))
             .sum()
     }
 
@@ -337,12 +337,12 @@
     }
 
     fn is_surplus(&self, row: &instances::Row, spare: u64) -> bool {
-        let hold = self
+        let allocation = self
             .wanted
-            .holds
+            .allocations
             .iter()
-            .find(|hold| hold.offer.kind == row.kind);
-        let count = hold.map_or(0, |hold| hold.count);
+            .find(|allocation| allocation.offer.kind == row.kind);
+        let count = allocation.map_or(0, |allocation| allocation.count);
         row.live > 0 && row.held > count && self.load(&row.kind) <= spare
     }
 
--- a/coltsfoothall/tests/fleet.rs
+++ b/coltsfoothall/tests/fleet.rs
@@ -90,8 +90,8 @@
 }
 
 fn check(found: &Plan, demand: &Demand) {
-    let offers: Vec<Offer> = found.holds.iter().map(|hold| hold.offer.clone()).collect();
-    let counts: Vec<u32> = found.holds.iter().map(|hold| hold.count).collect();
+    let offers: Vec<Offer> = found.allocations.iter().map(|allocation| allocation.offer.clone()).collect();
+    let counts: Vec<u32> = found.allocations.iter().map(|allocation| allocation.count).collect();
     assert_eq!(found.cost.0, cost(&offers, &counts));
     assert_eq!(found.count, counts.iter().sum::<u32>());
     let left = carried(demand, &offers, &counts);
@@ -302,13 +302,13 @@
     };
     let found = plan(&demand, &offers, &placement);
     let lasting = found
-        .holds
+        .allocations
         .iter()
         .filter(|h| h.offer.kind.lend == Lend::OnDemand);
-    assert!(lasting.map(|hold| hold.count).sum::<u32>() >= 2);
-    for hold in &found.holds {
-        assert!(placement.domains.contains(&hold.offer.kind.domain));
-        assert!(placement.classes.contains(&hold.offer.kind.class));
+    assert!(lasting.map(|allocation| allocation.count).sum::<u32>() >= 2);
+    for allocation in &found.allocations {
+        assert!(placement.domains.contains(&allocation.offer.kind.domain));
+        assert!(placement.classes.contains(&allocation.offer.kind.class));
     }
     let demand = Demand { max: 2, ..demand };
     assert!(
--- a/coltsfoothall/tests/start.rs
+++ b/coltsfoothall/tests/start.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::fleet::{Kind, Hold, Lend, Offer, Speed};
+use coltsfoothall::fleet::{Kind, Allocation, Lend, Offer, Speed};
 use coltsfoothall::id;
 use coltsfoothall::size::Price;
 use coltsfoothall::start::{Action, Input, Machine, Phase, Queue, Settings, Wanted};
@@ -36,9 +36,9 @@
         }
     };
     let cheap = (0..DOMAINS).map(|domain| offer(domain, Lend::Reclaimable));
-    let holds = cheap.clone().take(domains);
-    let holds = holds
-        .map(|offer| Hold {
+    let allocations = cheap.clone().take(domains);
+    let allocations = allocations
+        .map(|offer| Allocation {
             offer,
             load: 1,
             count: each,
@@ -47,7 +47,7 @@
     let lasting = (0..DOMAINS).map(|domain| offer(domain, Lend::OnDemand));
     let offers = cheap.chain(lasting).collect();
     Wanted {
-        holds,
+        allocations,
         offers,
         speeds: vec![Speed {
             class: "gpu".parse().expect("a name"),
