--- a/coltsfoothall/src/fleet.rs
+++ b/coltsfoothall/src/fleet.rs
@@ -106,7 +106,7 @@
     /// Price of all in an hour.
     pub cost: Price,
     /// Load that isn't carried after the worst loss; 0 where the demand is met.
-    pub short: u64,
+    pub shortfall: u64,
     /// Whether no cheaper set exists; else the set is the best that was found.
     pub exact: bool,
 }
@@ -347,7 +347,7 @@
             allocations,
             count: set.count,
             cost: Price(set.cost),
-            short: self.demand.load.saturating_sub(set.carried()),
+            shortfall: self.demand.load.saturating_sub(set.carried()),
             exact,
         }
     }
--- a/coltsfoothall/tests/fleet.rs
+++ b/coltsfoothall/tests/fleet.rs
@@ -95,7 +95,7 @@
     assert_eq!(found.cost.0, cost(&offers, &counts));
     assert_eq!(found.count, counts.iter().sum::<u32>());
     let left = carried(demand, &offers, &counts);
-    assert_eq!(found.short, demand.load.saturating_sub(left));
+    assert_eq!(found.shortfall, demand.load.saturating_sub(left));
 }
 
 proptest! {
@@ -125,7 +125,7 @@
         let best = brute(&demand, &offers, &placement, 4);
         prop_assert!(found.exact || best.is_none());
         let allowed = max == 0 || max >= min.max(on_demand);
-        prop_assert!(found.short == 0 || (max > 0 && best.is_none()), "{:?}", found);
+        prop_assert!(found.shortfall == 0 || (max > 0 && best.is_none()), "{:?}", found);
         prop_assert!(allowed || best.is_none());
         prop_assert!(best.is_none_or(|best| found.cost.0 <= best), "{:?} {:?}", best, found);
         prop_assert!(found.count > 4 || best.is_none() || best == Some(found.cost.0));
@@ -229,7 +229,7 @@
         "{name}: {} instances cost {}; spread evenly with a domain to spare {spread}; on demand {lasting}; none below {bound:.0}; proved {}",
         found.count, found.cost, found.exact
     );
-    assert_eq!(found.short, 0);
+    assert_eq!(found.shortfall, 0);
     assert!(found.cost.0 <= spread && found.cost.0 < lasting);
     found
 }
@@ -271,13 +271,13 @@
         ..Demand::default()
     };
     let found = plan(&demand, &offers, &anywhere());
-    assert_eq!((found.count, found.short), (3, 3));
+    assert_eq!((found.count, found.shortfall), (3, 3));
     let demand = Demand {
         loss: Loss::Reclaimable,
         ..demand
     };
     assert_eq!(
-        plan(&demand, &offers, &anywhere()).short,
+        plan(&demand, &offers, &anywhere()).shortfall,
         0,
         "on demand survives a reclaim"
     );
@@ -312,7 +312,7 @@
     }
     let demand = Demand { max: 2, ..demand };
     assert!(
-        plan(&demand, &offers, &placement).short > 0,
+        plan(&demand, &offers, &placement).shortfall > 0,
         "two can't carry it"
     );
 }
