--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -182,7 +182,7 @@
             id: sender.instance.clone(),
             age: None,
         };
-        if self.config.hear(&source, Revision(sender.revision), now) == Need::Fetch {
+        if self.config.merge_revision(&source, Revision(sender.revision), now) == Need::Fetch {
             fetch::config(Arc::clone(&self.node), sender.instance.clone());
         }
         if sender.slots > self.slots.version() {
--- a/coltsfoothall/src/adoption.rs
+++ b/coltsfoothall/src/adoption.rs
@@ -17,7 +17,7 @@
 use crate::rule;
 
 /// Earlier revisions kept to show what changed since; it bounds their memory.
-pub const KEPT: usize = 4;
+pub const MAX_PREVIOUS: usize = 4;
 
 /// Who sent a value or vouches for a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -96,7 +96,7 @@
 #[derive(Debug, Default)]
 pub struct Config {
     held: Option<Arc<Catalog>>,
-    past: Vec<Arc<Catalog>>,
+    previous: Vec<Arc<Catalog>>,
     newest: Revision,
     confirmed: Option<Time>,
     older: u64,
@@ -126,7 +126,7 @@
     /// A configuration that is or was in force here, if it is still kept.
     #[must_use]
     pub fn at(&self, revision: Revision) -> Option<&Arc<Catalog>> {
-        let mut kept = self.past.iter().chain(&self.held);
+        let mut kept = self.previous.iter().chain(&self.held);
         kept.find(|catalog| catalog.revision == revision)
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Weighs a revision that a peer named, for instance in a heartbeat.
-    pub fn hear(&mut self, source: &Source, revision: Revision, now: Time) -> Need {
+    pub fn merge_revision(&mut self, source: &Source, revision: Revision, now: Time) -> Need {
         self.newest = self.newest.max(revision);
         let held = self.revision();
         if revision > held || self.held.is_none() && revision == held && vouched(source) {
@@ -213,10 +213,10 @@
         }
         let (from, to) = (self.revision(), offered.revision);
         if let Some(old) = self.held.replace(offered) {
-            self.past.push(old);
+            self.previous.push(old);
         }
-        let extra = self.past.len().saturating_sub(KEPT);
-        self.past.drain(..extra);
+        let extra = self.previous.len().saturating_sub(MAX_PREVIOUS);
+        self.previous.drain(..extra);
         self.newest = self.newest.max(to);
         // What was known of the revision before says nothing of this one.
         self.confirmed = None;
--- a/coltsfoothall/tests/adoption.rs
+++ b/coltsfoothall/tests/adoption.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfoothall::adoption::{Config, KEPT, Need, Outcome, Source, Standing, in_force};
+use coltsfoothall::adoption::{Config, MAX_PREVIOUS, Need, Outcome, Source, Standing, in_force};
 use coltsfoothall::catalog::{Catalog, Revision};
 use coltsfoothall::clock::Time;
 use rand::{Rng, SeedableRng};
@@ -73,11 +73,11 @@
 fn fresh_start() {
     let mut config = Config::new();
     assert_eq!(config.standing(at(1)), Standing::Empty);
-    assert_eq!(config.hear(&peer(None), Revision(7), at(1)), Need::Fetch);
+    assert_eq!(config.merge_revision(&peer(None), Revision(7), at(1)), Need::Fetch);
     config.offer(&peer(None), catalog(7, "a"), at(2));
     assert_eq!(config.standing(at(2)), Standing::Unconfirmed);
     assert_eq!(
-        config.hear(&peer(Some(30)), Revision(7), at(60)),
+        config.merge_revision(&peer(Some(30)), Revision(7), at(60)),
         Need::None
     );
     let age = Duration::from_secs(40);
@@ -90,9 +90,9 @@
     config.offer(&Source::Store, catalog(7, "a"), at(10));
     let age = Duration::from_secs(90);
     assert_eq!(config.standing(at(100)), Standing::Held { age });
-    assert_eq!(config.hear(&peer(None), Revision(6), at(100)), Need::Send);
+    assert_eq!(config.merge_revision(&peer(None), Revision(6), at(100)), Need::Send);
     assert_eq!(
-        config.hear(&peer(Some(1)), Revision(8), at(100)),
+        config.merge_revision(&peer(Some(1)), Revision(8), at(100)),
         Need::Fetch
     );
     let newest = Revision(8);
@@ -107,8 +107,8 @@
         config.offer(&Source::Store, catalog(revision, "a"), at(revision));
     }
     assert!(config.at(Revision(20)).is_some());
-    assert!(config.at(Revision(20 - KEPT as u64)).is_some());
-    assert!(config.at(Revision(19 - KEPT as u64)).is_none());
+    assert!(config.at(Revision(20 - MAX_PREVIOUS as u64)).is_some());
+    assert!(config.at(Revision(19 - MAX_PREVIOUS as u64)).is_none());
 }
 
 #[test]
@@ -141,7 +141,7 @@
                 let id = format!("e{from}").parse().unwrap();
                 let source = Source::Peer { id, age };
                 let value = configs[from].held().cloned();
-                if configs[who].hear(&source, heard, now) == Need::Fetch {
+                if configs[who].merge_revision(&source, heard, now) == Need::Fetch {
                     configs[who].offer(&source, value.unwrap(), now);
                     assert!(configs[who].revision() >= heard, "seed {seed}");
                 }
