--- a/coltsfoothall-call/src/own.rs
+++ b/coltsfoothall-call/src/own.rs
@@ -107,7 +107,7 @@
         let exclude: Vec<id::Endpoint> = call.exclude.iter().map(|engine| name(*engine)).collect();
         let query = query(&self.service, &entry.domain, &exclude, call);
         let pick = entry.router.choose(now, &query)?;
-        let run = entry.router.began(now, &pick.endpoint, &query);
+        let run = entry.router.record_start(now, &pick.endpoint, &query);
         self.open[call.number].run = Some(run);
         Some(engine(&pick.endpoint))
     }
@@ -160,7 +160,7 @@
     }
 
     fn leaving(&mut self, entry: usize, engine: usize) {
-        self.entries[entry].router.leaving(&name(engine));
+        self.entries[entry].router.mark_leaving(&name(engine));
     }
 
     fn offer(&mut self, now: Time, entry: usize, call: Call<'_>) -> Answer {
@@ -198,7 +198,7 @@
         let entry = &mut self.entries[entry];
         let open = &mut self.open[number];
         if let Some(run) = &mut open.run {
-            entry.router.first(now, run, Some(cached));
+            entry.router.record_first_token(now, run, Some(cached));
         }
         if let Some(number) = open.number {
             entry.gate.read(now, number);
@@ -207,7 +207,7 @@
 
     fn left(&mut self, now: Time, entry: usize, number: usize) {
         if let Some(run) = self.open[number].run.take() {
-            self.entries[entry].router.ended(now, run);
+            self.entries[entry].router.record_end(now, run);
         }
     }
 
@@ -222,14 +222,14 @@
     fn report(&mut self, now: Time, entry: usize, engine: usize, report: &Report) {
         if !self.settings.no_reports {
             let router = &mut self.entries[entry].router;
-            router.report(now, &name(engine), report);
+            router.record_report(now, &name(engine), report);
         }
     }
 
     fn events(&mut self, _now: Time, entry: usize, engine: usize, events: &[Event]) {
         if !self.settings.no_events {
             let router = &mut self.entries[entry].router;
-            router.cache_events(&name(engine), events);
+            router.record_cache_events(&name(engine), events);
         }
     }
 
--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -227,7 +227,7 @@
                 self.dispatch.report(now, &endpoint, &report);
             }
             Message::Cache(endpoint, events) => {
-                let _lost = self.dispatch.router().cache_events(&endpoint, &events);
+                let _lost = self.dispatch.router().record_cache_events(&endpoint, &events);
             }
             Message::Catalog(source, catalog) => self.adopt(&source, catalog),
             Message::Held { base, reply } => {
@@ -362,7 +362,7 @@
         let Ok(endpoint) = instance.as_str().parse::<id::Endpoint>() else {
             return;
         };
-        self.dispatch.router().leaving(&endpoint);
+        self.dispatch.router().mark_leaving(&endpoint);
         let input = Input::Leaving {
             endpoint,
             finishes: false,
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -112,7 +112,7 @@
 
     /// An endpoint reported its load.
     pub fn report(&mut self, now: Time, endpoint: &id::Endpoint, report: &Report) {
-        self.router.report(now, endpoint, report);
+        self.router.record_report(now, endpoint, report);
         let all = report.running.saturating_add(report.waiting) as usize;
         let others = all.saturating_sub(self.open_at(endpoint));
         self.rooms.note(now, endpoint, others);
@@ -212,7 +212,7 @@
     /// The first piece of an attempt's answer came.
     pub fn first(&mut self, now: Time, attempt: u64, cached: Tokens) {
         if let Some(open) = self.attempts.get(attempt) {
-            self.router.first(now, &mut open.run, Some(cached));
+            self.router.record_first_token(now, &mut open.run, Some(cached));
             self.gate.read(now, open.number);
         }
     }
@@ -227,7 +227,7 @@
         }
         let open = self.attempts.end(attempt)?;
         let endpoint = open.run.endpoint.clone();
-        self.router.ended(now, open.run);
+        self.router.record_end(now, open.run);
         if open.own {
             self.over(now, open.number);
         }
@@ -255,7 +255,7 @@
         endpoint: id::Endpoint,
         broken: Option<u64>,
     ) -> Option<id::Endpoint> {
-        self.router.suspect(&endpoint, now + AVOID);
+        self.router.mark_suspect(&endpoint, now + AVOID);
         self.judge.accuse(&endpoint, broken).then_some(endpoint)
     }
 
@@ -277,7 +277,7 @@
 
     /// An endpoint died. Returns the marks to tell peers of.
     pub fn died(&mut self, now: Time, endpoint: &id::Endpoint, announced: bool) -> Vec<Mark> {
-        self.router.suspect(endpoint, now + AVOID);
+        self.router.mark_suspect(endpoint, now + AVOID);
         let owed = self.attempts.dead(endpoint) + self.open_at(endpoint);
         if let Some(service) = self.rooms.service(endpoint).cloned() {
             self.retries.owe(now, &service, owed);
@@ -343,7 +343,7 @@
             let wait = if alone { LATER } else { NONE };
             return self.stop(now, &waiting, no_pick(wait));
         };
-        let run = self.router.began(now, &chosen.endpoint, &query);
+        let run = self.router.record_start(now, &chosen.endpoint, &query);
         let (attempt, reply) = (waiting.pick.attempt, waiting.reply.clone());
         self.judge
             .started(now, attempt, &chosen.endpoint, waiting.pick.print, alone);
--- a/coltsfoothall/benches/choice.rs
+++ b/coltsfoothall/benches/choice.rs
@@ -49,11 +49,11 @@
         let chosen = start.elapsed();
         let Some(pick) = pick else { continue };
         let start = Instant::now();
-        let mut run = router.began(now, &pick.endpoint, &query);
-        router.first(now, &mut run, Some(pick.cached));
+        let mut run = router.record_start(now, &pick.endpoint, &query);
+        router.record_first_token(now, &mut run, Some(pick.cached));
         open.push(run);
         if open.len() > OPEN {
-            router.ended(now, open.swap_remove(n as usize % OPEN));
+            router.record_end(now, open.swap_remove(n as usize % OPEN));
         }
         let kept = start.elapsed();
         // The first half fills the index.
@@ -63,7 +63,7 @@
         }
     }
     let each = |span: Duration| span.as_secs_f64() * 1e6 / REQUESTS as f64;
-    let beliefs = router.beliefs();
+    let beliefs = router.index_entries();
     format!(
         "| {size} | {:.1} | {:.1} | {beliefs} |",
         each(choosing),
--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -283,13 +283,13 @@
     let empty = resident().saturating_sub(before);
     for number in 0..count {
         let events = events(number, 1, CACHE);
-        black_box(router.cache_events(&name("runner", number), &events));
+        black_box(router.record_cache_events(&name("runner", number), &events));
     }
     let full = resident().saturating_sub(before);
     println!(
         "endpoints={count} router_empty_bytes={empty} router_full_bytes={full} beliefs={} \
          blocks_reported={}",
-        router.beliefs(),
+        router.index_entries(),
         count as u64 * CACHE
     );
     measure(&format!("endpoints={count} set_endpoints"), |_| {
@@ -303,11 +303,11 @@
         capacity: Tokens(400_000),
     };
     measure(&format!("endpoints={count} report"), |round| {
-        router.report(at(round as u64), &name("runner", round % count), &report);
+        router.record_report(at(round as u64), &name("runner", round % count), &report);
     });
     measure(&format!("endpoints={count} cache_events_of_16"), |round| {
         let events = events(round % count, CACHE + 1 + round as u64 * 16, 16);
-        black_box(router.cache_events(&name("runner", round % count), &events));
+        black_box(router.record_cache_events(&name("runner", round % count), &events));
     });
     choices(count, &mut router);
     std::mem::forget(router);
@@ -337,8 +337,8 @@
             |round| {
                 let now = at(2000 + round as u64);
                 if let Some(pick) = router.choose(now, &query) {
-                    let run = router.began(now, &pick.endpoint, &query);
-                    router.ended(now, run);
+                    let run = router.record_start(now, &pick.endpoint, &query);
+                    router.record_end(now, run);
                 }
             },
         );
--- a/coltsfoothall/src/choice.rs
+++ b/coltsfoothall/src/choice.rs
@@ -132,7 +132,7 @@
 
 /// A request that was sent to an endpoint and has not ended there.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "an open request counts as load until `Router::ended` takes it back"]
+#[must_use = "an open request counts as load until `Router::record_end` takes it back"]
 pub struct Run {
     /// The endpoint.
     pub endpoint: id::Endpoint,
@@ -180,7 +180,7 @@
     }
 
     /// An endpoint leaves: it is not chosen again until it left the list.
-    pub fn leaving(&mut self, id: &id::Endpoint) {
+    pub fn mark_leaving(&mut self, id: &id::Endpoint) {
         if let Some(node) = self.table.get_mut(id) {
             node.leaving = true;
         }
@@ -192,7 +192,7 @@
     }
 
     /// An endpoint failed: it is chosen before `until` only if no other serves.
-    pub fn suspect(&mut self, id: &id::Endpoint, until: Time) {
+    pub fn mark_suspect(&mut self, id: &id::Endpoint, until: Time) {
         if let Some(node) = self.table.get_mut(id) {
             node.suspect = until;
         }
@@ -216,7 +216,7 @@
     }
 
     /// A request goes to an endpoint.
-    pub fn began(&mut self, now: Time, endpoint: &id::Endpoint, query: &Query<'_>) -> Run {
+    pub fn record_start(&mut self, now: Time, endpoint: &id::Endpoint, query: &Query<'_>) -> Run {
         let mut run = Run {
             endpoint: endpoint.clone(),
             held: Held::default(),
@@ -240,7 +240,7 @@
 
     /// The first token arrived; `cached` is what the endpoint says that it
     /// read from its cache, which corrects what was believed.
-    pub fn first(&mut self, now: Time, run: &mut Run, cached: Option<Tokens>) {
+    pub fn record_first_token(&mut self, now: Time, run: &mut Run, cached: Option<Tokens>) {
         let prefill = std::mem::take(&mut run.prefill);
         let Some(node) = self.table.get_mut(&run.endpoint) else {
             return;
@@ -252,7 +252,7 @@
     }
 
     /// A request ended at its endpoint, in whatever way.
-    pub fn ended(&mut self, now: Time, run: Run) {
+    pub fn record_end(&mut self, now: Time, run: Run) {
         if let Some(node) = self.table.get_mut(&run.endpoint) {
             node.load.read(now, run.prefill, &self.settings.load);
             node.load.ended(now, &self.settings.load);
@@ -263,7 +263,7 @@
     }
 
     /// An endpoint reported its load.
-    pub fn report(&mut self, now: Time, endpoint: &id::Endpoint, report: &Report) {
+    pub fn record_report(&mut self, now: Time, endpoint: &id::Endpoint, report: &Report) {
         let Some(node) = self.table.get_mut(endpoint) else {
             return;
         };
@@ -274,7 +274,7 @@
     }
 
     /// An endpoint's cache events arrived. Returns how many were lost.
-    pub fn cache_events(&mut self, endpoint: &id::Endpoint, events: &[Event]) -> u64 {
+    pub fn record_cache_events(&mut self, endpoint: &id::Endpoint, events: &[Event]) -> u64 {
         let Some(node) = self.table.get_mut(endpoint) else {
             return 0;
         };
@@ -295,7 +295,7 @@
 
     /// Beliefs that the cache index holds.
     #[must_use]
-    pub fn beliefs(&self) -> usize {
+    pub fn index_entries(&self) -> usize {
         self.index.len()
     }
 
--- a/coltsfoothall/tests/choice.rs
+++ b/coltsfoothall/tests/choice.rs
@@ -72,16 +72,16 @@
     let pick = router
         .choose(now, &want.query())
         .expect("an endpoint may serve");
-    router.began(now, &pick.endpoint, &want.query())
+    router.record_start(now, &pick.endpoint, &want.query())
 }
 
 #[test]
 fn prefix_stays() {
     let mut router = router(18, Settings::default());
     let mut first = send(&mut router, at(0), &want(0..40));
-    router.first(at(100), &mut first, Some(Tokens(0)));
+    router.record_first_token(at(100), &mut first, Some(Tokens(0)));
     let endpoint = first.endpoint.clone();
-    router.ended(at(200), first);
+    router.record_end(at(200), first);
     let pick = router.choose(at(300), &want(0..44).query()).unwrap();
     assert_eq!(pick.endpoint, endpoint);
     assert_eq!(pick.cached, Tokens(40 * 256));
@@ -122,24 +122,24 @@
 fn leaving_never() {
     let mut router = router(2, Settings::default());
     let name: id::Endpoint = "e0000".parse().unwrap();
-    router.leaving(&name);
+    router.mark_leaving(&name);
     let again = (0..2).map(|n| endpoint("reader", &format!("e{n:04}"), "smichov"));
     router.set_endpoints(again.collect());
     for n in 0..50 {
         let run = send(&mut router, at(n), &want(n..n + 3));
         assert_eq!(run.endpoint.as_str(), "e0001");
     }
-    router.leaving(&"e0001".parse().unwrap());
+    router.mark_leaving(&"e0001".parse().unwrap());
     assert!(router.choose(at(60), &want(0..3).query()).is_none());
 }
 
 #[test]
 fn suspect_last() {
     let mut router = router(2, Settings::default());
-    router.suspect(&"e0000".parse().unwrap(), at(1_000));
+    router.mark_suspect(&"e0000".parse().unwrap(), at(1_000));
     let pick = router.choose(at(0), &want(0..3).query()).unwrap();
     assert_eq!(pick.endpoint.as_str(), "e0001");
-    router.leaving(&"e0001".parse().unwrap());
+    router.mark_leaving(&"e0001".parse().unwrap());
     let pick = router.choose(at(0), &want(0..3).query()).unwrap();
     assert_eq!(pick.endpoint.as_str(), "e0000");
 }
@@ -163,9 +163,9 @@
     let next = send(&mut router, at(2), &want(0..3));
     assert_eq!(next.endpoint, beside.endpoint);
     assert!(router.choose(at(3), &exclusive.query()).is_none());
-    router.ended(at(4), run);
-    router.ended(at(4), beside);
-    router.ended(at(4), next);
+    router.record_end(at(4), run);
+    router.record_end(at(4), beside);
+    router.record_end(at(4), next);
     assert!(router.choose(at(5), &exclusive.query()).is_some());
 }
 
@@ -187,7 +187,7 @@
                 running: if n == 4 { 10 } else { 14 },
                 ..Report::default()
             };
-            router.report(at(0), &format!("e{n:04}").parse().unwrap(), &busy);
+            router.record_report(at(0), &format!("e{n:04}").parse().unwrap(), &busy);
         }
     }
     let mut there = 0;
@@ -210,10 +210,10 @@
         for n in 0..12 {
             let name: id::Endpoint = format!("e{n:04}").parse().unwrap();
             if leaving[n] {
-                router.leaving(&name);
+                router.mark_leaving(&name);
             }
             if suspect[n] {
-                router.suspect(&name, at(1_000));
+                router.mark_suspect(&name, at(1_000));
             }
         }
         let good = |n: usize| !leaving[n] && !suspect[n];
@@ -226,9 +226,9 @@
             let n: usize = pick.endpoint.as_str()[1..].parse().unwrap();
             prop_assert!(!leaving[n]);
             prop_assert!(good(n) || (0..12).all(|n| !good(n)));
-            let run = router.began(at(0), &pick.endpoint, &want.query());
+            let run = router.record_start(at(0), &pick.endpoint, &want.query());
             if ends {
-                router.ended(at(0), run);
+                router.record_end(at(0), run);
             }
         }
     }
