--- a/coltsfoothall-call/src/own.rs
+++ b/coltsfoothall-call/src/own.rs
@@ -201,7 +201,7 @@
             entry.router.record_first_token(now, run, Some(cached));
         }
         if let Some(number) = open.number {
-            entry.gate.read(now, number);
+            entry.gate.record_prefill(now, number);
         }
     }
 
@@ -214,7 +214,7 @@
     fn ended(&mut self, now: Time, entry: usize, number: usize) {
         if let Some(number) = self.open[number].number.take() {
             let entry = &mut self.entries[entry];
-            entry.gate.ended(now, number);
+            entry.gate.record_end(now, number);
             entry.waiting.retain(|(have, _)| *have != number);
         }
     }
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -213,7 +213,7 @@
     pub fn first(&mut self, now: Time, attempt: u64, cached: Tokens) {
         if let Some(open) = self.attempts.get(attempt) {
             self.router.record_first_token(now, &mut open.run, Some(cached));
-            self.gate.read(now, open.number);
+            self.gate.record_prefill(now, open.number);
         }
     }
 
@@ -288,7 +288,7 @@
     /// A request is over; its place at the gate is free.
     pub fn over(&mut self, now: Time, number: Number) {
         self.claims.drop(number);
-        self.gate.ended(now, number);
+        self.gate.record_end(now, number);
         self.poll(now);
     }
 
@@ -304,7 +304,7 @@
         }
         for number in self.claims.late(now) {
             self.claims.drop(number);
-            self.gate.ended(now, number);
+            self.gate.record_end(now, number);
         }
         for outcome in self.gate.poll(now) {
             match outcome {
--- a/coltsfoothall/src/limit.rs
+++ b/coltsfoothall/src/limit.rs
@@ -195,7 +195,7 @@
     }
 
     /// A request's prompt was read, so only its open stream counts from now on.
-    pub fn read(&mut self, now: Time, number: Number) {
+    pub fn record_prefill(&mut self, now: Time, number: Number) {
         let slot = self.settings.slot;
         let Ok(place) = self.find(number) else { return };
         let entry = &mut self.entries[place];
@@ -208,7 +208,7 @@
     }
 
     /// A request ended, or its caller left while it waited.
-    pub fn ended(&mut self, now: Time, number: Number) {
+    pub fn record_end(&mut self, now: Time, number: Number) {
         let Ok(place) = self.find(number) else { return };
         let entry = self.entries.remove(place);
         self.ready.retain(|have| *have != number);
--- a/coltsfoothall/tests/limit.rs
+++ b/coltsfoothall/tests/limit.rs
@@ -106,7 +106,7 @@
         queued(gate.offer(at(0), &ticket("large", Class::Interactive, 600_000)));
     }
     let small = queued(gate.offer(at(1), &ticket("small", Class::Interactive, 600_000)));
-    gate.ended(at(2), open[0]);
+    gate.record_end(at(2), open[0]);
     assert_eq!(ready(&gate.poll(at(2))), [small]);
 }
 
@@ -119,10 +119,10 @@
     let mut short = ticket("large", Class::Interactive, 600_000);
     short.cost = Tokens(10);
     queued(gate.offer(at(1), &short));
-    gate.read(at(2), open[0]);
+    gate.record_prefill(at(2), open[0]);
     assert!(gate.poll(at(2)).is_empty(), "a short one passed a long one");
-    gate.ended(at(3), open[0]);
-    gate.ended(at(3), open[1]);
+    gate.record_end(at(3), open[0]);
+    gate.record_end(at(3), open[1]);
     assert_eq!(ready(&gate.poll(at(3)))[0], long);
 }
 
@@ -131,7 +131,7 @@
     let (mut gate, open) = full("large");
     queued(gate.offer(at(0), &ticket("large", Class::Batch, 600_000)));
     let next = queued(gate.offer(at(0), &ticket("small", Class::Interactive, 600_000)));
-    gate.ended(at(1), open[0]);
+    gate.record_end(at(1), open[0]);
     assert_eq!(ready(&gate.poll(at(1))), [next]);
 }
 
@@ -141,7 +141,7 @@
     let batch = queued(gate.offer(at(0), &ticket("large", Class::Batch, 600_000)));
     for n in 1..40 {
         queued(gate.offer(at(n), &ticket("small", Class::Interactive, 600_000)));
-        gate.ended(at(n), open.remove(0));
+        gate.record_end(at(n), open.remove(0));
         open.extend(ready(&gate.poll(at(n))));
         if open.contains(&batch) {
             return;
@@ -200,7 +200,7 @@
     assert!(admitted(gate.offer(at(0) + wait, &large)).is_some());
     let first = admitted(gate.offer(at(0), &small)).unwrap();
     assert_eq!(refused(gate.offer(at(0), &small)).cause, Cause::Overloaded);
-    gate.ended(at(1), first);
+    gate.record_end(at(1), first);
     assert!(admitted(gate.offer(at(1), &small)).is_some());
 }
 
@@ -229,10 +229,10 @@
                 },
                 2 if !open.is_empty() => {
                     let number = open.remove(pick as usize % open.len());
-                    gate.read(now, number);
-                    gate.ended(now, number);
+                    gate.record_prefill(now, number);
+                    gate.record_end(now, number);
                 }
-                3 if !waiting.is_empty() => gate.ended(now, waiting.remove(pick as usize % waiting.len())),
+                3 if !waiting.is_empty() => gate.record_end(now, waiting.remove(pick as usize % waiting.len())),
                 _ => {
                     for outcome in gate.poll(now) {
                         let (number, goes) = match outcome {
@@ -250,7 +250,7 @@
             prop_assert_eq!(gate.open(), open.len() + waiting.len());
         }
         for number in open.into_iter().chain(waiting) {
-            gate.ended(at(1 << 20), number);
+            gate.record_end(at(1 << 20), number);
         }
         prop_assert_eq!((gate.open(), gate.waiting()), (0, 0));
         prop_assert!(admitted(gate.offer(at(1 << 20), &ticket("small", Class::Batch, 1 << 21))).is_some());
