--- a/coltsfoothall-call/src/baseline.rs
+++ b/coltsfoothall-call/src/baseline.rs
@@ -118,7 +118,7 @@
             }
         };
         let node = &mut entry.nodes[place];
-        node.load.began(now, Tokens(0), settings);
+        node.load.record_start(now, Tokens(0), settings);
         self.at[call.number] = Some(node.engine);
         Some(node.engine)
     }
@@ -171,7 +171,7 @@
         if let Some(engine) = self.at[number].take()
             && let Some(node) = self.node(entry, engine)
         {
-            node.load.ended(now, &settings);
+            node.load.record_end(now, &settings);
         }
     }
 
@@ -180,7 +180,7 @@
     fn report(&mut self, now: Time, entry: usize, engine: usize, report: &Report) {
         let settings = self.settings.clone();
         if let Some(node) = self.node(entry, engine) {
-            node.load.report(now, report, &settings);
+            node.load.record_report(now, report, &settings);
         }
     }
 
--- a/coltsfoothall/src/choice.rs
+++ b/coltsfoothall/src/choice.rs
@@ -227,7 +227,7 @@
         if let Some(node) = self.table.get_mut(endpoint) {
             run.held = self.index.held(node.holder, query.blocks);
             run.prefill = query.prompt.minus(tokens(run.held.blocks));
-            node.load.began(now, run.prefill, &self.settings.load);
+            node.load.record_start(now, run.prefill, &self.settings.load);
             node.isolated += u32::from(query.isolated);
             self.index.touch(node.holder, query.blocks);
             let pool = node.pool;
@@ -245,7 +245,7 @@
         let Some(node) = self.table.get_mut(&run.endpoint) else {
             return;
         };
-        node.load.read(now, prefill, &self.settings.load);
+        node.load.record_prefill(now, prefill, &self.settings.load);
         if cached.is_some_and(|cached| cached < tokens(run.held.blocks)) {
             self.index.missed(node.holder, run.held);
         }
@@ -254,8 +254,8 @@
     /// A request ended at its endpoint, in whatever way.
     pub fn record_end(&mut self, now: Time, run: Run) {
         if let Some(node) = self.table.get_mut(&run.endpoint) {
-            node.load.read(now, run.prefill, &self.settings.load);
-            node.load.ended(now, &self.settings.load);
+            node.load.record_prefill(now, run.prefill, &self.settings.load);
+            node.load.record_end(now, &self.settings.load);
             node.isolated = node.isolated.saturating_sub(u32::from(run.isolated));
             let pool = node.pool;
             self.table.note_hold(pool, now.since(run.began));
@@ -268,7 +268,7 @@
             return;
         };
         self.index.resize(node.holder, report.capacity);
-        let others = node.load.report(now, report, &self.settings.load);
+        let others = node.load.record_report(now, report, &self.settings.load);
         let pool = node.pool;
         self.table.note_others(pool, others);
     }
--- a/coltsfoothall/src/load.rs
+++ b/coltsfoothall/src/load.rs
@@ -142,7 +142,7 @@
     }
 
     /// A request was sent, of whose prompt `prefill` is believed uncached.
-    pub fn began(&mut self, now: Time, prefill: Tokens, settings: &Settings) {
+    pub fn record_start(&mut self, now: Time, prefill: Tokens, settings: &Settings) {
         self.follow(now, settings);
         let work = Work {
             open: 1.0,
@@ -152,7 +152,7 @@
     }
 
     /// Prompt tokens of a request were read.
-    pub fn read(&mut self, now: Time, prefill: Tokens, settings: &Settings) {
+    pub fn record_prefill(&mut self, now: Time, prefill: Tokens, settings: &Settings) {
         self.follow(now, settings);
         let work = Work {
             open: 0.0,
@@ -162,7 +162,7 @@
     }
 
     /// A request ended.
-    pub fn ended(&mut self, now: Time, settings: &Settings) {
+    pub fn record_end(&mut self, now: Time, settings: &Settings) {
         self.follow(now, settings);
         let work = Work {
             open: 1.0,
@@ -172,7 +172,7 @@
     }
 
     /// A report arrived. Returns the work of others that it shows.
-    pub fn report(&mut self, now: Time, report: &Report, settings: &Settings) -> Work {
+    pub fn record_report(&mut self, now: Time, report: &Report, settings: &Settings) -> Work {
         self.follow(now, settings);
         let all = Work {
             open: f64::from(report.running) + f64::from(report.waiting),
--- a/coltsfoothall/tests/load.rs
+++ b/coltsfoothall/tests/load.rs
@@ -32,11 +32,11 @@
 #[test]
 fn own_at_once() {
     let mut state = State::default();
-    state.began(at(0), Tokens(500), &settings());
+    state.record_start(at(0), Tokens(500), &settings());
     let work = state.estimate(at(0), &view(0.0, 5_000));
     assert_eq!((work.open, work.prefill), (1.0, 500.0));
-    state.read(at(10), Tokens(500), &settings());
-    state.ended(at(20), &settings());
+    state.record_prefill(at(10), Tokens(500), &settings());
+    state.record_end(at(20), &settings());
     assert_eq!(state.estimate(at(20), &view(0.0, 5_000)), Work::default());
 }
 
@@ -44,9 +44,9 @@
 fn own_not_twice() {
     let mut state = State::default();
     for _ in 0..10 {
-        state.began(at(0), Tokens(0), &settings());
+        state.record_start(at(0), Tokens(0), &settings());
     }
-    state.report(at(5_000), &running(14), &settings());
+    state.record_report(at(5_000), &running(14), &settings());
     let work = state.estimate(at(5_000), &view(0.0, 5_000));
     assert!((work.open - 14.0).abs() < 0.1, "{work:?}");
 }
@@ -55,9 +55,9 @@
 fn late_report() {
     let mut state = State::default();
     for _ in 0..10 {
-        state.began(at(5_000), Tokens(0), &settings());
+        state.record_start(at(5_000), Tokens(0), &settings());
     }
-    state.report(at(5_001), &running(3), &settings());
+    state.record_report(at(5_001), &running(3), &settings());
     let work = state.estimate(at(5_001), &view(0.0, 5_000));
     assert!((work.open - 13.0).abs() < 0.2, "{work:?}");
 }
@@ -65,7 +65,7 @@
 #[test]
 fn old_report() {
     let mut state = State::default();
-    state.report(at(0), &running(0), &settings());
+    state.record_report(at(0), &running(0), &settings());
     assert!(state.estimate(at(0), &view(8.0, 5_000)).open < 0.1);
     let work = state.estimate(at(60_000), &view(8.0, 5_000));
     assert!((work.open - 8.0).abs() < 0.1, "{work:?}");
@@ -74,7 +74,7 @@
 #[test]
 fn short_requests() {
     let mut state = State::default();
-    state.report(at(0), &running(30), &settings());
+    state.record_report(at(0), &running(30), &settings());
     let work = state.estimate(at(50), &view(2.0, 5));
     assert!((work.open - 2.0).abs() < 0.1, "{work:?}");
 }
