--- a/coltsfoothall-call/src/own.rs
+++ b/coltsfoothall-call/src/own.rs
@@ -121,8 +121,8 @@
 
     fn set_room(&mut self, now: Time, at: usize) {
         let entry = &mut self.entries[at];
-        let room = entry.router.room(now, &self.service);
-        entry.gate.set_room(&self.service, room);
+        let budget = entry.router.budget(now, &self.service);
+        entry.gate.set_budget(&self.service, budget);
     }
 }
 
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -383,8 +383,8 @@
 
     fn update_room(&mut self, now: Time, service: &id::Service) {
         self.retries.note(service);
-        let room = self.router.room(now, service);
-        self.gate.set_room(service, room);
+        let budget = self.router.budget(now, service);
+        self.gate.set_budget(service, budget);
     }
 }
 
--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -344,7 +344,7 @@
         );
     }
     measure(&format!("endpoints={count} room"), |round| {
-        black_box(router.room(at(3000 + round as u64), &service));
+        black_box(router.budget(at(3000 + round as u64), &service));
     });
 }
 
--- a/coltsfoothall/src/choice.rs
+++ b/coltsfoothall/src/choice.rs
@@ -20,7 +20,7 @@
 use crate::pool::{Node, Table};
 use crate::prefix::Block;
 use crate::record::Class;
-use crate::room;
+use crate::budget;
 use crate::size::{Millis, Price, Tokens};
 use crate::weight::{Risk, Weights};
 
@@ -289,8 +289,8 @@
     /// Work that this instance may have open at a service: what is left by
     /// others, and never less than an equal share.
     #[must_use]
-    pub fn room(&self, now: Time, service: &id::Service) -> Tokens {
-        room::of(now, service, &self.table, &self.settings)
+    pub fn budget(&self, now: Time, service: &id::Service) -> Tokens {
+        budget::of(now, service, &self.table, &self.settings)
     }
 
     /// Beliefs that the cache index holds.
--- a/coltsfoothall/src/limit.rs
+++ b/coltsfoothall/src/limit.rs
@@ -174,8 +174,8 @@
     }
 
     /// Sets the work that may be open at a service, as the router has it.
-    pub fn set_room(&mut self, service: &id::Service, room: Tokens) {
-        self.queue(service).room = room.0;
+    pub fn set_budget(&mut self, service: &id::Service, budget: Tokens) {
+        self.queue(service).budget = budget.0;
     }
 
     /// A request arrives.
@@ -274,7 +274,7 @@
         let queue = self.queue(&ticket.service);
         let wait = queue.wait(&ticket.workspace, ticket.class);
         let mine = queue.waits_of(&ticket.workspace);
-        if queue.room == 0 {
+        if queue.budget == 0 {
             return refuse(Cause::NoEndpoint, settings.longest.duration() / 8);
         }
         if waiting >= settings.queue || mine >= settings.each || now + wait > ticket.deadline {
--- a/coltsfoothall/src/queue.rs
+++ b/coltsfoothall/src/queue.rs
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub(crate) struct Queue {
     pub(crate) service: id::Service,
-    pub(crate) room: u64,
+    pub(crate) budget: u64,
     flows: Vec<Flow>,
     used: u64,
     batch_used: u64,
@@ -81,7 +81,7 @@
     pub(crate) fn new(service: id::Service) -> Self {
         Self {
             service,
-            room: 0,
+            budget: 0,
             flows: Vec::new(),
             used: 0,
             batch_used: 0,
@@ -238,7 +238,7 @@
 
     /// Work served a second, as measured or guessed from the room.
     fn speed(&self) -> f64 {
-        let guess = self.room as f64 / FIRST_GUESS.as_secs_f64();
+        let guess = self.budget as f64 / FIRST_GUESS.as_secs_f64();
         // Never so slow that all who would wait are refused: then none waits,
         // and that the service works again would not be seen.
         let rate = self.meter.rate().unwrap_or(guess);
@@ -282,14 +282,14 @@
 
     /// Whether a request is within its workspace's and its class's part.
     fn may(&self, flow: &Flow, shares: u64, class: Class, cost: u64, settings: &Settings) -> bool {
-        let cost = cost.min(self.room / LARGEST);
-        let free = self.room.saturating_sub(self.used);
-        let own = self.room * flow.share / shares.max(1);
+        let cost = cost.min(self.budget / LARGEST);
+        let free = self.budget.saturating_sub(self.used);
+        let own = self.budget * flow.share / shares.max(1);
         let spare = free.saturating_mul(u64::from(settings.greed)) / 100;
         // Who uses little on average may go over once, as for a long prompt.
         let burst = flow.mean <= own as f64 / 2.0 && flow.used <= own;
         let fair = burst || flow.used + cost <= own.max(spare);
-        let most = self.room * u64::from(settings.batch_room) / 100;
+        let most = self.budget * u64::from(settings.batch_room) / 100;
         let class_fits =
             class == Class::Interactive || self.batch_used == 0 || self.batch_used + cost <= most;
         fair && class_fits
@@ -298,8 +298,8 @@
     /// Whether there is room for a request. One is never too large for an idle
     /// service.
     fn fits(&self, cost: u64) -> bool {
-        let free = self.room.saturating_sub(self.used);
-        self.room > 0 && cost.min(self.room / LARGEST) <= free
+        let free = self.budget.saturating_sub(self.used);
+        self.budget > 0 && cost.min(self.budget / LARGEST) <= free
     }
 
     fn start(&mut self, class: Class, at: usize, settings: &Settings) -> Start {
@@ -313,7 +313,7 @@
         *clock = tag;
         flow.tags[class_index(class)] = tag + cost * TAG / flow.share;
         flow.behind[class_index(class)] -= cost;
-        let held = cost.min(self.room / LARGEST);
+        let held = cost.min(self.budget / LARGEST);
         flow.used += held;
         self.used += held;
         self.waits -= 1;
--- a/coltsfoothall/tests/limit.rs
+++ b/coltsfoothall/tests/limit.rs
@@ -40,7 +40,7 @@
 fn gate(room: u64) -> Gate {
     let mut gate = Gate::new(Settings::default());
     gate.set_workspaces(&workspaces());
-    gate.set_room(&"reader".parse().expect("a valid name"), Tokens(room));
+    gate.set_budget(&"reader".parse().expect("a valid name"), Tokens(room));
     gate
 }
 
@@ -81,7 +81,7 @@
         ..Settings::default()
     });
     gate.set_workspaces(&workspaces());
-    gate.set_room(&"reader".parse().expect("a valid name"), Tokens(4_000));
+    gate.set_budget(&"reader".parse().expect("a valid name"), Tokens(4_000));
     let fill = ticket(workspace, Class::Interactive, 600_000);
     let open = (0..4).filter_map(|_| admitted(gate.offer(at(0), &fill)));
     let open: Vec<Number> = open.collect();
