--- a/coltsfoothall/src/choice.rs
+++ b/coltsfoothall/src/choice.rs
@@ -15,7 +15,7 @@
 use crate::candidate::{Candidate, add, class_weight, tokens};
 use crate::clock::Time;
 use crate::id;
-use crate::index::{self, Event, Held, Holder, Index, Match};
+use crate::index::{self, Event, Estimate, CacheId, Index, Match};
 use crate::load::{self, Report, Work};
 use crate::pool::{Node, Table};
 use crate::prefix::Block;
@@ -137,7 +137,7 @@
     /// The endpoint.
     pub endpoint: id::Endpoint,
     /// What was believed cached of the prompt.
-    held: Held,
+    held: Estimate,
     /// Prompt tokens not yet known to be read.
     prefill: Tokens,
     began: Time,
@@ -219,17 +219,17 @@
     pub fn record_start(&mut self, now: Time, endpoint: &id::Endpoint, query: &Query<'_>) -> Run {
         let mut run = Run {
             endpoint: endpoint.clone(),
-            held: Held::default(),
+            held: Estimate::default(),
             prefill: Tokens(0),
             began: now,
             isolated: query.isolated,
         };
         if let Some(node) = self.table.get_mut(endpoint) {
-            run.held = self.index.held(node.holder, query.blocks);
+            run.held = self.index.estimate(node.holder, query.blocks);
             run.prefill = query.prompt.minus(tokens(run.held.blocks));
             node.load.record_start(now, run.prefill, &self.settings.load);
             node.isolated += u32::from(query.isolated);
-            self.index.touch(node.holder, query.blocks);
+            self.index.record_use(node.holder, query.blocks);
             let pool = node.pool;
             let slot = self.settings.step.0 as f64 * 1e3 / f64::from(self.settings.slots.max(1));
             let work = run.prefill.0 as f64 * self.settings.read + query.max_tokens.0 as f64 * slot;
@@ -247,7 +247,7 @@
         };
         node.load.record_prefill(now, prefill, &self.settings.load);
         if cached.is_some_and(|cached| cached < tokens(run.held.blocks)) {
-            self.index.missed(node.holder, run.held);
+            self.index.record_miss(node.holder, run.held);
         }
     }
 
@@ -278,7 +278,7 @@
         let Some(node) = self.table.get_mut(endpoint) else {
             return 0;
         };
-        let (holder, lost) = self.index.events(node.holder, events);
+        let (holder, lost) = self.index.record_events(node.holder, events);
         if holder != node.holder {
             node.holder = holder;
             self.table.seat();
@@ -312,14 +312,14 @@
         let fits = |node: &Node| node.serves(query) && (suspects || node.suspect <= now);
         let members = self.table.range(query.service);
         self.found.clear();
-        let usable = |holder: Holder| {
+        let usable = |holder: CacheId| {
             let node = self.table.holder(holder);
             node.is_some_and(|node| members.contains(&node) && fits(self.table.at(node)))
         };
         let limit = self.settings.holders;
-        self.index.best(query.blocks, limit, &usable, &mut self.found);
+        self.index.find_best(query.blocks, limit, &usable, &mut self.found);
         for found in &self.found {
-            if let Some(node) = self.table.holder(found.holder) {
+            if let Some(node) = self.table.holder(found.cache) {
                 let blocks = found.blocks;
                 self.candidates.push(Candidate {
                     node,
--- a/coltsfoothall/src/index.rs
+++ b/coltsfoothall/src/index.rs
@@ -19,7 +19,7 @@
 /// A cache of an endpoint, from its start or from when it was last cleared.
 /// Numbers are never used again, so beliefs about a lost cache need no search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Holder(u32);
+pub struct CacheId(u32);
 
 /// What happened to a block of a cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -63,18 +63,18 @@
     }
 }
 
-/// That a holder has a block.
+/// That a cache has a block.
 #[derive(Debug, Clone, Copy)]
 struct Belief {
     block: Block,
-    holder: Holder,
-    /// Blocks that the holder had stored when this one was last used.
+    cache: CacheId,
+    /// Blocks that the cache had stored when this one was last used.
     stamp: u64,
 }
 
 #[derive(Debug)]
 struct Cache {
-    holder: Holder,
+    cache: CacheId,
     /// Blocks stored so far, which is the cache's clock.
     stored: u64,
     /// Blocks that it has room for.
@@ -85,20 +85,20 @@
     floor: u64,
 }
 
-/// What a holder is believed to have of a prompt.
+/// What a cache is believed to have of a prompt.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct Estimate {
     /// Leading blocks.
     pub blocks: usize,
     /// When the last of them was used, by the cache's own clock.
     stamp: u64,
 }
 
-/// A holder and how much of a prompt it is believed to have.
+/// A cache and how much of a prompt it is believed to have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Match {
-    /// The holder.
-    pub holder: Holder,
+    /// The cache.
+    pub cache: CacheId,
     /// Leading blocks that it has.
     pub blocks: usize,
 }
@@ -126,29 +126,29 @@
     }
 
     /// Adds an empty cache.
-    pub fn join(&mut self) -> Holder {
-        let holder = Holder(self.next);
+    pub fn add_cache(&mut self) -> CacheId {
+        let cache = CacheId(self.next);
         self.next += 1;
         self.caches.push(Cache {
-            holder,
+            cache,
             stored: 0,
             capacity: blocks_in(self.settings.capacity),
             seq: 0,
             floor: 0,
         });
-        holder
+        cache
     }
 
     /// Forgets a cache.
-    pub fn leave(&mut self, holder: Holder) {
-        if let Ok(at) = self.find(holder) {
+    pub fn remove_cache(&mut self, cache: CacheId) {
+        if let Ok(at) = self.find(cache) {
             self.caches.remove(at);
         }
     }
 
     /// Notes the size that a cache reports.
-    pub fn resize(&mut self, holder: Holder, capacity: Tokens) {
-        if let Ok(at) = self.find(holder)
+    pub fn resize(&mut self, cache: CacheId, capacity: Tokens) {
+        if let Ok(at) = self.find(cache)
             && capacity.0 > 0
         {
             self.caches[at].capacity = blocks_in(capacity);
@@ -156,8 +156,8 @@
     }
 
     /// Notes that a cache uses these blocks and stores those that it lacks.
-    pub fn touch(&mut self, holder: Holder, blocks: &[Block]) {
-        let Ok(at) = self.find(holder) else { return };
+    pub fn record_use(&mut self, cache: CacheId, blocks: &[Block]) {
+        let Ok(at) = self.find(cache) else { return };
         for block in blocks {
             self.store(at, *block);
         }
@@ -166,8 +166,8 @@
     /// Notes that a cache had lost what was believed. A cache evicts what was
     /// used longest ago, so older beliefs fall with it. A young belief says
     /// nothing about older ones: its blocks may still have been on their way in.
-    pub fn missed(&mut self, holder: Holder, held: Held) {
-        let Ok(at) = self.find(holder) else { return };
+    pub fn record_miss(&mut self, cache: CacheId, held: Estimate) {
+        let Ok(at) = self.find(cache) else { return };
         let cache = &mut self.caches[at];
         // A stamp from before the cache was cleared says nothing of it.
         let age = cache.stored.checked_sub(held.stamp);
@@ -176,33 +176,33 @@
         }
     }
 
-    /// Takes in cache events. Returns the holder to use from now on, which is
+    /// Takes in cache events. Returns the cache to use from now on, which is
     /// a new one if the cache was cleared, and the number of lost events.
-    pub fn events(&mut self, holder: Holder, events: &[Event]) -> (Holder, u64) {
-        let mut holder = holder;
+    pub fn record_events(&mut self, cache: CacheId, events: &[Event]) -> (CacheId, u64) {
+        let mut cache = cache;
         let mut lost = 0;
         for event in events {
-            let Ok(at) = self.find(holder) else { break };
+            let Ok(at) = self.find(cache) else { break };
             if event.seq <= self.caches[at].seq {
                 continue;
             }
             lost += self.gap(at, event.seq);
             match event.change {
                 Change::Stored(block) => self.store(at, block),
-                Change::Evicted(block) => self.evict(holder, block),
-                Change::Cleared => holder = self.renew(at),
+                Change::Evicted(block) => self.evict(cache, block),
+                Change::Cleared => cache = self.renew(at),
             }
         }
-        (holder, lost)
+        (cache, lost)
     }
 
     /// Collects the holders with the most leading blocks, at most `limit`,
     /// best first, those that `usable` refuses left out.
-    pub fn best(
+    pub fn find_best(
         &self,
         blocks: &[Block],
         limit: usize,
-        usable: &dyn Fn(Holder) -> bool,
+        usable: &dyn Fn(CacheId) -> bool,
         found: &mut Vec<Match>,
     ) {
         for (depth, block) in blocks.iter().enumerate().rev() {
@@ -210,10 +210,10 @@
                 if found.len() >= limit {
                     return;
                 }
-                let known = found.iter().any(|have| have.holder == belief.holder);
-                if !known && self.holds(belief) && usable(belief.holder) {
+                let known = found.iter().any(|have| have.cache == belief.cache);
+                if !known && self.holds(belief) && usable(belief.cache) {
                     found.push(Match {
-                        holder: belief.holder,
+                        cache: belief.cache,
                         blocks: depth + 1,
                     });
                 }
@@ -221,19 +221,19 @@
         }
     }
 
-    /// What a holder is believed to have of a prompt.
+    /// What a cache is believed to have of a prompt.
     #[must_use]
-    pub fn held(&self, holder: Holder, blocks: &[Block]) -> Held {
+    pub fn estimate(&self, cache: CacheId, blocks: &[Block]) -> Estimate {
         for (depth, block) in blocks.iter().enumerate().rev() {
-            let own = |belief: &&Belief| belief.holder == holder && self.holds(belief);
+            let own = |belief: &&Belief| belief.cache == cache && self.holds(belief);
             if let Some(belief) = self.run(*block).iter().find(own) {
-                return Held {
+                return Estimate {
                     blocks: depth + 1,
                     stamp: belief.stamp,
                 };
             }
         }
-        Held::default()
+        Estimate::default()
     }
 
     /// Beliefs in memory.
@@ -248,15 +248,15 @@
         self.buckets.iter().all(Vec::is_empty)
     }
 
-    fn find(&self, holder: Holder) -> Result<usize, usize> {
+    fn find(&self, cache: CacheId) -> Result<usize, usize> {
         self.caches
-            .binary_search_by_key(&holder, |cache| cache.holder)
+            .binary_search_by_key(&cache, |cache| cache.cache)
     }
 
     /// Whether the belief still stands: the cache lives and has not stored so
     /// much since that the block must have been evicted.
     fn holds(&self, belief: &Belief) -> bool {
-        match self.find(belief.holder) {
+        match self.find(belief.cache) {
             Ok(at) => self.caches[at].keeps(belief.stamp),
             Err(_) => false,
         }
@@ -275,11 +275,11 @@
     }
 
     fn store(&mut self, at: usize, block: Block) {
-        let holder = self.caches[at].holder;
+        let cache = self.caches[at].cache;
         let number = self.bucket(block);
-        let key = (block, holder);
+        let key = (block, cache);
         let place =
-            self.buckets[number].binary_search_by_key(&key, |have| (have.block, have.holder));
+            self.buckets[number].binary_search_by_key(&key, |have| (have.block, have.cache));
         match place {
             Ok(place) => {
                 let belief = &mut self.buckets[number][place];
@@ -293,7 +293,7 @@
                 let stamp = self.caches[at].stored;
                 let belief = Belief {
                     block,
-                    holder,
+                    cache,
                     stamp,
                 };
                 self.buckets[number].insert(place, belief);
@@ -302,11 +302,11 @@
         }
     }
 
-    fn evict(&mut self, holder: Holder, block: Block) {
+    fn evict(&mut self, cache: CacheId, block: Block) {
         let number = self.bucket(block);
-        let key = (block, holder);
+        let key = (block, cache);
         let bucket = &mut self.buckets[number];
-        if let Ok(place) = bucket.binary_search_by_key(&key, |have| (have.block, have.holder)) {
+        if let Ok(place) = bucket.binary_search_by_key(&key, |have| (have.block, have.cache)) {
             bucket.remove(place);
         }
     }
@@ -329,7 +329,7 @@
     }
 
     fn age(&self, belief: &Belief) -> u64 {
-        match self.find(belief.holder) {
+        match self.find(belief.cache) {
             Ok(at) => self.caches[at].stored - belief.stamp,
             Err(_) => u64::MAX,
         }
@@ -350,17 +350,17 @@
     }
 
     /// Replaces a cleared cache by an empty one with the same bounds.
-    fn renew(&mut self, at: usize) -> Holder {
+    fn renew(&mut self, at: usize) -> CacheId {
         let old = self.caches.remove(at);
-        let holder = Holder(self.next);
+        let cache = CacheId(self.next);
         self.next += 1;
         self.caches.push(Cache {
-            holder,
+            cache,
             stored: 0,
             floor: 0,
             ..old
         });
-        holder
+        cache
     }
 }
 
--- a/coltsfoothall/src/pool.rs
+++ b/coltsfoothall/src/pool.rs
@@ -10,7 +10,7 @@
 use crate::choice::{Query, Endpoint};
 use crate::clock::Time;
 use crate::id;
-use crate::index::{Holder, Index};
+use crate::index::{CacheId, Index};
 use crate::load::{self, View, Work};
 use crate::prefix::Block;
 use crate::record::Class;
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) endpoint: Endpoint,
-    pub(crate) holder: Holder,
+    pub(crate) holder: CacheId,
     pub(crate) load: load::State,
     pub(crate) leaving: bool,
     /// Avoided before this time.
@@ -74,7 +74,7 @@
 /// Which node a holder is.
 #[derive(Debug, Clone, Copy)]
 struct Seat {
-    holder: Holder,
+    holder: CacheId,
     node: usize,
 }
 
@@ -107,7 +107,7 @@
             self.nodes.push(node);
         }
         for node in &old {
-            index.leave(node.holder);
+            index.remove_cache(node.holder);
         }
         self.arrange();
     }
@@ -115,7 +115,7 @@
     pub(crate) fn remove(&mut self, id: &id::Endpoint, index: &mut Index) {
         if let Some(place) = self.place(id) {
             let node = self.nodes.remove(place);
-            index.leave(node.holder);
+            index.remove_cache(node.holder);
             self.arrange();
         }
     }
@@ -139,7 +139,7 @@
     }
 
     /// The node that a holder is.
-    pub(crate) fn holder(&self, holder: Holder) -> Option<usize> {
+    pub(crate) fn holder(&self, holder: CacheId) -> Option<usize> {
         let place = self.seats.binary_search_by_key(&holder, |seat| seat.holder);
         place.ok().map(|place| self.seats[place].node)
     }
@@ -285,7 +285,7 @@
 
 fn fresh(endpoint: Endpoint, index: &mut Index) -> Node {
     Node {
-        holder: index.join(),
+        holder: index.add_cache(),
         load: load::State::default(),
         leaving: false,
         suspect: Time::START,
