--- a/coltsfoothall-entry/benches/message.rs
+++ b/coltsfoothall-entry/benches/message.rs
@@ -240,7 +240,7 @@
         }),
         table: Arc::clone(slots),
         peers: peers.collect(),
-        watches: table.watches(),
+        watches: table.is_watcher(),
         ..View::default()
     })
 }
--- a/coltsfoothall-entry/src/members.rs
+++ b/coltsfoothall-entry/src/members.rs
@@ -140,7 +140,7 @@
     /// This instance's heartbeat as an answer to `sender`.
     #[must_use]
     pub fn answer(&self, sender: Option<&Digest>) -> Heartbeat {
-        let former = sender.and_then(|sender| self.table.former(sender));
+        let former = sender.and_then(|sender| self.table.newer_incarnation(sender));
         Heartbeat {
             digests: vec![self.table.me().clone()],
             deaths: former.into_iter().collect(),
@@ -238,7 +238,7 @@
     /// Whether this instance watches the key-value service for its failure domain.
     #[must_use]
     pub fn watches(&self) -> bool {
-        self.table.watches()
+        self.table.is_watcher()
     }
 
     /// Others that can be reached, sorted by name.
@@ -273,7 +273,7 @@
         let own = self.table.me();
         let others = self.table.live().map(|member| {
             let revision = Revision(member.digest.revision);
-            row(&member.digest, revision, now.since(member.heard))
+            row(&member.digest, revision, now.since(member.last_seen))
         });
         let mut members: Vec<Member> = others.collect();
         members.push(row(own, revision, Duration::ZERO));
--- a/coltsfoothall/src/digest.rs
+++ b/coltsfoothall/src/digest.rs
@@ -6,14 +6,14 @@
 use crate::size::{Bytes, Millis};
 
 /// Estimate of a digest on the wire, with its share of the frame.
-pub const DIGEST: Bytes = Bytes(110);
+pub const DIGEST_SIZE: Bytes = Bytes(110);
 
 /// Estimate of a death on the wire.
-pub const DEATH: Bytes = Bytes(30);
+pub const DEATH_SIZE: Bytes = Bytes(30);
 
 /// Estimate of a heartbeat on the wire without digests: frame, call and
 /// answer.
-pub const HEARTBEAT: Bytes = Bytes(160);
+pub const HEARTBEAT_SIZE: Bytes = Bytes(160);
 
 /// What an instance says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -77,8 +77,8 @@
     /// Estimate of the message's size.
     #[must_use]
     pub fn size(&self) -> Bytes {
-        let digests = DIGEST.0 * self.digests.len() as u64;
-        Bytes(HEARTBEAT.0 + digests + DEATH.0 * self.deaths.len() as u64)
+        let digests = DIGEST_SIZE.0 * self.digests.len() as u64;
+        Bytes(HEARTBEAT_SIZE.0 + digests + DEATH_SIZE.0 * self.deaths.len() as u64)
     }
 }
 
--- a/coltsfoothall/src/member.rs
+++ b/coltsfoothall/src/member.rs
@@ -19,7 +19,7 @@
 use crate::slot::Candidate;
 use crate::stall::{Verdict, Watch};
 
-pub use crate::digest::{Address, Addresses, DEATH, DIGEST, Death, Digest, HEARTBEAT, Heartbeat};
+pub use crate::digest::{Address, Addresses, DEATH_SIZE, DIGEST_SIZE, Death, Digest, HEARTBEAT_SIZE, Heartbeat};
 
 /// Members that judge one's silence: one may die together with it.
 const JUDGES: usize = 2;
@@ -41,14 +41,14 @@
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Next members in the ring that get a heartbeat each tick, beside those
-    /// in `turns`. Bytes grow with it, not with the fleet. One more than judge,
+    /// in `random_fanout`. Bytes grow with it, not with the fleet. One more than judge,
     /// as views of the ring differ for a moment.
     pub fanout: usize,
     /// Others that get one each tick, drawn anew each time, so that news reach
     /// the whole fleet in a few ticks.
-    pub turns: usize,
+    pub random_fanout: usize,
     /// Digests of others, and deaths, in a heartbeat, for the same reason.
-    pub news: usize,
+    pub max_updates: usize,
     /// Time between heartbeats.
     pub tick: Duration,
     /// Members of each failure domain that read and watch the platform's keys,
@@ -60,20 +60,20 @@
     pub suspect: Duration,
     /// How long a removed member's last version is kept, so that no late news
     /// brings it back.
-    pub forget: Duration,
+    pub retention: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             fanout: 3,
-            turns: 2,
-            news: 8,
+            random_fanout: 2,
+            max_updates: 8,
             tick: Duration::from_millis(1000),
             watchers: 1,
             ttl: Millis(2000),
             suspect: Duration::from_millis(2500),
-            forget: Duration::from_secs(60),
+            retention: Duration::from_secs(60),
         }
     }
 }
@@ -84,7 +84,7 @@
     /// What it last said.
     pub digest: Digest,
     /// When that became known here.
-    pub heard: Time,
+    pub last_seen: Time,
     /// Since when it counts as dead.
     pub dead: Option<Time>,
     /// How often its news were passed on.
@@ -213,7 +213,7 @@
     /// Judges members that were not heard in time. Call once a control tick,
     /// after the watch's own tick.
     pub fn expire(&mut self, now: Time, watch: &Watch) -> Vec<Event> {
-        let forget = self.settings.forget;
+        let forget = self.settings.retention;
         let gone = |dead: Time| now.since(dead) >= forget;
         self.members.retain(|member| !member.dead.is_some_and(gone));
         self.judge(now);
@@ -222,7 +222,7 @@
         for member in self.members.iter_mut().filter(|m| m.dead.is_none()) {
             let Some(since) = member.judged else { continue };
             let instance = member.digest.instance.clone();
-            match watch.judge(now, member.heard.max(since), tracked) {
+            match watch.judge(now, member.last_seen.max(since), tracked) {
                 Verdict::Dead => {
                     member.dead = Some(now);
                     member.told = 0;
@@ -274,7 +274,7 @@
         let ring = self.ring();
         let next = self.settings.fanout.min(ring.len());
         let (next, others) = ring.split_at(next);
-        let turns = (0..self.settings.turns.min(others.len())).filter_map(|_| {
+        let turns = (0..self.settings.random_fanout.min(others.len())).filter_map(|_| {
             self.round = self.round.wrapping_add(1);
             let turn = xxh3_64_with_seed(self.me.instance.as_str().as_bytes(), self.round);
             let turn = usize::try_from(turn % others.len().max(1) as u64).ok()?;
@@ -294,15 +294,15 @@
         let suspect = self.settings.suspect;
         order.retain(|at| {
             let member = &self.members[*at];
-            let fresh = member.dead.is_none() && now.since(member.heard) < suspect;
+            let fresh = member.dead.is_none() && now.since(member.last_seen) < suspect;
             fresh || member.told < most
         });
         order.sort_by_key(|at| {
             let member = &self.members[*at];
             let urgent = member.told < most && (member.dead.is_some() || member.digest.leaving);
-            (!urgent, member.told.min(most), Reverse(member.heard))
+            (!urgent, member.told.min(most), Reverse(member.last_seen))
         });
-        order.truncate(self.settings.news);
+        order.truncate(self.settings.max_updates);
         let (mut digests, mut deaths) = (Vec::new(), Vec::new());
         for at in order {
             let member = &mut self.members[at];
@@ -334,7 +334,7 @@
     /// Later news of the sender than its own digest: a former process of its
     /// name. It is told, since its digests would be passed over otherwise.
     #[must_use]
-    pub fn former(&self, sender: &Digest) -> Option<Death> {
+    pub fn newer_incarnation(&self, sender: &Digest) -> Option<Death> {
         let member = &self.members[self.find(&sender.instance).ok()?];
         let later = member.digest.incarnation > sender.incarnation;
         later.then(|| Death {
@@ -359,7 +359,7 @@
     pub fn addresses(&self, now: Time) -> Addresses {
         let suspect = self.settings.suspect;
         let heard = |member: &&Member| {
-            let since = member.judged.map(|since| member.heard.max(since));
+            let since = member.judged.map(|since| member.last_seen.max(since));
             since.is_none_or(|since| now.since(since) < suspect)
         };
         let mut fit: Vec<_> = self.live().filter(heard).map(|m| &m.digest).collect();
@@ -388,7 +388,7 @@
     /// first few of each failure domain by name, so that it is agreed without
     /// a message. Alone it always is.
     #[must_use]
-    pub fn watches(&self) -> bool {
+    pub fn is_watcher(&self) -> bool {
         let near = |digest: &&Digest| digest.domain == self.me.domain && !digest.leaving;
         let before = |digest: &&Digest| digest.instance < self.me.instance;
         self.digests().filter(near).filter(before).count() < self.settings.watchers
@@ -410,7 +410,7 @@
     fn new(now: Time, digest: Digest) -> Self {
         Self {
             digest,
-            heard: now,
+            last_seen: now,
             dead: None,
             told: 0,
             judged: None,
