--- a/coltsfoothall-entry/src/order.rs
+++ b/coltsfoothall-entry/src/order.rs
@@ -123,7 +123,7 @@
             return;
         };
         let engines: Vec<Engine> = seen.iter().map(|seen| seen.engine.clone()).collect();
-        let orders = self.rollout.step(duty.node.now(), &wanted, &engines);
+        let orders = self.rollout.tick(duty.node.now(), &wanted, &engines);
         duty.surge
             .store(self.rollout.progress().surge, Ordering::Relaxed);
         self.check(duty);
--- a/coltsfoothall/benches/fleet.rs
+++ b/coltsfoothall/benches/fleet.rs
@@ -106,7 +106,7 @@
     let mut rollout = Rollout::new(Settings::default());
     measure("rollout step, 2,700 engines", |round| {
         let now = Time::since_start(Duration::from_secs(round));
-        black_box(rollout.step(now, &wanted, &engines));
+        black_box(rollout.tick(now, &wanted, &engines));
     });
 }
 
--- a/coltsfoothall/src/rollout.rs
+++ b/coltsfoothall/src/rollout.rs
@@ -137,7 +137,7 @@
     }
 
     /// The orders to send now. `engines` is sorted by endpoint.
-    pub fn step(&mut self, now: Time, wanted: &Wanted, engines: &[Engine]) -> Vec<Order> {
+    pub fn tick(&mut self, now: Time, wanted: &Wanted, engines: &[Engine]) -> Vec<Order> {
         self.follow(now, wanted, engines);
         self.keep_serving(wanted, engines);
         self.begin_loads(now, wanted, engines);
--- a/coltsfoothall/tests/order.rs
+++ b/coltsfoothall/tests/order.rs
@@ -147,7 +147,7 @@
         for _second in 0..seconds {
             self.pass();
             let now = Time::since_start(Duration::from_secs(self.second));
-            for order in rollout.step(now, wanted, &self.engines) {
+            for order in rollout.tick(now, wanted, &self.engines) {
                 if !self.rng.random_bool(lost) {
                     self.obey(order);
                 }
