--- a/coltsfoothall-entry/src/start.rs
+++ b/coltsfoothall-entry/src/start.rs
@@ -131,9 +131,9 @@
     fn new(duty: &Duty, fence: Fence) -> Self {
         let settings = &duty.node.settings.stewards;
         let limits = start::Settings {
-            at_once: settings.at_once,
-            per_minute: settings.per_minute,
-            lag: settings.lag.duration(),
+            max_pending: settings.at_once,
+            max_per_minute: settings.per_minute,
+            max_lag: settings.lag.duration(),
             backoff: settings.backoff.duration(),
             ..start::Settings::default()
         };
--- a/coltsfoothall/src/start.rs
+++ b/coltsfoothall/src/start.rs
@@ -26,28 +26,28 @@
 pub use crate::instances::{Machine, Phase};
 pub use crate::pending::Token;
 
-/// Span of [`Settings::per_minute`], and time from one telling to stop to the next.
+/// Span of [`Settings::max_per_minute`], and time from one telling to stop to the next.
 const MINUTE: Duration = Duration::from_secs(60);
 
 /// Limits of starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
     /// Most starts without an answer; it stops a storm on the cloud's API.
-    pub at_once: usize,
+    pub max_pending: usize,
     /// Most starts in a minute; it stops a wrong list from buying a second fleet.
-    pub per_minute: usize,
+    pub max_per_minute: usize,
     /// Longest lag of the instance list, the flight of a start included.
-    pub lag: Duration,
+    pub max_lag: Duration,
     /// Time that an instance must be absent from the list to be believed gone.
-    pub absent: Duration,
+    pub absence_timeout: Duration,
     /// The same where more than a quarter is absent at once.
-    pub outage: Duration,
+    pub outage_timeout: Duration,
     /// First backoff of a kind after a refusal.
     pub backoff: Duration,
     /// Time from one asking to the next while an answer is lost.
-    pub repeat: Duration,
+    pub retry_interval: Duration,
     /// Time that a start may take; a later one is stopped and replaced.
-    pub slow: Duration,
+    pub start_timeout: Duration,
     /// Seed of the jitter.
     pub seed: u64,
 }
@@ -55,14 +55,14 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            at_once: 32,
-            per_minute: 240,
-            lag: Duration::from_secs(15),
-            absent: Duration::from_secs(30),
-            outage: Duration::from_secs(300),
+            max_pending: 32,
+            max_per_minute: 240,
+            max_lag: Duration::from_secs(15),
+            absence_timeout: Duration::from_secs(30),
+            outage_timeout: Duration::from_secs(300),
             backoff: Duration::from_secs(10),
-            repeat: Duration::from_secs(5),
-            slow: Duration::from_secs(600),
+            retry_interval: Duration::from_secs(5),
+            start_timeout: Duration::from_secs(600),
             seed: 0,
         }
     }
@@ -153,7 +153,7 @@
     pub fn new(now: Time, settings: Settings, service: id::Service, fence: Fence) -> Self {
         Self {
             settings,
-            first_start_at: now + settings.lag,
+            first_start_at: now + settings.max_lag,
             listed: false,
             wanted: Wanted::default(),
             set: instances::Set::default(),
@@ -194,7 +194,7 @@
 
     fn tick(&mut self, now: Time) -> Vec<Action> {
         self.set
-            .forget(now, self.settings.absent, self.settings.outage);
+            .forget(now, self.settings.absence_timeout, self.settings.outage_timeout);
         let mut actions = self.repeat(now);
         let mut tally = self.set.tally(self.pending.kinds());
         if self.listed {
@@ -225,7 +225,7 @@
     }
 
     fn repeat(&mut self, now: Time) -> Vec<Action> {
-        let late = self.pending.late(now, self.settings.repeat);
+        let late = self.pending.late(now, self.settings.retry_interval);
         self.progress.repeats += late.len() as u64;
         let again = |(token, kind)| Action::Start { token, kind };
         late.into_iter().map(again).collect()
@@ -233,8 +233,8 @@
 
     fn start(&mut self, now: Time, tally: &mut Tally, actions: &mut Vec<Action>) {
         self.started.retain(|at| now < *at + MINUTE);
-        let rest = self.settings.per_minute.saturating_sub(self.started.len());
-        let idle = self.settings.at_once.saturating_sub(self.pending.len());
+        let rest = self.settings.max_per_minute.saturating_sub(self.started.len());
+        let idle = self.settings.max_pending.saturating_sub(self.pending.len());
         for _start in 0..rest.min(idle) {
             let Some(kind) = self.next_kind(now, tally) else {
                 return;
@@ -305,7 +305,7 @@
 
     /// Gives up on starts that take too long.
     fn stop_slow(&mut self, now: Time) {
-        let slow = self.settings.slow;
+        let slow = self.settings.start_timeout;
         let starting = |known: &&mut Known| known.machine.phase == Phase::Starting;
         for known in self.set.known.iter_mut().filter(starting) {
             if known.since + slow <= now {
@@ -316,7 +316,7 @@
 
     /// Stops what is held beyond the plan once the rest carries the plan's load.
     fn stop_surplus(&mut self, now: Time, tally: &mut Tally) {
-        for _stop in 0..self.settings.at_once {
+        for _stop in 0..self.settings.max_pending {
             let live = self.load_of(tally, |row| row.live);
             let spare = live.saturating_sub(self.wanted_load());
             let Some(at) = self.surplus(tally, spare) else {
--- a/coltsfoothall/tests/start.rs
+++ b/coltsfoothall/tests/start.rs
@@ -278,7 +278,7 @@
 #[test]
 fn lag_needed() {
     let settings = Settings {
-        lag: Duration::ZERO,
+        max_lag: Duration::ZERO,
         ..Settings::default()
     };
     let doubles = |seed: &u64| {
@@ -367,8 +367,8 @@
 #[test]
 fn starts_bounded() {
     let settings = Settings {
-        at_once: 5,
-        per_minute: 20,
+        max_pending: 5,
+        max_per_minute: 20,
         ..Settings::default()
     };
     let mut steward = Queue::new(
