--- a/coltsfoothall-entry/src/order.rs
+++ b/coltsfoothall-entry/src/order.rs
@@ -89,7 +89,7 @@
     let share = share::Settings {
         rate: settings.weight_rate,
         services,
-        at_once: settings.loads,
+        max_loads: settings.loads,
     };
     let settle = settings.settle.duration();
     let settings = rollout::Settings {
--- a/coltsfoothall/src/rollout.rs
+++ b/coltsfoothall/src/rollout.rs
@@ -236,8 +236,8 @@
 
     fn deadline(&self, now: Time, size: Bytes) -> Time {
         let share = self.settings.share;
-        let at_once = u32::try_from(share.at_once.max(1)).unwrap_or(u32::MAX);
-        now + share.span(size) * at_once + self.settings.slack
+        let max_loads = u32::try_from(share.max_loads.max(1)).unwrap_or(u32::MAX);
+        now + share.load_time(size) * max_loads + self.settings.slack
     }
 
     /// Takes engines back from draining where the load needs them after all.
@@ -279,7 +279,7 @@
             .map(|engine| (engine.urgency(wanted), engine))
             .collect();
         ready.sort_by_key(|(urgency, _engine)| *urgency);
-        let limit = self.settings.share.at_once;
+        let limit = self.settings.share.max_loads;
         let mut room = limit.saturating_sub(self.loads());
         for (_urgency, engine) in ready {
             if room == 0 || !self.bucket.is_free(now) {
@@ -324,7 +324,7 @@
         let mut room = self
             .settings
             .share
-            .at_once
+            .max_loads
             .saturating_sub(under_way)
             .min(spare);
         let mut old: Vec<&Engine> = engines
--- a/coltsfoothall/src/share.rs
+++ b/coltsfoothall/src/share.rs
@@ -13,7 +13,7 @@
     /// Services that share the rate, each with its own steward and an equal part.
     pub services: u64,
     /// Most loads of one service at once; it stops loads from slowing each other into timeouts.
-    pub at_once: usize,
+    pub max_loads: usize,
 }
 
 impl Default for Settings {
@@ -21,7 +21,7 @@
         Self {
             rate: Bytes(2_000_000_000),
             services: 1,
-            at_once: 4,
+            max_loads: 4,
         }
     }
 }
@@ -29,7 +29,7 @@
 impl Settings {
     /// Bytes a second of one service; 0 means no limit.
     #[must_use]
-    pub fn part(&self) -> u64 {
+    pub fn rate_per_service(&self) -> u64 {
         match self.rate.0 {
             0 => 0,
             rate => (rate / self.services.max(1)).max(1),
@@ -38,8 +38,8 @@
 
     /// Time that a load takes at one service's part of the rate.
     #[must_use]
-    pub fn span(&self, bytes: Bytes) -> Duration {
-        match self.part() {
+    pub fn load_time(&self, bytes: Bytes) -> Duration {
+        match self.rate_per_service() {
             0 => Duration::ZERO,
             part => micros(bytes, part),
         }
@@ -84,6 +84,6 @@
 
     /// Charges for a load that begins now.
     pub fn charge(&mut self, now: Time, bytes: Bytes) {
-        self.paid_at = self.paid_at.max(now) + self.settings.span(bytes);
+        self.paid_at = self.paid_at.max(now) + self.settings.load_time(bytes);
     }
 }
--- a/coltsfoothall/tests/order.rs
+++ b/coltsfoothall/tests/order.rs
@@ -34,7 +34,7 @@
     let share = share::Settings {
         rate: Bytes(2 * GIGA),
         services: 1,
-        at_once: 3,
+        max_loads: 3,
     };
     Settings {
         share,
