--- a/coltsfoothall-standin/tests/engine.rs
+++ b/coltsfoothall-standin/tests/engine.rs
@@ -346,7 +346,7 @@
 async fn blocks_travel() {
     let first = Engine::start("e1", quick()).await;
     let second = Engine::start("e2", quick()).await;
-    let prompt = "x".repeat(3 * prefix::BLOCK_LEN);
+    let prompt = "x".repeat(3 * prefix::BLOCK_BYTES);
     let request = generate(1, &prompt, 2);
     first.hear(&request).await;
     let events: Events = first.get("/v1/cache/events?after=0").await;
@@ -380,7 +380,7 @@
     };
     let engine = Engine::start("e1", settings).await;
     engine
-        .hear(&generate(1, &"y".repeat(40 * prefix::BLOCK_LEN), 1))
+        .hear(&generate(1, &"y".repeat(40 * prefix::BLOCK_BYTES), 1))
         .await;
     let events: Events = engine.get("/v1/cache/events").await;
     assert_eq!(events.newest, 40);
--- a/coltsfoothall/src/prefix.rs
+++ b/coltsfoothall/src/prefix.rs
@@ -7,11 +7,11 @@
 use crate::size::Tokens;
 
 /// Bytes of prompt in one block.
-pub const BLOCK_LEN: usize = 1024;
+pub const BLOCK_BYTES: usize = 1024;
 /// Bytes that count as one token of a prompt, before an engine says better.
-pub const TOKEN_LEN: usize = 4;
+pub const BYTES_PER_TOKEN: usize = 4;
 /// Tokens in one block.
-pub const BLOCK_TOKENS: Tokens = Tokens((BLOCK_LEN / TOKEN_LEN) as u64);
+pub const BLOCK_TOKENS: Tokens = Tokens((BLOCK_BYTES / BYTES_PER_TOKEN) as u64);
 
 /// Hash of a block and of all blocks before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
 #[must_use]
 pub fn blocks(seed: u64, prompt: &str) -> Vec<Block> {
     let mut hash = seed;
-    let whole = prompt.as_bytes().chunks_exact(BLOCK_LEN);
+    let whole = prompt.as_bytes().chunks_exact(BLOCK_BYTES);
     whole
         .map(|block| {
             hash = xxh3_64_with_seed(block, hash);
@@ -45,5 +45,5 @@
 /// Tokens that a prompt counts as, at least one.
 #[must_use]
 pub fn tokens(prompt: &str) -> Tokens {
-    Tokens(prompt.len().div_ceil(TOKEN_LEN).max(1) as u64)
+    Tokens(prompt.len().div_ceil(BYTES_PER_TOKEN).max(1) as u64)
 }
--- a/coltsfoothall/src/print.rs
+++ b/coltsfoothall/src/print.rs
@@ -75,7 +75,7 @@
 fn head(prompt: &[u8]) -> &[u8] {
     let len = match prompt.len() {
         0 => 0,
-        len => (1 << len.ilog2()).min(prefix::BLOCK_LEN),
+        len => (1 << len.ilog2()).min(prefix::BLOCK_BYTES),
     };
     &prompt[..len]
 }
