--- a/coltsfoothall/src/catalog.rs
+++ b/coltsfoothall/src/catalog.rs
@@ -19,12 +19,12 @@
 }
 
 /// Accepted plans that a catalog remembers; it bounds what history adds to the stored value.
-pub const HISTORY: usize = 64;
+pub const MAX_HISTORY: usize = 64;
 
 /// An accepted plan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Past {
+pub struct AcceptedPlan {
     /// The plan.
     pub plan: id::Plan,
     /// The revision that it made.
@@ -39,8 +39,8 @@
     pub revision: Revision,
     /// The plan that wrote it; a lost answer is settled by reading this.
     pub plan: Option<id::Plan>,
-    /// Plans accepted last, oldest first, at most [`HISTORY`].
-    pub history: Vec<Past>,
+    /// Plans accepted last, oldest first, at most [`MAX_HISTORY`].
+    pub history: Vec<AcceptedPlan>,
     /// Services.
     pub services: Vec<Service>,
     /// Workspaces.
@@ -60,24 +60,24 @@
         if self.plan.as_ref() == Some(plan) {
             return Some(self.revision);
         }
-        let past = self.history.iter().find(|past| past.plan == *plan);
-        past.map(|past| past.revision)
+        let accepted = self.history.iter().find(|accepted| accepted.plan == *plan);
+        accepted.map(|accepted| accepted.revision)
     }
 
     /// Whether the plan that made this revision is still remembered.
     #[must_use]
-    pub fn remembers(&self, revision: Revision) -> bool {
-        self.revision == revision || self.history.iter().any(|past| past.revision == revision)
+    pub fn has_revision(&self, revision: Revision) -> bool {
+        self.revision == revision || self.history.iter().any(|accepted| accepted.revision == revision)
     }
 
     /// Makes this the next revision, written by `plan`.
     pub fn advance(&mut self, plan: id::Plan) {
         self.revision = Revision(self.revision.0 + 1);
-        self.history.push(Past {
+        self.history.push(AcceptedPlan {
             plan: plan.clone(),
             revision: self.revision,
         });
-        let old = self.history.len().saturating_sub(HISTORY);
+        let old = self.history.len().saturating_sub(MAX_HISTORY);
         self.history.drain(..old);
         self.plan = Some(plan);
     }
--- a/coltsfoothall/src/confirm.rs
+++ b/coltsfoothall/src/confirm.rs
@@ -206,7 +206,7 @@
             return None;
         }
         let next = Revision(self.plan.base.0.saturating_add(1));
-        if !current.remembers(next) {
+        if !current.has_revision(next) {
             let current = current.revision;
             return Some(Verdict::Expired { current });
         }
--- a/coltsfoothall/tests/confirm.rs
+++ b/coltsfoothall/tests/confirm.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use coltsfoothall::catalog::{Catalog, HISTORY, Revision};
+use coltsfoothall::catalog::{Catalog, MAX_HISTORY, Revision};
 use coltsfoothall::confirm::{Action, Attempt, Event, MAX_SWAPS, Verdict};
 use coltsfoothall::plan::Plan;
 use rand::{Rng, SeedableRng};
@@ -218,7 +218,7 @@
 fn too_old() {
     let mut store = Store::default();
     let old = plan(&Catalog::default(), "old", 1);
-    for number in 0..=HISTORY {
+    for number in 0..=MAX_HISTORY {
         let next = plan(&store.newest(), &format!("p{number}"), 1);
         settle(&mut store, &mut attempt(&next));
     }
--- a/coltsfoothall/tests/plan.rs
+++ b/coltsfoothall/tests/plan.rs
@@ -1,6 +1,6 @@
 //! Intents, the rules of a catalog, and plans with their effects.
 
-use coltsfoothall::catalog::{Catalog, HISTORY, Revision};
+use coltsfoothall::catalog::{Catalog, MAX_HISTORY, Revision};
 use coltsfoothall::intent::{Error, Intent};
 use coltsfoothall::object::Kind;
 use coltsfoothall::plan::{Plan, Verb, difference};
@@ -222,7 +222,7 @@
     for number in 0..100 {
         catalog.advance(format!("p{number}").parse().unwrap());
     }
-    assert_eq!(catalog.history.len(), HISTORY);
+    assert_eq!(catalog.history.len(), MAX_HISTORY);
     assert_eq!(
         catalog.accepted(&"p99".parse().unwrap()),
         Some(Revision(100))
@@ -232,7 +232,7 @@
         Some(Revision(37))
     );
     assert_eq!(catalog.accepted(&"p35".parse().unwrap()), None);
-    assert!(catalog.remembers(Revision(37)) && !catalog.remembers(Revision(36)));
+    assert!(catalog.has_revision(Revision(37)) && !catalog.has_revision(Revision(36)));
 }
 
 #[test]
