--- a/coltsfoothall/src/effect.rs
+++ b/coltsfoothall/src/effect.rs
@@ -8,7 +8,7 @@
 
 /// The configurations before and after.
 #[derive(Debug, Clone, Copy)]
-pub struct Scene<'a> {
+pub struct Change<'a> {
     /// Before.
     pub from: &'a Catalog,
     /// After.
@@ -17,12 +17,12 @@
 
 /// Effects of a change of one model.
 #[must_use]
-pub fn model(scene: Scene<'_>, old: Option<&Model>, new: Option<&Model>) -> Vec<String> {
+pub fn model(change: Change<'_>, old: Option<&Model>, new: Option<&Model>) -> Vec<String> {
     let Some(new) = new else {
         return vec!["it can be named by no service afterwards".into()];
     };
     let mut lines = Vec::new();
-    for service in services_of(scene.to, &new.name) {
+    for service in services_of(change.to, &new.name) {
         lines.push(load(service, "model", &new.name, new.version));
     }
     if lines.is_empty() {
@@ -40,12 +40,12 @@
 
 /// Effects of a change of one adapter.
 #[must_use]
-pub fn adapter(scene: Scene<'_>, old: Option<&Adapter>, new: Option<&Adapter>) -> Vec<String> {
+pub fn adapter(change: Change<'_>, old: Option<&Adapter>, new: Option<&Adapter>) -> Vec<String> {
     let Some(new) = new else {
         return vec!["requests for it are refused with not_found afterwards".into()];
     };
     let mut lines = Vec::new();
-    for service in services_of(scene.to, &new.model) {
+    for service in services_of(change.to, &new.model) {
         if adapters(&service.kind).contains(&new.name) {
             lines.push(load(service, "adapter", &new.name, new.version));
         }
@@ -66,25 +66,25 @@
 
 /// Effects of a change of one service.
 #[must_use]
-pub fn service(scene: Scene<'_>, old: Option<&Service>, new: Option<&Service>) -> Vec<String> {
+pub fn service(change: Change<'_>, old: Option<&Service>, new: Option<&Service>) -> Vec<String> {
     let mut lines = Vec::new();
     match (old, new) {
         (None, None) => {}
         (Some(old), None) => {
-            lost(scene, old, &mut lines);
+            lost(change, old, &mut lines);
             lines.push(format!(
                 "endpoints of service {} get no new work; what runs there is finished",
                 old.name
             ));
         }
         (None, Some(new)) => {
-            gained(scene, new, &mut lines);
+            gained(change, new, &mut lines);
             lines.push(format!("{} endpoints are held", range(new)));
         }
         (Some(old), Some(new)) => {
             if old.kind != new.kind {
-                lost(scene, old, &mut lines);
-                gained(scene, new, &mut lines);
+                lost(change, old, &mut lines);
+                gained(change, new, &mut lines);
             }
             if (old.min, old.max) != (new.min, new.max) {
                 field(&mut lines, "endpoints held", &range(old), &range(new));
@@ -185,16 +185,16 @@
 }
 
 /// What a service did that nothing does afterwards.
-fn lost(scene: Scene<'_>, old: &Service, lines: &mut Vec<String>) {
+fn lost(change: Change<'_>, old: &Service, lines: &mut Vec<String>) {
     match &old.kind {
         Kind::Model { model, adapters } => {
-            if services_of(scene.to, model).next().is_none() {
+            if services_of(change.to, model).next().is_none() {
                 lines.push(format!(
                     "requests for model {model} are refused with not_found afterwards"
                 ));
             }
             for adapter in adapters {
-                if !offered(scene.to, adapter) {
+                if !offered(change.to, adapter) {
                     lines.push(format!(
                         "requests for adapter {adapter} are refused with not_found afterwards"
                     ));
@@ -202,7 +202,7 @@
             }
         }
         Kind::Plain { non_idempotent } => {
-            let after = object::find(&scene.to.services, old.name.as_str());
+            let after = object::find(&change.to.services, old.name.as_str());
             let Some(Kind::Plain {
                 non_idempotent: kept,
             }) = after.map(|service| &service.kind)
@@ -226,18 +226,18 @@
 }
 
 /// What a service does afterwards.
-fn gained(scene: Scene<'_>, new: &Service, lines: &mut Vec<String>) {
+fn gained(change: Change<'_>, new: &Service, lines: &mut Vec<String>) {
     match &new.kind {
         Kind::Model { model, adapters } => {
             lines.push(format!(
                 "requests for model {model} go to service {}",
                 new.name
             ));
-            if let Some(found) = object::find(&scene.to.models, model.as_str()) {
+            if let Some(found) = object::find(&change.to.models, model.as_str()) {
                 lines.push(load(new, "model", model, found.version));
             }
             for adapter in adapters {
-                if let Some(found) = object::find(&scene.to.adapters, adapter.as_str()) {
+                if let Some(found) = object::find(&change.to.adapters, adapter.as_str()) {
                     lines.push(load(new, "adapter", adapter, found.version));
                 }
             }
--- a/coltsfoothall/src/plan.rs
+++ b/coltsfoothall/src/plan.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::{Catalog, Revision};
-use crate::effect::{self, Scene};
+use crate::effect::{self, Change};
 use crate::id;
 use crate::intent::{Error, Intent};
 use crate::object::{self, Kind, Named};
@@ -107,16 +107,16 @@
 /// Steps that lead from one configuration to another, with their effects.
 #[must_use]
 pub fn difference(from: &Catalog, to: &Catalog) -> Vec<Step> {
-    let scene = Scene { from, to };
+    let change = Change { from, to };
     let mut steps = Vec::new();
     compare(&from.models, &to.models, &mut steps, |old, new| {
-        effect::model(scene, old, new)
+        effect::model(change, old, new)
     });
     compare(&from.adapters, &to.adapters, &mut steps, |old, new| {
-        effect::adapter(scene, old, new)
+        effect::adapter(change, old, new)
     });
     compare(&from.services, &to.services, &mut steps, |old, new| {
-        effect::service(scene, old, new)
+        effect::service(change, old, new)
     });
     compare(
         &from.placements,
