--- a/coltsfoothall-entry/src/start.rs
+++ b/coltsfoothall-entry/src/start.rs
@@ -11,7 +11,7 @@
 
 use coltsfoothall::catalog::{Placement, Service};
 use coltsfoothall::clock::Time;
-use coltsfoothall::fleet::{self, Kind, Demand, Offer, Speed};
+use coltsfoothall::fleet::{self, Kind, Demand, Offer, Capacity};
 use coltsfoothall::id;
 use coltsfoothall::start::{self, Action, Input, Queue, Token, Wanted};
 use coltsfoothall::steward::Fence;
@@ -226,14 +226,14 @@
         let mut classes: Vec<&id::Class> = market.offers.iter().map(|o| &o.kind.class).collect();
         classes.sort_unstable();
         classes.dedup();
-        let speed = |class: &id::Class| Speed {
+        let capacity = |class: &id::Class| Capacity {
             class: class.clone(),
             load: settings.carries(class),
         };
-        let speeds: Vec<Speed> = classes.into_iter().map(speed).collect();
+        let capacities: Vec<Capacity> = classes.into_iter().map(capacity).collect();
         let demand = Demand {
             load,
-            speeds: speeds.clone(),
+            capacities: capacities.clone(),
             min: service.min,
             max: service.max,
             ..Demand::default()
@@ -247,7 +247,7 @@
         let wanted = Wanted {
             allocations: plan.allocations,
             offers: allowed(market, &placement),
-            speeds,
+            capacities,
         };
         self.queue.handle(duty.node.now(), Input::Wanted(wanted));
         self.has_wanted = true;
--- a/coltsfoothall/benches/fleet.rs
+++ b/coltsfoothall/benches/fleet.rs
@@ -5,7 +5,7 @@
 
 use coltsfoothall::catalog::Placement;
 use coltsfoothall::clock::Time;
-use coltsfoothall::fleet::{Kind, Demand, Lend, Offer, Plan, Speed, plan};
+use coltsfoothall::fleet::{Kind, Demand, Lend, Offer, Plan, Capacity, plan};
 use coltsfoothall::order::{Engine, Loaded, Role, Wanted, Weights};
 use coltsfoothall::rollout::{Rollout, Settings};
 use coltsfoothall::size::{Bytes, Price};
@@ -55,14 +55,14 @@
 }
 
 fn plans(name: &str, offers: &[Offer], load: u64) -> (Demand, Plan) {
-    let speed = |(class, load): (usize, u64)| Speed {
+    let capacity = |(class, load): (usize, u64)| Capacity {
         class: format!("class-{class}").parse().expect("a name"),
         load,
     };
-    let speeds = [4, 7, 15].into_iter().enumerate().map(speed).collect();
+    let capacities = [4, 7, 15].into_iter().enumerate().map(capacity).collect();
     let demand = Demand {
         load,
-        speeds,
+        capacities,
         ..Demand::default()
     };
     let placement = Placement {
@@ -126,7 +126,7 @@
     let wanted = start::Wanted {
         allocations: plan.allocations,
         offers,
-        speeds: demand.speeds,
+        capacities: demand.capacities,
     };
     queue.handle(Time::START, Input::Wanted(wanted));
     let name = format!("list and tick of starts, {} instances", machines.len());
--- a/coltsfoothall/src/fleet.rs
+++ b/coltsfoothall/src/fleet.rs
@@ -53,7 +53,7 @@
 
 /// Load that one instance of a class carries at the latency target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Speed {
+pub struct Capacity {
     /// Machine class.
     pub class: id::Class,
     /// Load, in the demand's unit; 0 means that the class can't serve.
@@ -76,7 +76,7 @@
     /// Load to carry after the loss of any one domain, in a unit of the caller's.
     pub load: u64,
     /// What the classes carry, sorted by class.
-    pub speeds: Vec<Speed>,
+    pub capacities: Vec<Capacity>,
     /// What goes with a domain.
     pub loss: Loss,
     /// Fewest instances.
@@ -360,16 +360,16 @@
     domains: &[&id::Domain],
 ) -> Option<Item> {
     let kind = &offer.kind;
-    let speed = demand.speeds.iter().find(|s| s.class == kind.class)?;
+    let capacity = demand.capacities.iter().find(|s| s.class == kind.class)?;
     let domain = domains.binary_search(&&kind.domain).ok()?;
     let in_domain = placement.domains.is_empty() || placement.domains.contains(&kind.domain);
     let in_class = placement.classes.is_empty() || placement.classes.contains(&kind.class);
     let in_price = placement.price.0 == 0 || offer.price <= placement.price;
-    let allowed = in_domain && in_class && in_price && speed.load > 0;
+    let allowed = in_domain && in_class && in_price && capacity.load > 0;
     allowed.then(|| Item {
         offer: offer.clone(),
         domain,
-        load: speed.load,
+        load: capacity.load,
         price: offer.price.0,
         exposed: demand.loss == Loss::All || kind.lend == Lend::Reclaimable,
     })
--- a/coltsfoothall/src/start.rs
+++ b/coltsfoothall/src/start.rs
@@ -16,7 +16,7 @@
 
 use crate::backoff;
 use crate::clock::Time;
-use crate::fleet::{Kind, Allocation, Offer, Speed};
+use crate::fleet::{Kind, Allocation, Offer, Capacity};
 use crate::instances::{self, Known, Tally};
 use crate::id;
 use crate::size::Price;
@@ -76,7 +76,7 @@
     /// All that can be had, for substitutes.
     pub offers: Vec<Offer>,
     /// What the classes carry, sorted by class.
-    pub speeds: Vec<Speed>,
+    pub capacities: Vec<Capacity>,
 }
 
 /// What the queue hears.
@@ -282,12 +282,12 @@
     }
 
     fn load(&self, kind: &Kind) -> u64 {
-        let speed = self
+        let capacity = self
             .wanted
-            .speeds
+            .capacities
             .iter()
-            .find(|speed| speed.class == kind.class);
-        speed.map_or(0, |speed| speed.load)
+            .find(|capacity| capacity.class == kind.class);
+        capacity.map_or(0, |capacity| capacity.load)
     }
 
     fn wanted_load(&self) -> u64 {
--- a/coltsfoothall/tests/fleet.rs
+++ b/coltsfoothall/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Cheapest sets against brute force and against plain rules.
 
 use coltsfoothall::catalog::Placement;
-use coltsfoothall::fleet::{Kind, Demand, Lend, Loss, Offer, Plan, Speed, plan};
+use coltsfoothall::fleet::{Kind, Demand, Lend, Loss, Offer, Plan, Capacity, plan};
 use coltsfoothall::size::Price;
 use proptest::prelude::*;
 
@@ -18,12 +18,12 @@
     }
 }
 
-fn speeds(loads: &[u64]) -> Vec<Speed> {
-    let speed = |(n, load): (usize, &u64)| Speed {
+fn capacities(loads: &[u64]) -> Vec<Capacity> {
+    let capacity = |(n, load): (usize, &u64)| Capacity {
         class: format!("class-{n}").parse().expect("a name"),
         load: *load,
     };
-    loads.iter().enumerate().map(speed).collect()
+    loads.iter().enumerate().map(capacity).collect()
 }
 
 fn anywhere() -> Placement {
@@ -39,12 +39,12 @@
 /// Load that is left after the worst domain, for counts in the order of the offers.
 fn carried(demand: &Demand, offers: &[Offer], counts: &[u32]) -> u64 {
     let load = |(offer, count): (&Offer, &u32)| {
-        let speed = demand
-            .speeds
+        let capacity = demand
+            .capacities
             .iter()
             .find(|s| s.class == offer.kind.class)
             .expect("the test sets it up");
-        speed.load * u64::from(*count)
+        capacity.load * u64::from(*count)
     };
     let rows = || offers.iter().zip(counts);
     let lost = |o: &Offer| demand.loss == Loss::All || o.kind.lend == Lend::Reclaimable;
@@ -118,7 +118,7 @@
         };
         let offers: Vec<Offer> = prices.iter().enumerate().map(place).collect();
         let loss = if all { Loss::All } else { Loss::Reclaimable };
-        let demand = Demand { load, speeds: speeds(&loads), loss, min, max, };
+        let demand = Demand { load, capacities: capacities(&loads), loss, min, max, };
         let placement = Placement { on_demand, ..anywhere() };
         let found = plan(&demand, &offers, &placement);
         check(&found, &demand);
@@ -148,7 +148,7 @@
 
 /// As many of the cheapest class everywhere as carry the load with one domain fewer.
 fn spread(demand: &Demand, offers: &[Offer], domains: u64) -> u64 {
-    let per = |class: &Speed| {
+    let per = |class: &Capacity| {
         let there = |o: &&Offer| o.kind.class == class.class && o.kind.lend == Lend::Reclaimable;
         let each = demand.load.div_ceil(class.load).div_ceil(domains - 1);
         offers
@@ -158,7 +158,7 @@
             .sum::<u64>()
     };
     demand
-        .speeds
+        .capacities
         .iter()
         .map(per)
         .min()
@@ -169,12 +169,12 @@
 fn lasting(demand: &Demand, offers: &[Offer]) -> u64 {
     let lasting = offers.iter().filter(|o| o.kind.lend == Lend::OnDemand);
     let all = |o: &Offer| {
-        let speed = demand
-            .speeds
+        let capacity = demand
+            .capacities
             .iter()
             .find(|s| s.class == o.kind.class)
             .expect("the test sets it up");
-        demand.load.div_ceil(speed.load) * o.price.0
+        demand.load.div_ceil(capacity.load) * o.price.0
     };
     lasting.map(all).min().expect("the test sets it up")
 }
@@ -182,12 +182,12 @@
 /// No set costs less: instances may be bought in part, the loss of a domain being at most `lost`.
 fn relaxed(demand: &Demand, offers: &[Offer], domains: usize, lost: u64) -> f64 {
     let load = |o: &Offer| {
-        let speed = demand
-            .speeds
+        let capacity = demand
+            .capacities
             .iter()
             .find(|s| s.class == o.kind.class)
             .expect("the test sets it up");
-        speed.load as f64
+        capacity.load as f64
     };
     let mut rows: Vec<&Offer> = offers.iter().collect();
     rows.sort_by(|a, b| (a.price.0 as f64 / load(a)).total_cmp(&(b.price.0 as f64 / load(b))));
@@ -214,7 +214,7 @@
     let offers = market(domains, prices);
     let demand = Demand {
         load,
-        speeds: speeds(loads),
+        capacities: capacities(loads),
         ..Demand::default()
     };
     let found = plan(&demand, &offers, &anywhere());
@@ -266,7 +266,7 @@
     let offers = market(1, &[100]);
     let demand = Demand {
         load: 3,
-        speeds: speeds(&[1]),
+        capacities: capacities(&[1]),
         loss: Loss::All,
         ..Demand::default()
     };
@@ -297,7 +297,7 @@
     };
     let demand = Demand {
         load: 6,
-        speeds: speeds(&[1, 2]),
+        capacities: capacities(&[1, 2]),
         ..Demand::default()
     };
     let found = plan(&demand, &offers, &placement);
--- a/coltsfoothall/tests/start.rs
+++ b/coltsfoothall/tests/start.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::fleet::{Kind, Allocation, Lend, Offer, Speed};
+use coltsfoothall::fleet::{Kind, Allocation, Lend, Offer, Capacity};
 use coltsfoothall::id;
 use coltsfoothall::size::Price;
 use coltsfoothall::start::{Action, Input, Machine, Phase, Queue, Settings, Wanted};
@@ -49,7 +49,7 @@
     Wanted {
         allocations,
         offers,
-        speeds: vec![Speed {
+        capacities: vec![Capacity {
             class: "gpu".parse().expect("a name"),
             load: 1,
         }],
