--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -231,7 +231,7 @@
             }
             Message::Catalog(source, catalog) => self.adopt(&source, catalog),
             Message::Held { base, reply } => {
-                let held = self.config.held().cloned().unwrap_or_default();
+                let held = self.config.current().cloned().unwrap_or_default();
                 let base = self.config.at(base).cloned();
                 let _gone = reply.send(Held { held, base });
             }
@@ -313,15 +313,15 @@
         match self.config.offer(source, catalog, now) {
             Outcome::Adopted { from, to } => {
                 event::ADOPTED.emit(format_args!("from={from} to={to} source={source:?}"));
-                if let Some(held) = self.config.held() {
+                if let Some(held) = self.config.current() {
                     self.dispatch.set_workspaces(&held.workspaces);
                     self.node.board.revision(held.revision.0);
                 }
                 self.publish();
             }
             Outcome::Same => {}
-            Outcome::Older { offered, held } => {
-                event::OLDER.emit(format_args!("offered={offered} held={held}"));
+            Outcome::Older { offered, current } => {
+                event::OLDER.emit(format_args!("offered={offered} held={current}"));
             }
             Outcome::Fork { revision } => {
                 self.node
@@ -395,7 +395,7 @@
     }
 
     fn own_config(&self) -> Option<peer::Config> {
-        let held = self.config.held()?;
+        let held = self.config.current()?;
         Some(peer::Config {
             from: self.node.settings.instance.clone(),
             age: self.config.age(self.node.now()).map(Millis::from),
--- a/coltsfoothall-entry/src/status.rs
+++ b/coltsfoothall-entry/src/status.rs
@@ -18,7 +18,7 @@
 impl Control {
     /// Publishes what traffic reads.
     pub fn publish(&self) {
-        let catalog = self.config.held().cloned().unwrap_or_default();
+        let catalog = self.config.current().cloned().unwrap_or_default();
         let tokens = tokens(&catalog);
         let places = self.census.places(&catalog);
         let view = View {
@@ -39,7 +39,7 @@
 
     /// Addresses for callers; none before there is a configuration.
     fn addresses(&self) -> Option<Addresses> {
-        self.config.held()?;
+        self.config.current()?;
         Some(self.members.addresses(self.node.now()))
     }
 
--- a/coltsfoothall/src/adoption.rs
+++ b/coltsfoothall/src/adoption.rs
@@ -50,7 +50,7 @@
         /// Its revision.
         offered: Revision,
         /// The revision that stays in force.
-        held: Revision,
+        current: Revision,
     },
     /// It has the revision in force but another plan, and was refused; the
     /// key-value service has lost an accepted write.
@@ -79,7 +79,7 @@
     /// No configuration was seen yet: not ready.
     Empty,
     /// It was current so long ago.
-    Held {
+    Confirmed {
         /// Time since the key-value service, or a peer that heard it, confirmed it.
         age: Duration,
     },
@@ -95,7 +95,7 @@
 /// The configuration in force on one instance.
 #[derive(Debug, Default)]
 pub struct Config {
-    held: Option<Arc<Catalog>>,
+    current: Option<Arc<Catalog>>,
     previous: Vec<Arc<Catalog>>,
     newest: Revision,
     confirmed: Option<Time>,
@@ -112,21 +112,21 @@
 
     /// The configuration in force; none before the first.
     #[must_use]
-    pub fn held(&self) -> Option<&Arc<Catalog>> {
-        self.held.as_ref()
+    pub fn current(&self) -> Option<&Arc<Catalog>> {
+        self.current.as_ref()
     }
 
     /// The revision in force; 0 before the first.
     #[must_use]
     pub fn revision(&self) -> Revision {
-        let held = self.held.as_ref();
-        held.map_or(Revision::default(), |held| held.revision)
+        let current = self.current.as_ref();
+        current.map_or(Revision::default(), |current| current.revision)
     }
 
     /// A configuration that is or was in force here, if it is still kept.
     #[must_use]
     pub fn at(&self, revision: Revision) -> Option<&Arc<Catalog>> {
-        let mut kept = self.previous.iter().chain(&self.held);
+        let mut kept = self.previous.iter().chain(&self.current);
         kept.find(|catalog| catalog.revision == revision)
     }
 
@@ -145,23 +145,23 @@
 
     /// Takes a value if it is newer than what is in force.
     pub fn offer(&mut self, source: &Source, offered: Arc<Catalog>, now: Time) -> Outcome {
-        let Some(held) = self.held.clone() else {
+        let Some(current) = self.current.clone() else {
             return self.adopt(source, offered, now);
         };
-        if offered.revision > held.revision {
+        if offered.revision > current.revision {
             return self.adopt(source, offered, now);
         }
-        if offered.revision < held.revision {
+        if offered.revision < current.revision {
             self.older += 1;
             return Outcome::Older {
                 offered: offered.revision,
-                held: held.revision,
+                current: current.revision,
             };
         }
-        if offered.plan != held.plan {
+        if offered.plan != current.plan {
             self.forks += 1;
             return Outcome::Fork {
-                revision: held.revision,
+                revision: current.revision,
             };
         }
         self.confirm(source, now);
@@ -171,14 +171,14 @@
     /// Weighs a revision that a peer named, for instance in a heartbeat.
     pub fn merge_revision(&mut self, source: &Source, revision: Revision, now: Time) -> Need {
         self.newest = self.newest.max(revision);
-        let held = self.revision();
-        if revision > held || self.held.is_none() && revision == held && vouched(source) {
+        let current = self.revision();
+        if revision > current || self.current.is_none() && revision == current && vouched(source) {
             return Need::Fetch;
         }
-        if revision < held {
+        if revision < current {
             return Need::Send;
         }
-        if self.held.is_some() {
+        if self.current.is_some() {
             self.confirm(source, now);
         }
         Need::None
@@ -187,7 +187,7 @@
     /// How sure this instance is of its revision.
     #[must_use]
     pub fn standing(&self, now: Time) -> Standing {
-        if self.held.is_none() {
+        if self.current.is_none() {
             return Standing::Empty;
         }
         if self.newest > self.revision() {
@@ -196,7 +196,7 @@
             };
         }
         match self.confirmed {
-            Some(at) => Standing::Held { age: now.since(at) },
+            Some(at) => Standing::Confirmed { age: now.since(at) },
             None => Standing::Unconfirmed,
         }
     }
@@ -212,7 +212,7 @@
             return Outcome::Bad(error);
         }
         let (from, to) = (self.revision(), offered.revision);
-        if let Some(old) = self.held.replace(offered) {
+        if let Some(old) = self.current.replace(offered) {
             self.previous.push(old);
         }
         let extra = self.previous.len().saturating_sub(MAX_PREVIOUS);
@@ -244,5 +244,5 @@
 /// Instances on which a revision, or a later one, is in force.
 #[must_use]
 pub fn in_force(revision: Revision, instances: &[Revision]) -> usize {
-    instances.iter().filter(|held| **held >= revision).count()
+    instances.iter().filter(|current| **current >= revision).count()
 }
--- a/coltsfoothall/tests/adoption.rs
+++ b/coltsfoothall/tests/adoption.rs
@@ -33,8 +33,8 @@
     let mut config = Config::new();
     config.offer(&Source::Store, catalog(5, "a"), at(1));
     let outcome = config.offer(&Source::Store, catalog(3, "b"), at(2));
-    let (offered, held) = (Revision(3), Revision(5));
-    assert_eq!(outcome, Outcome::Older { offered, held });
+    let (offered, current) = (Revision(3), Revision(5));
+    assert_eq!(outcome, Outcome::Older { offered, current });
     assert_eq!((config.revision(), config.older()), (Revision(5), 1));
     // A late read does not vouch for what is in force.
     assert_eq!(config.age(at(3)), Some(Duration::from_secs(2)));
@@ -81,7 +81,7 @@
         Need::None
     );
     let age = Duration::from_secs(40);
-    assert_eq!(config.standing(at(70)), Standing::Held { age });
+    assert_eq!(config.standing(at(70)), Standing::Confirmed { age });
 }
 
 #[test]
@@ -89,7 +89,7 @@
     let mut config = Config::new();
     config.offer(&Source::Store, catalog(7, "a"), at(10));
     let age = Duration::from_secs(90);
-    assert_eq!(config.standing(at(100)), Standing::Held { age });
+    assert_eq!(config.standing(at(100)), Standing::Confirmed { age });
     assert_eq!(config.merge_revision(&peer(None), Revision(6), at(100)), Need::Send);
     assert_eq!(
         config.merge_revision(&peer(Some(1)), Revision(8), at(100)),
@@ -140,7 +140,7 @@
                 let (heard, age) = (configs[from].revision(), configs[from].age(now));
                 let id = format!("e{from}").parse().unwrap();
                 let source = Source::Peer { id, age };
-                let value = configs[from].held().cloned();
+                let value = configs[from].current().cloned();
                 if configs[who].merge_revision(&source, heard, now) == Need::Fetch {
                     configs[who].offer(&source, value.unwrap(), now);
                     assert!(configs[who].revision() >= heard, "seed {seed}");
