--- a/coltsfoothall/src/start.rs
+++ b/coltsfoothall/src/start.rs
@@ -125,11 +125,11 @@
     /// Starts refused.
     pub refused: u64,
     /// Starts asked again after a lost answer.
-    pub repeats: u64,
+    pub retries: u64,
     /// Load held, instances on the way included.
-    pub held: u64,
+    pub held_load: u64,
     /// Load wanted.
-    pub wanted: u64,
+    pub wanted_load: u64,
 }
 
 /// Starts and stops of one service under one steward's fencing number.
@@ -203,8 +203,8 @@
             self.stop_surplus(now, &mut tally);
         }
         self.stops(now, &mut actions);
-        self.progress.wanted = self.wanted_load();
-        self.progress.held = self.load_of(&tally, |row| row.held);
+        self.progress.wanted_load = self.wanted_load();
+        self.progress.held_load = self.load_of(&tally, |row| row.held);
         actions
     }
 
@@ -226,7 +226,7 @@
 
     fn repeat(&mut self, now: Time) -> Vec<Action> {
         let late = self.pending.late(now, self.settings.retry_interval);
-        self.progress.repeats += late.len() as u64;
+        self.progress.retries += late.len() as u64;
         let again = |(token, kind)| Action::Start { token, kind };
         late.into_iter().map(again).collect()
     }
--- a/coltsfoothall/tests/start.rs
+++ b/coltsfoothall/tests/start.rs
@@ -227,7 +227,7 @@
             (NEEDED, NEEDED),
             "seed {seed}"
         );
-        assert!(first.progress().repeats > 0);
+        assert!(first.progress().retries > 0);
     }
 }
 
