--- a/coltsfoothall-call/src/own.rs
+++ b/coltsfoothall-call/src/own.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coltsfoothall::catalog;
-use coltsfoothall::choice::{self, Query, Endpoint, Router, Run};
+use coltsfoothall::choice::{self, Endpoint, Query, Router, Run};
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 use coltsfoothall::index::Event;
--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -182,7 +182,11 @@
             id: sender.instance.clone(),
             age: None,
         };
-        if self.config.merge_revision(&source, Revision(sender.revision), now) == Need::Fetch {
+        if self
+            .config
+            .merge_revision(&source, Revision(sender.revision), now)
+            == Need::Fetch
+        {
             fetch::config(Arc::clone(&self.node), sender.instance.clone());
         }
         if sender.slots > self.slots.version() {
@@ -227,7 +231,10 @@
                 self.dispatch.report(now, &endpoint, &report);
             }
             Message::Cache(endpoint, events) => {
-                let _lost = self.dispatch.router().record_cache_events(&endpoint, &events);
+                let _lost = self
+                    .dispatch
+                    .router()
+                    .record_cache_events(&endpoint, &events);
             }
             Message::Catalog(source, catalog) => self.adopt(&source, catalog),
             Message::Held { base, reply } => {
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -212,7 +212,8 @@
     /// The first piece of an attempt's answer came.
     pub fn first(&mut self, now: Time, attempt: u64, cached: Tokens) {
         if let Some(open) = self.attempts.get(attempt) {
-            self.router.record_first_token(now, &mut open.run, Some(cached));
+            self.router
+                .record_first_token(now, &mut open.run, Some(cached));
             self.gate.record_prefill(now, open.number);
         }
     }
--- a/coltsfoothall-entry/src/start.rs
+++ b/coltsfoothall-entry/src/start.rs
@@ -11,7 +11,7 @@
 
 use coltsfoothall::catalog::{Placement, Service};
 use coltsfoothall::clock::Time;
-use coltsfoothall::fleet::{self, Kind, Demand, Offer, Capacity};
+use coltsfoothall::fleet::{self, Capacity, Demand, Kind, Offer};
 use coltsfoothall::id;
 use coltsfoothall::start::{self, Action, Input, Queue, Token, Wanted};
 use coltsfoothall::steward::Fence;
--- a/coltsfoothall/benches/choice.rs
+++ b/coltsfoothall/benches/choice.rs
@@ -4,7 +4,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use coltsfoothall::choice::{Query, Endpoint, Router, Run, Settings};
+use coltsfoothall::choice::{Endpoint, Query, Router, Run, Settings};
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 use coltsfoothall::prefix::Block;
--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfoothall::catalog::{Catalog, Revision, Workspace};
-use coltsfoothall::choice::{Query, Endpoint, Router, Settings};
+use coltsfoothall::choice::{Endpoint, Query, Router, Settings};
 use coltsfoothall::clock::Time;
 use coltsfoothall::duty::{Sight, duties};
 use coltsfoothall::id;
--- a/coltsfoothall/benches/fleet.rs
+++ b/coltsfoothall/benches/fleet.rs
@@ -5,7 +5,7 @@
 
 use coltsfoothall::catalog::Placement;
 use coltsfoothall::clock::Time;
-use coltsfoothall::fleet::{Kind, Demand, Lend, Offer, Plan, Capacity, plan};
+use coltsfoothall::fleet::{Capacity, Demand, Kind, Lend, Offer, Plan, plan};
 use coltsfoothall::order::{Engine, Loaded, Role, Wanted, Weights};
 use coltsfoothall::rollout::{Rollout, Settings};
 use coltsfoothall::size::{Bytes, Price};
--- a/coltsfoothall/src/adoption.rs
+++ b/coltsfoothall/src/adoption.rs
@@ -244,5 +244,8 @@
 /// Instances on which a revision, or a later one, is in force.
 #[must_use]
 pub fn in_force(revision: Revision, instances: &[Revision]) -> usize {
-    instances.iter().filter(|current| **current >= revision).count()
+    instances
+        .iter()
+        .filter(|current| **current >= revision)
+        .count()
 }
--- a/coltsfoothall/src/catalog.rs
+++ b/coltsfoothall/src/catalog.rs
@@ -67,7 +67,11 @@
     /// Whether the plan that made this revision is still remembered.
     #[must_use]
     pub fn has_revision(&self, revision: Revision) -> bool {
-        self.revision == revision || self.history.iter().any(|accepted| accepted.revision == revision)
+        self.revision == revision
+            || self
+                .history
+                .iter()
+                .any(|accepted| accepted.revision == revision)
     }
 
     /// Makes this the next revision, written by `plan`.
--- a/coltsfoothall/src/choice.rs
+++ b/coltsfoothall/src/choice.rs
@@ -12,15 +12,15 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
+use crate::budget;
 use crate::candidate::{Candidate, add, class_weight, tokens};
 use crate::clock::Time;
 use crate::id;
-use crate::index::{self, Event, Estimate, CacheId, Index, Match};
+use crate::index::{self, CacheId, Estimate, Event, Index, Match};
 use crate::load::{self, Report, Work};
 use crate::pool::{Node, Table};
 use crate::prefix::Block;
 use crate::record::Class;
-use crate::budget;
 use crate::size::{Millis, Price, Tokens};
 use crate::weight::{Risk, Weights};
 
@@ -227,7 +227,8 @@
         if let Some(node) = self.table.get_mut(endpoint) {
             run.held = self.index.estimate(node.holder, query.blocks);
             run.prefill = query.prompt.minus(tokens(run.held.blocks));
-            node.load.record_start(now, run.prefill, &self.settings.load);
+            node.load
+                .record_start(now, run.prefill, &self.settings.load);
             node.isolated += u32::from(query.isolated);
             self.index.record_use(node.holder, query.blocks);
             let pool = node.pool;
@@ -254,7 +255,8 @@
     /// A request ended at its endpoint, in whatever way.
     pub fn record_end(&mut self, now: Time, run: Run) {
         if let Some(node) = self.table.get_mut(&run.endpoint) {
-            node.load.record_prefill(now, run.prefill, &self.settings.load);
+            node.load
+                .record_prefill(now, run.prefill, &self.settings.load);
             node.load.record_end(now, &self.settings.load);
             node.isolated = node.isolated.saturating_sub(u32::from(run.isolated));
             let pool = node.pool;
@@ -317,7 +319,8 @@
             node.is_some_and(|node| members.contains(&node) && fits(self.table.at(node)))
         };
         let limit = self.settings.holders;
-        self.index.find_best(query.blocks, limit, &usable, &mut self.found);
+        self.index
+            .find_best(query.blocks, limit, &usable, &mut self.found);
         for found in &self.found {
             if let Some(node) = self.table.holder(found.cache) {
                 let blocks = found.blocks;
--- a/coltsfoothall/src/fleet.rs
+++ b/coltsfoothall/src/fleet.rs
@@ -341,7 +341,9 @@
             count,
         };
         let allocations = self.items.iter().zip(&set.counts).map(allocation);
-        let mut allocations: Vec<Allocation> = allocations.filter(|allocation| allocation.count > 0).collect();
+        let mut allocations: Vec<Allocation> = allocations
+            .filter(|allocation| allocation.count > 0)
+            .collect();
         allocations.sort_by(|a, b| a.offer.kind.cmp(&b.offer.kind));
         Plan {
             allocations,
--- a/coltsfoothall/src/member.rs
+++ b/coltsfoothall/src/member.rs
@@ -19,7 +19,9 @@
 use crate::slot::Candidate;
 use crate::stall::{Verdict, Watch};
 
-pub use crate::digest::{Address, Addresses, DEATH_SIZE, DIGEST_SIZE, Death, Digest, HEARTBEAT_SIZE, Heartbeat};
+pub use crate::digest::{
+    Address, Addresses, DEATH_SIZE, DIGEST_SIZE, Death, Digest, HEARTBEAT_SIZE, Heartbeat,
+};
 
 /// Members that judge one's silence: one may die together with it.
 const JUDGES: usize = 2;
--- a/coltsfoothall/src/pool.rs
+++ b/coltsfoothall/src/pool.rs
@@ -7,7 +7,7 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::choice::{Query, Endpoint};
+use crate::choice::{Endpoint, Query};
 use crate::clock::Time;
 use crate::id;
 use crate::index::{CacheId, Index};
--- a/coltsfoothall/src/start.rs
+++ b/coltsfoothall/src/start.rs
@@ -16,12 +16,12 @@
 
 use crate::backoff;
 use crate::clock::Time;
-use crate::fleet::{Kind, Allocation, Offer, Capacity};
-use crate::instances::{self, Known, Tally};
+use crate::fleet::{Allocation, Capacity, Kind, Offer};
 use crate::id;
+use crate::instances::{self, Known, Tally};
+use crate::pending;
 use crate::size::Price;
 use crate::steward::Fence;
-use crate::pending;
 
 pub use crate::instances::{Machine, Phase};
 pub use crate::pending::Token;
@@ -193,8 +193,11 @@
     }
 
     fn tick(&mut self, now: Time) -> Vec<Action> {
-        self.set
-            .forget(now, self.settings.absence_timeout, self.settings.outage_timeout);
+        self.set.forget(
+            now,
+            self.settings.absence_timeout,
+            self.settings.outage_timeout,
+        );
         let mut actions = self.repeat(now);
         let mut tally = self.set.tally(self.pending.kinds());
         if self.listed {
@@ -233,7 +236,10 @@
 
     fn start(&mut self, now: Time, tally: &mut Tally, actions: &mut Vec<Action>) {
         self.started.retain(|at| now < *at + MINUTE);
-        let rest = self.settings.max_per_minute.saturating_sub(self.started.len());
+        let rest = self
+            .settings
+            .max_per_minute
+            .saturating_sub(self.started.len());
         let idle = self.settings.max_pending.saturating_sub(self.pending.len());
         for _start in 0..rest.min(idle) {
             let Some(kind) = self.next_kind(now, tally) else {
@@ -249,7 +255,8 @@
 
     /// The kind to start next: one that the plan lacks, else a substitute for refused load.
     fn next_kind(&self, now: Time, tally: &Tally) -> Option<Kind> {
-        let lacks = |allocation: &&Allocation| tally.held(&allocation.offer.kind) < allocation.count;
+        let lacks =
+            |allocation: &&Allocation| tally.held(&allocation.offer.kind) < allocation.count;
         let mut lacking = self.wanted.allocations.iter().filter(lacks).peekable();
         lacking.peek()?;
         let free = lacking.find(|allocation| self.is_free(now, &allocation.offer.kind));
--- a/coltsfoothall/tests/adoption.rs
+++ b/coltsfoothall/tests/adoption.rs
@@ -73,7 +73,10 @@
 fn fresh_start() {
     let mut config = Config::new();
     assert_eq!(config.standing(at(1)), Standing::Empty);
-    assert_eq!(config.merge_revision(&peer(None), Revision(7), at(1)), Need::Fetch);
+    assert_eq!(
+        config.merge_revision(&peer(None), Revision(7), at(1)),
+        Need::Fetch
+    );
     config.offer(&peer(None), catalog(7, "a"), at(2));
     assert_eq!(config.standing(at(2)), Standing::Unconfirmed);
     assert_eq!(
@@ -90,7 +93,10 @@
     config.offer(&Source::Store, catalog(7, "a"), at(10));
     let age = Duration::from_secs(90);
     assert_eq!(config.standing(at(100)), Standing::Confirmed { age });
-    assert_eq!(config.merge_revision(&peer(None), Revision(6), at(100)), Need::Send);
+    assert_eq!(
+        config.merge_revision(&peer(None), Revision(6), at(100)),
+        Need::Send
+    );
     assert_eq!(
         config.merge_revision(&peer(Some(1)), Revision(8), at(100)),
         Need::Fetch
--- a/coltsfoothall/tests/choice.rs
+++ b/coltsfoothall/tests/choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfoothall::choice::{Query, Endpoint, Router, Run, Settings};
+use coltsfoothall::choice::{Endpoint, Query, Router, Run, Settings};
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 use coltsfoothall::load::Report;
--- a/coltsfoothall/tests/fleet.rs
+++ b/coltsfoothall/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Cheapest sets against brute force and against plain rules.
 
 use coltsfoothall::catalog::Placement;
-use coltsfoothall::fleet::{Kind, Demand, Lend, Loss, Offer, Plan, Capacity, plan};
+use coltsfoothall::fleet::{Capacity, Demand, Kind, Lend, Loss, Offer, Plan, plan};
 use coltsfoothall::size::Price;
 use proptest::prelude::*;
 
@@ -90,8 +90,16 @@
 }
 
 fn check(found: &Plan, demand: &Demand) {
-    let offers: Vec<Offer> = found.allocations.iter().map(|allocation| allocation.offer.clone()).collect();
-    let counts: Vec<u32> = found.allocations.iter().map(|allocation| allocation.count).collect();
+    let offers: Vec<Offer> = found
+        .allocations
+        .iter()
+        .map(|allocation| allocation.offer.clone())
+        .collect();
+    let counts: Vec<u32> = found
+        .allocations
+        .iter()
+        .map(|allocation| allocation.count)
+        .collect();
     assert_eq!(found.cost.0, cost(&offers, &counts));
     assert_eq!(found.count, counts.iter().sum::<u32>());
     let left = carried(demand, &offers, &counts);
--- a/coltsfoothall/tests/index.rs
+++ b/coltsfoothall/tests/index.rs
@@ -1,6 +1,6 @@
 //! Beliefs about prefix caches.
 
-use coltsfoothall::index::{Change, Event, CacheId, Index, Match, Settings};
+use coltsfoothall::index::{CacheId, Change, Event, Index, Match, Settings};
 use coltsfoothall::prefix::Block;
 use coltsfoothall::size::Tokens;
 
@@ -33,10 +33,8 @@
     index.record_use(short, &blocks(0..4));
     index.record_use(long, &blocks(0..9));
     let found = best(&index, &blocks(0..12));
-    let depths: Vec<(CacheId, usize)> = found
-        .iter()
-        .map(|have| (have.cache, have.blocks))
-        .collect();
+    let depths: Vec<(CacheId, usize)> =
+        found.iter().map(|have| (have.cache, have.blocks)).collect();
     assert_eq!(depths, [(long, 9), (short, 4)]);
 }
 
--- a/coltsfoothall/tests/start.rs
+++ b/coltsfoothall/tests/start.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::fleet::{Kind, Allocation, Lend, Offer, Capacity};
+use coltsfoothall::fleet::{Allocation, Capacity, Kind, Lend, Offer};
 use coltsfoothall::id;
 use coltsfoothall::size::Price;
 use coltsfoothall::start::{Action, Input, Machine, Phase, Queue, Settings, Wanted};
