--- a/coltsfoothall/src/adoption.rs
+++ b/coltsfoothall/src/adoption.rs
@@ -1,12 +1,11 @@
-//! Which revision is in force on an entry instance. It only rises.
+//! The configuration revision in force on an entry instance. It never decreases.
 //!
-//! Values come from the key-value service or from peers. An older one is
-//! refused and counted, whoever sends it. While an instance cannot know
-//! whether it is current, it goes on with the newest that it has seen and
-//! says for how long it has not known: to stop instead would break accepted
-//! requests over an outage that the brief expects, and to fall back would
-//! revert an accepted configuration. An instance that has seen none yet is
-//! not ready and must take no requests.
+//! Configurations come from the key-value service or from peers. An older one is refused
+//! and counted, whatever its source. While an instance cannot confirm that its revision is
+//! current, it keeps serving with the newest one it has received and reports how long ago
+//! that revision was last confirmed. Stopping instead would fail accepted requests during
+//! an expected kind of outage, and falling back would revert an accepted configuration. An
+//! instance without a configuration is not ready and must not accept requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,27 +15,28 @@
 use crate::id;
 use crate::rule;
 
-/// Earlier revisions kept to show what changed since; it bounds their memory.
+/// Maximum number of previous revisions that are retained to show what has changed since;
+/// it bounds their memory.
 pub const MAX_PREVIOUS: usize = 4;
 
-/// Who sent a value or vouches for a revision.
+/// The source of a configuration, or of the claim that a revision is current.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
     /// The key-value service.
     Store,
-    /// A peer that was itself sure of its revision so long ago.
+    /// A peer.
     Peer {
-        /// The peer.
+        /// Name of the peer.
         id: id::Instance,
-        /// Time since the peer knew that its revision was current; none if it never did.
+        /// Time since the peer's revision was confirmed as current; `None` if it never was.
         age: Option<Duration>,
     },
 }
 
-/// What became of an offered value.
+/// The result of offering a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is in force from now on.
+    /// It is now in force.
     Adopted {
         /// The revision before.
         from: Revision,
@@ -45,49 +45,51 @@
     },
     /// It is in force already.
     Same,
-    /// It is older than what is in force, and was refused.
+    /// It is older than the configuration in force and was refused.
     Older {
-        /// Its revision.
+        /// Revision of the offered configuration.
         offered: Revision,
-        /// The revision that stays in force.
+        /// Revision that remains in force.
         current: Revision,
     },
-    /// It has the revision in force but another plan, and was refused; the
-    /// key-value service has lost an accepted write.
+    /// It has the revision in force but was written by a different plan, and was refused.
+    /// The key-value service has lost an accepted write.
     Fork {
         /// The revision.
         revision: Revision,
     },
-    /// It breaks a rule, and was refused.
+    /// It violates a rule and was refused.
     Bad(rule::Error),
 }
 
-/// What to do about a revision that a peer named.
+/// The action required after a peer has reported its revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Need {
-    /// Fetch the value: it is newer.
+    /// Fetch the peer's configuration: it is newer.
     Fetch,
-    /// Send ours: the peer's is older.
+    /// Send the local configuration: the peer's is older.
     Send,
     /// Nothing.
     None,
 }
 
-/// How sure an instance is of its revision.
+/// How certain an instance is that its revision is current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// No configuration was seen yet: not ready.
+    /// No configuration has been received yet; the instance is not ready.
     Empty,
-    /// It was current so long ago.
+    /// The revision has been confirmed as current.
     Confirmed {
-        /// Time since the key-value service, or a peer that heard it, confirmed it.
+        /// Time since the last confirmation by the key-value service, directly or through a
+        /// peer.
         age: Duration,
     },
-    /// It was never confirmed since the start: taken from peers in an outage.
+    /// The revision has not been confirmed since the process started: it came from peers
+    /// during an outage.
     Unconfirmed,
-    /// A newer revision was named but its value has not come yet.
+    /// A newer revision has been reported, but its configuration has not been received yet.
     Behind {
-        /// That revision.
+        /// The newer revision.
         newest: Revision,
     },
 }
@@ -110,7 +112,7 @@
         Self::default()
     }
 
-    /// The configuration in force; none before the first.
+    /// The configuration in force; `None` before the first one.
     #[must_use]
     pub fn current(&self) -> Option<&Arc<Catalog>> {
         self.current.as_ref()
@@ -123,27 +125,27 @@
         current.map_or(Revision::default(), |current| current.revision)
     }
 
-    /// A configuration that is or was in force here, if it is still kept.
+    /// The current or a previous configuration with this revision, if it is still retained.
     #[must_use]
     pub fn at(&self, revision: Revision) -> Option<&Arc<Catalog>> {
-        let mut kept = self.previous.iter().chain(&self.current);
-        kept.find(|catalog| catalog.revision == revision)
+        let mut retained = self.previous.iter().chain(&self.current);
+        retained.find(|catalog| catalog.revision == revision)
     }
 
-    /// Older values that were refused.
+    /// Number of older configurations that were refused.
     #[must_use]
     pub fn older(&self) -> u64 {
         self.older
     }
 
-    /// Values of the revision in force with another plan; anything but 0 means
-    /// that the key-value service lost an accepted write.
+    /// Number of configurations received with the revision in force but a different plan.
+    /// Any value other than 0 means that the key-value service lost an accepted write.
     #[must_use]
     pub fn forks(&self) -> u64 {
         self.forks
     }
 
-    /// Takes a value if it is newer than what is in force.
+    /// Adopts a configuration if it is newer than the one in force.
     pub fn offer(&mut self, source: &Source, offered: Arc<Catalog>, now: Time) -> Outcome {
         let Some(current) = self.current.clone() else {
             return self.adopt(source, offered, now);
@@ -168,11 +170,13 @@
         Outcome::Same
     }
 
-    /// Weighs a revision that a peer named, for instance in a heartbeat.
+    /// Merges a revision reported by a peer, for example in a heartbeat.
     pub fn merge_revision(&mut self, source: &Source, revision: Revision, now: Time) -> Need {
         self.newest = self.newest.max(revision);
         let current = self.revision();
-        if revision > current || self.current.is_none() && revision == current && vouched(source) {
+        if revision > current
+            || self.current.is_none() && revision == current && was_confirmed(source)
+        {
             return Need::Fetch;
         }
         if revision < current {
@@ -184,7 +188,7 @@
         Need::None
     }
 
-    /// How sure this instance is of its revision.
+    /// How certain this instance is that its revision is current.
     #[must_use]
     pub fn standing(&self, now: Time) -> Standing {
         if self.current.is_none() {
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Time since the revision in force was known to be current, for peers.
+    /// Time since the revision in force was confirmed as current, as reported to peers.
     #[must_use]
     pub fn age(&self, now: Time) -> Option<Duration> {
         self.confirmed.map(|at| now.since(at))
@@ -215,10 +219,10 @@
         if let Some(old) = self.current.replace(offered) {
             self.previous.push(old);
         }
-        let extra = self.previous.len().saturating_sub(MAX_PREVIOUS);
-        self.previous.drain(..extra);
+        let excess = self.previous.len().saturating_sub(MAX_PREVIOUS);
+        self.previous.drain(..excess);
         self.newest = self.newest.max(to);
-        // What was known of the revision before says nothing of this one.
+        // A confirmation of the previous revision does not apply to this one.
         self.confirmed = None;
         self.confirm(source, now);
         Outcome::Adopted { from, to }
@@ -233,19 +237,16 @@
     }
 }
 
-/// Whether the key-value service confirmed the source's revision at any time.
-fn vouched(source: &Source) -> bool {
+/// Whether the key-value service has ever confirmed the source's revision.
+fn was_confirmed(source: &Source) -> bool {
     match source {
         Source::Store => true,
         Source::Peer { age, .. } => age.is_some(),
     }
 }
 
-/// Instances on which a revision, or a later one, is in force.
+/// Number of instances on which this revision or a later one is in force.
 #[must_use]
 pub fn in_force(revision: Revision, instances: &[Revision]) -> usize {
-    instances
-        .iter()
-        .filter(|current| **current >= revision)
-        .count()
+    instances.iter().filter(|own| **own >= revision).count()
 }
--- a/coltsfoothall/src/backoff.rs
+++ b/coltsfoothall/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Backoff of the kinds of instance whose starts are refused.
+//! Backoff for kinds of instance whose starts were refused.
 
 use std::time::Duration;
 
@@ -8,80 +8,82 @@
 use crate::clock::Time;
 use crate::fleet::Kind;
 
-/// Longest backoff, as a power of two of the first.
+/// Maximum number of times that the initial backoff doubles.
 const MAX_DOUBLINGS: u32 = 6;
 
 #[derive(Debug, Clone)]
-struct Row {
+struct Entry {
     kind: Kind,
     refusals: u32,
     until: Time,
 }
 
-/// The kinds that were refused, sorted.
+/// The kinds whose starts were refused, sorted by kind.
 #[derive(Debug)]
 pub struct Table {
     first: Duration,
-    rows: Vec<Row>,
+    entries: Vec<Entry>,
     rng: Pcg64Mcg,
 }
 
 impl Table {
-    /// An empty table; `first` is the first backoff and `seed` that of the jitter.
+    /// Creates an empty table. `first` is the initial backoff, and `seed` seeds the jitter.
     #[must_use]
     pub fn new(first: Duration, seed: u64) -> Self {
         Self {
             first,
-            rows: Vec::new(),
+            entries: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
     fn find(&self, kind: &Kind) -> Result<usize, usize> {
-        self.rows.binary_search_by(|row| row.kind.cmp(kind))
+        self.entries.binary_search_by(|entry| entry.kind.cmp(kind))
     }
 
-    /// Backs a kind off; refusals of starts that were asked before the backoff count once.
+    /// Records a refused start. Refusals of several starts that were requested before the
+    /// backoff began count once.
     pub fn refuse(&mut self, now: Time, kind: Kind) {
-        let at = self.find(&kind).unwrap_or_else(|at| {
-            let row = Row {
+        let index = self.find(&kind).unwrap_or_else(|index| {
+            let entry = Entry {
                 kind,
                 refusals: 0,
                 until: Time::START,
             };
-            self.rows.insert(at, row);
-            at
+            self.entries.insert(index, entry);
+            index
         });
-        let row = &mut self.rows[at];
-        if row.refusals == 0 || row.until <= now {
-            let span = self.first * 2_u32.pow(row.refusals.min(MAX_DOUBLINGS));
-            row.refusals += 1;
-            row.until = now + span.mul_f64(self.rng.random_range(0.75..1.25));
+        let entry = &mut self.entries[index];
+        if entry.refusals == 0 || entry.until <= now {
+            let delay = self.first * 2_u32.pow(entry.refusals.min(MAX_DOUBLINGS));
+            entry.refusals += 1;
+            entry.until = now + delay.mul_f64(self.rng.random_range(0.75..1.25));
         }
     }
 
-    /// Forgets a kind's refusals, since it was had.
+    /// Clears a kind's refusals after a successful start.
     pub fn clear(&mut self, kind: &Kind) {
-        if let Ok(at) = self.find(kind) {
-            self.rows.remove(at);
+        if let Ok(index) = self.find(kind) {
+            self.entries.remove(index);
         }
     }
 
-    /// Whether a kind must wait.
+    /// Whether a kind is backing off.
     #[must_use]
     pub fn waits(&self, now: Time, kind: &Kind) -> bool {
-        self.find(kind).is_ok_and(|at| now < self.rows[at].until)
+        self.find(kind)
+            .is_ok_and(|index| now < self.entries[index].until)
     }
 
-    /// Whether a kind was refused since it was last had.
+    /// Whether a kind has been refused since its last successful start.
     #[must_use]
     pub fn is_suspect(&self, kind: &Kind) -> bool {
         self.find(kind).is_ok()
     }
 
-    /// Kinds that must wait.
+    /// Kinds that are backing off.
     pub fn waiting(&self, now: Time) -> impl Iterator<Item = &Kind> {
-        let waits = move |row: &&Row| now < row.until;
-        self.rows.iter().filter(waits).map(|row| &row.kind)
+        let waits = move |entry: &&Entry| now < entry.until;
+        self.entries.iter().filter(waits).map(|entry| &entry.kind)
     }
 }
--- a/coltsfoothall/src/branch.rs
+++ b/coltsfoothall/src/branch.rs
@@ -1,11 +1,12 @@
-//! Branch and bound over the numbers of instances to hold.
+//! Branch and bound over the number of instances of each offer.
 
 use crate::fleet::{Search, Set};
 
-/// Steps of the exact search; it stops a plan from holding up the control thread.
+/// Maximum number of nodes visited by the exact search, so that planning does not block the
+/// control thread.
 const MAX_STEPS: u32 = 200_000;
 
-/// The search, from a set that meets the demand if one is known.
+/// The state of a search, starting from a set that meets the demand if one is known.
 #[derive(Debug)]
 pub(crate) struct Branch<'a> {
     search: &'a Search<'a>,
@@ -14,7 +15,7 @@
 }
 
 impl<'a> Branch<'a> {
-    /// The cheapest set, and whether that is proved.
+    /// Returns the cheapest set and whether it is proven optimal.
     pub(crate) fn search(search: &'a Search<'a>, best: Option<Set>) -> (Option<Set>, bool) {
         let steps = 0;
         let mut branch = Self {
@@ -27,20 +28,21 @@
         (branch.best, exact)
     }
 
-    fn ceiling(&self) -> u64 {
+    fn upper_bound(&self) -> u64 {
         self.best.as_ref().map_or(u64::MAX, |best| best.cost)
     }
 
-    /// Tries each count of the item at `index`, the items before it being settled.
+    /// Tries each count of the item at `index`; the counts of the items before it are
+    /// fixed.
     fn descend(&mut self, index: usize, mut set: Set) {
         self.steps += 1;
-        if self.search.is_met(&set) && set.cost < self.ceiling() {
+        if self.search.is_met(&set) && set.cost < self.upper_bound() {
             self.best = Some(set.clone());
         }
         let Some(item) = self.search.items.get(index) else {
             return;
         };
-        while self.steps < MAX_STEPS && self.bound(index, &set) < self.ceiling() {
+        while self.steps < MAX_STEPS && self.lower_bound(index, &set) < self.upper_bound() {
             self.descend(index + 1, set.clone());
             set.add(index, item, 1);
             if !self.search.fits(set.count) {
@@ -49,8 +51,9 @@
         }
     }
 
-    /// Least cost of any set that goes on from here: items are sorted by price for the load.
-    fn bound(&self, index: usize, set: &Set) -> u64 {
+    /// Lower bound on the cost of any set that extends this one. It relies on the items
+    /// being sorted by price per unit of load.
+    fn lower_bound(&self, index: usize, set: &Set) -> u64 {
         let item = &self.search.items[index];
         let missing = self.search.demand.load.saturating_sub(set.carried());
         set.cost + (missing * item.price).div_ceil(item.load)
--- a/coltsfoothall/src/catalog.rs
+++ b/coltsfoothall/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: one value, one revision.
+//! The operators' configuration, which is stored as one value with one revision.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 use crate::id;
 use crate::size::{Bytes, Millis, Price, Rate};
 
-/// Number of a configuration; it only rises.
+/// Revision number of a configuration. It never decreases.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Revision(pub u64);
@@ -18,28 +18,30 @@
     }
 }
 
-/// Accepted plans that a catalog remembers; it bounds what history adds to the stored value.
+/// Maximum number of accepted plans in a catalog's history; it bounds the size of the
+/// stored value.
 pub const MAX_HISTORY: usize = 64;
 
-/// An accepted plan.
+/// A plan that was accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AcceptedPlan {
-    /// The plan.
+    /// Id of the plan.
     pub plan: id::Plan,
-    /// The revision that it made.
+    /// The revision that it created.
     pub revision: Revision,
 }
 
-/// Everything that operators have set. Each list is sorted by name.
+/// The complete configuration set by operators. Each list is sorted by name.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Catalog {
-    /// The revision that this value is.
+    /// Revision of this value.
     pub revision: Revision,
-    /// The plan that wrote it; a lost answer is settled by reading this.
+    /// The plan that wrote this value. A client whose answer was lost reads it to find out
+    /// whether its write took effect.
     pub plan: Option<id::Plan>,
-    /// Plans accepted last, oldest first, at most [`MAX_HISTORY`].
+    /// The most recently accepted plans, oldest first, at most [`MAX_HISTORY`].
     pub history: Vec<AcceptedPlan>,
     /// Services.
     pub services: Vec<Service>,
@@ -49,12 +51,13 @@
     pub models: Vec<Model>,
     /// Adapters.
     pub adapters: Vec<Adapter>,
-    /// Placement preferences, at most one a service.
+    /// Placement preferences, at most one per service.
     pub placements: Vec<Placement>,
 }
 
 impl Catalog {
-    /// The revision that a plan made, if it was accepted and is still remembered.
+    /// The revision that a plan created, if the plan was accepted and is still in the
+    /// history.
     #[must_use]
     pub fn accepted(&self, plan: &id::Plan) -> Option<Revision> {
         if self.plan.as_ref() == Some(plan) {
@@ -64,7 +67,7 @@
         accepted.map(|accepted| accepted.revision)
     }
 
-    /// Whether the plan that made this revision is still remembered.
+    /// Whether the plan that created this revision is still in the history.
     #[must_use]
     pub fn has_revision(&self, revision: Revision) -> bool {
         self.revision == revision
@@ -74,55 +77,55 @@
                 .any(|accepted| accepted.revision == revision)
     }
 
-    /// Makes this the next revision, written by `plan`.
+    /// Turns this catalog into the next revision, written by `plan`.
     pub fn advance(&mut self, plan: id::Plan) {
         self.revision = Revision(self.revision.0 + 1);
         self.history.push(AcceptedPlan {
             plan: plan.clone(),
             revision: self.revision,
         });
-        let old = self.history.len().saturating_sub(MAX_HISTORY);
-        self.history.drain(..old);
+        let excess = self.history.len().saturating_sub(MAX_HISTORY);
+        self.history.drain(..excess);
         self.plan = Some(plan);
     }
 }
 
-/// What kind of endpoints a service has.
+/// The kind of endpoints that a service has.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Kind {
-    /// Engines that run one model.
+    /// Engines that serve one model.
     Model {
         /// The model.
         model: id::Model,
-        /// Adapters to have loaded.
+        /// Adapters to load.
         #[serde(default)]
         adapters: Vec<id::Adapter>,
     },
-    /// Plain services over HTTP.
+    /// A plain HTTP service.
     Plain {
-        /// Path prefixes whose calls may not be repeated.
+        /// Path prefixes of calls that must not be retried.
         #[serde(default)]
         non_idempotent: Vec<String>,
     },
 }
 
-/// Whether endpoints refuse orders with an old fencing number.
+/// Whether endpoints reject orders with an outdated fencing number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// They refuse old numbers.
+    /// Endpoints reject outdated numbers.
     Checked,
-    /// They ignore the number.
+    /// Endpoints ignore the number.
     #[default]
     Ignored,
 }
 
-/// Latency target for 95 in 100 requests.
+/// Latency target at the 95th percentile.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Target {
-    /// Time to the first token, or to a plain service's answer.
+    /// Time to the first token, or to the response of a plain service.
     pub first: Millis,
     /// Time between tokens.
     pub between: Millis,
@@ -143,7 +146,7 @@
 pub struct Service {
     /// Its name.
     pub name: id::Service,
-    /// What its endpoints are.
+    /// Kind of its endpoints.
     pub kind: Kind,
     /// Whether its endpoints check fencing numbers.
     #[serde(default)]
@@ -151,10 +154,10 @@
     /// The latency target.
     #[serde(default)]
     pub target: Target,
-    /// Fewest endpoints to hold.
+    /// Minimum number of endpoints.
     #[serde(default)]
     pub min: u32,
-    /// Most endpoints to hold; 0 leaves the number to others.
+    /// Maximum number of endpoints; 0 means that coltsfoothall does not control the number.
     #[serde(default)]
     pub max: u32,
 }
@@ -165,20 +168,20 @@
 pub struct Workspace {
     /// Its name.
     pub name: id::Workspace,
-    /// Bearer tokens that callers present.
+    /// Bearer tokens that identify its callers.
     pub tokens: Vec<String>,
-    /// Weight of its share when there is not enough for all.
-    #[serde(default = "one")]
+    /// Weight of its share when capacity is scarce.
+    #[serde(default = "default_share")]
     pub share: u32,
-    /// Most requests open at once on one entry instance; 0 means no limit.
+    /// Maximum number of concurrent requests on one entry instance; 0 means no limit.
     #[serde(default)]
     pub open: u32,
-    /// Most new requests a second on one entry instance; 0 means no limit.
+    /// Maximum number of new requests per second on one entry instance; 0 means no limit.
     #[serde(default)]
     pub rate: Rate,
 }
 
-fn one() -> u32 {
+fn default_share() -> u32 {
     1
 }
 
@@ -201,7 +204,7 @@
 pub struct Adapter {
     /// Its name.
     pub name: id::Adapter,
-    /// The model it goes on.
+    /// The model that it extends.
     pub model: id::Model,
     /// The version to run.
     pub version: u32,
@@ -210,22 +213,22 @@
     pub weights: Bytes,
 }
 
-/// Where a service's endpoints should be.
+/// Placement preferences for a service's endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Placement {
     /// The service.
     pub service: id::Service,
-    /// Failure domains, best first; empty means all.
+    /// Allowed failure domains in order of preference; empty means all.
     #[serde(default)]
     pub domains: Vec<id::Domain>,
-    /// Machine classes, best first; empty means all.
+    /// Allowed machine classes in order of preference; empty means all.
     #[serde(default)]
     pub classes: Vec<id::Class>,
-    /// Highest price of one instance; 0 means no limit.
+    /// Maximum price of one instance; 0 means no limit.
     #[serde(default)]
     pub price: Price,
-    /// Fewest instances that cannot be reclaimed.
+    /// Minimum number of on-demand instances, which cannot be reclaimed.
     #[serde(default)]
     pub on_demand: u32,
 }
--- a/coltsfoothall/src/choice.rs
+++ b/coltsfoothall/src/choice.rs
@@ -1,10 +1,10 @@
-//! The choice of an endpoint for a request, by expected cost.
+//! Selection of an endpoint for a request by expected cost.
 //!
-//! Few candidates are weighed: those whose cache is believed to hold most of
-//! the prompt, those that the first unknown block of the prompt hashes to (so
-//! that all entry instances bring a new prefix to the same cache), and some at
-//! random. A failing endpoint is avoided while another can serve; a leaving one
-//! is never chosen.
+//! The cost is computed for a few candidates only: the endpoints whose prefix cache is
+//! estimated to hold most of the prompt, those to which the first uncached block of the
+//! prompt hashes (so that all entry instances send a new prefix to the same cache), and
+//! some random ones. A suspect endpoint is avoided as long as another can serve, and a
+//! leaving endpoint is never chosen.
 
 use std::time::Duration;
 
@@ -24,37 +24,37 @@
 use crate::size::{Millis, Price, Tokens};
 use crate::weight::{Risk, Weights};
 
-/// How choices are made.
+/// Settings of the endpoint selection.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// The weights of the cost.
+    /// Weights of the cost terms.
     pub weights: Weights,
-    /// How load reports are read.
+    /// How load reports are interpreted.
     pub load: load::Settings,
-    /// Bounds of the cache index.
+    /// Bounds of the prefix cache index.
     pub index: index::Settings,
-    /// Most candidates that are taken for what they have cached.
+    /// Maximum number of candidates selected for their cached prefix.
     pub holders: usize,
-    /// Candidates that the prompt hashes to.
+    /// Number of candidates to which the prompt hashes.
     pub homes: usize,
-    /// Candidates taken at random.
+    /// Number of random candidates.
     pub sample: usize,
-    /// Services with at most so many endpoints have all of them weighed.
+    /// All endpoints of a service are candidates if it has at most this many.
     pub all: usize,
-    /// Entry instances that send to the same endpoints, this one included.
+    /// Number of entry instances that send to the same endpoints, including this one.
     pub entries: u32,
-    /// Microseconds in which an endpoint reads one prompt token.
+    /// Time in microseconds in which an endpoint processes one prompt token.
     pub read: f64,
-    /// Time between tokens, for how long an answer is expected to take.
+    /// Time between generated tokens, used to estimate the duration of a response.
     pub step: Millis,
-    /// Open requests that one endpoint takes before the target is missed.
+    /// Number of open requests that one endpoint can serve within the latency target.
     pub slots: u32,
-    /// Work that one open request counts as beside its uncached prompt.
+    /// Work that one open request counts as, in addition to its uncached prompt.
     pub slot: Tokens,
-    /// Uncached prompt that one endpoint takes at once.
+    /// Uncached prompt tokens that one endpoint can have pending.
     pub depth: Tokens,
-    /// Seed of the random candidates; entry instances should differ.
+    /// Seed for the random candidates; it should differ between entry instances.
     pub seed: u64,
 }
 
@@ -79,43 +79,43 @@
     }
 }
 
-/// An endpoint that requests can go to.
+/// An endpoint that can serve requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Endpoint {
     /// Its name.
     pub id: id::Endpoint,
     /// The service that it belongs to.
     pub service: id::Service,
-    /// Models that it has loaded, sorted; empty means any.
+    /// Models that it has loaded, sorted; empty means that it serves any model.
     pub models: Vec<id::Model>,
     /// Its failure domain.
     pub domain: id::Domain,
     /// Price of its instance.
     pub price: Price,
-    /// How likely its instance is to be reclaimed.
+    /// Risk that its instance is reclaimed.
     pub risk: Risk,
 }
 
-/// What a request asks of an endpoint.
+/// The requirements of one request.
 #[derive(Debug, Clone, Copy)]
 pub struct Query<'a> {
     /// The service.
     pub service: &'a id::Service,
-    /// The model, for engines.
+    /// The model, if the service runs one.
     pub model: Option<&'a id::Model>,
-    /// Blocks of the prompt.
+    /// Hashed blocks of the prompt.
     pub blocks: &'a [Block],
-    /// Length of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt: Tokens,
-    /// Most tokens still to be generated.
+    /// Maximum number of tokens that remain to be generated.
     pub max_tokens: Tokens,
-    /// How urgent it is.
+    /// Priority class of the request.
     pub class: Class,
     /// Failure domain of this entry instance.
     pub domain: &'a id::Domain,
-    /// Endpoints that failed it before.
+    /// Endpoints on which this request has already failed.
     pub exclude: &'a [id::Endpoint],
-    /// Whether nothing else may run beside it.
+    /// Whether no other request may run on the endpoint at the same time.
     pub isolated: bool,
 }
 
@@ -124,85 +124,89 @@
 pub struct Pick {
     /// Its name.
     pub endpoint: id::Endpoint,
-    /// Tokens of the prompt that its cache is believed to hold.
+    /// Number of prompt tokens that its cache is estimated to hold.
     pub cached: Tokens,
-    /// Expected wait for the first token.
+    /// Expected time to the first token.
     pub wait: Duration,
 }
 
-/// A request that was sent to an endpoint and has not ended there.
+/// A request that is open at an endpoint.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "an open request counts as load until `Router::record_end` takes it back"]
+#[must_use = "an open request counts as load until it is passed to `Router::record_end`"]
 pub struct Run {
     /// The endpoint.
     pub endpoint: id::Endpoint,
-    /// What was believed cached of the prompt.
-    held: Estimate,
-    /// Prompt tokens not yet known to be read.
+    /// Estimate of the cached prefix when the request was sent.
+    estimate: Estimate,
+    /// Prompt tokens that are not known to be processed yet.
     prefill: Tokens,
     began: Time,
     isolated: bool,
 }
 
-/// Chooses endpoints; owned by the control thread.
+/// Selects endpoints. It is owned by the control thread.
 #[derive(Debug)]
 pub struct Router {
     settings: Settings,
     table: Table,
     index: Index,
     random: Pcg64Mcg,
-    found: Vec<Match>,
+    matches: Vec<Match>,
     candidates: Vec<Candidate>,
 }
 
 impl Router {
-    /// A router without endpoints.
+    /// Creates a router without endpoints.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
             table: Table::default(),
             index: Index::new(settings.index.clone()),
             random: Pcg64Mcg::seed_from_u64(settings.seed),
-            found: Vec::new(),
+            matches: Vec::new(),
             candidates: Vec::new(),
             settings,
         }
     }
 
-    /// Replaces the list of endpoints; what is known of those that stay is kept.
+    /// Replaces the list of endpoints. The state of endpoints that remain in the list is
+    /// kept.
     pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>) {
         self.table.replace(endpoints, &mut self.index);
     }
 
-    /// Tells how many entry instances send to the same endpoints.
+    /// Sets the number of entry instances that send to the same endpoints.
     pub fn set_entries(&mut self, entries: u32) {
         self.settings.entries = entries.max(1);
     }
 
-    /// An endpoint leaves: it is not chosen again until it left the list.
+    /// Marks an endpoint as leaving: it is not chosen again for as long as it stays in the
+    /// list.
     pub fn mark_leaving(&mut self, id: &id::Endpoint) {
         if let Some(node) = self.table.get_mut(id) {
             node.leaving = true;
         }
     }
 
-    /// An endpoint is gone.
+    /// Removes an endpoint that has terminated.
     pub fn remove(&mut self, id: &id::Endpoint) {
         self.table.remove(id, &mut self.index);
     }
 
-    /// An endpoint failed: it is chosen before `until` only if no other serves.
+    /// Marks an endpoint as failing: until `until` it is chosen only if no other endpoint
+    /// can serve.
     pub fn mark_suspect(&mut self, id: &id::Endpoint, until: Time) {
         if let Some(node) = self.table.get_mut(id) {
             node.suspect = until;
         }
     }
 
-    /// Chooses an endpoint, or none if no endpoint may take the request.
+    /// Chooses an endpoint, or returns `None` if no endpoint may serve the request.
     pub fn choose(&mut self, now: Time, query: &Query<'_>) -> Option<Pick> {
-        self.gather(now, query);
+        self.collect_candidates(now, query);
         let mut best: Option<(f64, Candidate)> = None;
-        // Equal costs are common, and all instances must not settle them alike.
+        // Equal costs are common. Starting at a random candidate keeps entry instances from
+        // all breaking ties the same way.
         let from = self.random.random_range(0..self.candidates.len().max(1));
         let (before, after) = self.candidates.split_at(from);
         for candidate in after.iter().chain(before) {
@@ -215,44 +219,45 @@
         Some(self.pick(now, query, candidate))
     }
 
-    /// A request goes to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn record_start(&mut self, now: Time, endpoint: &id::Endpoint, query: &Query<'_>) -> Run {
         let mut run = Run {
             endpoint: endpoint.clone(),
-            held: Estimate::default(),
+            estimate: Estimate::default(),
             prefill: Tokens(0),
             began: now,
             isolated: query.isolated,
         };
         if let Some(node) = self.table.get_mut(endpoint) {
-            run.held = self.index.estimate(node.holder, query.blocks);
-            run.prefill = query.prompt.minus(tokens(run.held.blocks));
+            run.estimate = self.index.estimate(node.cache, query.blocks);
+            run.prefill = query.prompt.minus(tokens(run.estimate.blocks));
             node.load
                 .record_start(now, run.prefill, &self.settings.load);
             node.isolated += u32::from(query.isolated);
-            self.index.record_use(node.holder, query.blocks);
+            self.index.record_use(node.cache, query.blocks);
             let pool = node.pool;
             let slot = self.settings.step.0 as f64 * 1e3 / f64::from(self.settings.slots.max(1));
             let work = run.prefill.0 as f64 * self.settings.read + query.max_tokens.0 as f64 * slot;
-            self.table.note_work(pool, query.class, work);
+            self.table.record_work(pool, query.class, work);
         }
         run
     }
 
-    /// The first token arrived; `cached` is what the endpoint says that it
-    /// read from its cache, which corrects what was believed.
+    /// Records that the first token of a request has arrived. `cached` is the number of
+    /// prompt tokens that the endpoint reports to have read from its cache; it corrects the
+    /// estimate in the index.
     pub fn record_first_token(&mut self, now: Time, run: &mut Run, cached: Option<Tokens>) {
         let prefill = std::mem::take(&mut run.prefill);
         let Some(node) = self.table.get_mut(&run.endpoint) else {
             return;
         };
         node.load.record_prefill(now, prefill, &self.settings.load);
-        if cached.is_some_and(|cached| cached < tokens(run.held.blocks)) {
-            self.index.record_miss(node.holder, run.held);
+        if cached.is_some_and(|cached| cached < tokens(run.estimate.blocks)) {
+            self.index.record_miss(node.cache, run.estimate);
         }
     }
 
-    /// A request ended at its endpoint, in whatever way.
+    /// Records that a request has ended at its endpoint, successfully or not.
     pub fn record_end(&mut self, now: Time, run: Run) {
         if let Some(node) = self.table.get_mut(&run.endpoint) {
             node.load
@@ -260,49 +265,49 @@
             node.load.record_end(now, &self.settings.load);
             node.isolated = node.isolated.saturating_sub(u32::from(run.isolated));
             let pool = node.pool;
-            self.table.note_hold(pool, now.since(run.began));
+            self.table.record_duration(pool, now.since(run.began));
         }
     }
 
-    /// An endpoint reported its load.
+    /// Records an endpoint's load report.
     pub fn record_report(&mut self, now: Time, endpoint: &id::Endpoint, report: &Report) {
         let Some(node) = self.table.get_mut(endpoint) else {
             return;
         };
-        self.index.resize(node.holder, report.capacity);
+        self.index.resize(node.cache, report.capacity);
         let others = node.load.record_report(now, report, &self.settings.load);
         let pool = node.pool;
-        self.table.note_others(pool, others);
+        self.table.record_others(pool, others);
     }
 
-    /// An endpoint's cache events arrived. Returns how many were lost.
+    /// Records an endpoint's cache events. Returns the number of events that were lost.
     pub fn record_cache_events(&mut self, endpoint: &id::Endpoint, events: &[Event]) -> u64 {
         let Some(node) = self.table.get_mut(endpoint) else {
             return 0;
         };
-        let (holder, lost) = self.index.record_events(node.holder, events);
-        if holder != node.holder {
-            node.holder = holder;
-            self.table.seat();
+        let (cache, lost) = self.index.record_events(node.cache, events);
+        if cache != node.cache {
+            node.cache = cache;
+            self.table.index_caches();
         }
         lost
     }
 
-    /// Work that this instance may have open at a service: what is left by
-    /// others, and never less than an equal share.
+    /// Work that this entry instance may have open at a service: its part of what the other
+    /// instances leave unused, but never less than an equal share.
     #[must_use]
     pub fn budget(&self, now: Time, service: &id::Service) -> Tokens {
         budget::of(now, service, &self.table, &self.settings)
     }
 
-    /// Beliefs that the cache index holds.
+    /// Number of entries in the cache index.
     #[must_use]
     pub fn index_entries(&self) -> usize {
         self.index.len()
     }
 
     /// Fills the list of candidates.
-    fn gather(&mut self, now: Time, query: &Query<'_>) {
+    fn collect_candidates(&mut self, now: Time, query: &Query<'_>) {
         self.candidates.clear();
         self.add_candidates(now, query, false);
         if self.candidates.is_empty() {
@@ -313,36 +318,39 @@
     fn add_candidates(&mut self, now: Time, query: &Query<'_>, suspects: bool) {
         let fits = |node: &Node| node.serves(query) && (suspects || node.suspect <= now);
         let members = self.table.range(query.service);
-        self.found.clear();
-        let usable = |holder: CacheId| {
-            let node = self.table.holder(holder);
+        self.matches.clear();
+        let usable = |cache: CacheId| {
+            let node = self.table.node_of(cache);
             node.is_some_and(|node| members.contains(&node) && fits(self.table.at(node)))
         };
         let limit = self.settings.holders;
         self.index
-            .find_best(query.blocks, limit, &usable, &mut self.found);
-        for found in &self.found {
-            if let Some(node) = self.table.holder(found.cache) {
+            .find_best(query.blocks, limit, &usable, &mut self.matches);
+        for found in &self.matches {
+            if let Some(node) = self.table.node_of(found.cache) {
                 let blocks = found.blocks;
                 self.candidates.push(Candidate {
                     node,
                     blocks,
-                    home: false,
+                    is_hash_target: false,
                 });
             }
         }
-        let known = self.found.first().map_or(0, |found| found.blocks);
+        let known = self.matches.first().map_or(0, |found| found.blocks);
         let anchor = query.blocks.get(known).or(query.blocks.last());
         if let Some(anchor) = anchor {
-            let part = self.table.part(query.service) * self.settings.weights.apart;
+            let batch_share = self.table.batch_share(query.service) * self.settings.weights.apart;
             let len = members.len() as f64;
-            let weight = |rank: f64| class_weight(query.class, part, rank, len);
-            let homes = self.settings.homes;
-            for node in self.table.homes(query.service, &weight, *anchor, homes) {
+            let weight = |rank: f64| class_weight(query.class, batch_share, rank, len);
+            let count = self.settings.homes;
+            for node in self
+                .table
+                .hash_targets(query.service, &weight, *anchor, count)
+            {
                 add(&mut self.candidates, node, fits(self.table.at(node)));
-                let home = self.candidates.iter_mut().find(|have| have.node == node);
-                if let Some(home) = home {
-                    home.home = true;
+                let candidate = self.candidates.iter_mut().find(|other| other.node == node);
+                if let Some(candidate) = candidate {
+                    candidate.is_hash_target = true;
                 }
             }
         }
@@ -352,11 +360,11 @@
             }
             return;
         }
-        let enough = self.candidates.len() + self.settings.sample;
+        let limit = self.candidates.len() + self.settings.sample;
         for _ in 0..self.settings.sample * 2 {
             let node = self.random.random_range(members.clone());
             add(&mut self.candidates, node, fits(self.table.at(node)));
-            if self.candidates.len() >= enough {
+            if self.candidates.len() >= limit {
                 return;
             }
         }
@@ -374,7 +382,7 @@
         let work = self.work(now, node);
         let uncached = query.prompt.minus(tokens(candidate.blocks));
         let hop = f64::from(u8::from(node.endpoint.domain != *query.domain));
-        let home = f64::from(u8::from(candidate.home));
+        let home = f64::from(u8::from(candidate.is_hash_target));
         weights.queued * work.prefill
             + weights.open * work.open
             + weights.uncached * uncached.0 as f64
@@ -390,11 +398,11 @@
     fn pick(&self, now: Time, query: &Query<'_>, candidate: Candidate) -> Pick {
         let node = self.table.at(candidate.node);
         let cached = tokens(candidate.blocks).min(query.prompt);
-        let unread = self.work(now, node).prefill + query.prompt.minus(cached).0 as f64;
+        let pending = self.work(now, node).prefill + query.prompt.minus(cached).0 as f64;
         Pick {
             endpoint: node.endpoint.id.clone(),
             cached,
-            wait: Duration::from_secs_f64(unread * self.settings.read / 1e6),
+            wait: Duration::from_secs_f64(pending * self.settings.read / 1e6),
         }
     }
 }
--- a/coltsfoothall/src/confirm.rs
+++ b/coltsfoothall/src/confirm.rs
@@ -1,10 +1,10 @@
-//! Confirming a plan: one compare-and-swap, settled by reading.
+//! Confirmation of a plan by one compare-and-swap, whose outcome can be verified by
+//! reading.
 //!
-//! The program carries out each [`Action`] and hands in what came of it. The
-//! plan's id stands inside the stored value, so an answer that was lost is
-//! settled by reading, and a second confirmation never has a second effect.
-//! Each swap names the version of the key that was read, so a value read late
-//! can never overwrite a newer one.
+//! The caller performs each [`Action`] and reports its result as an [`Event`]. The stored
+//! value contains the plan's id, so a lost answer is resolved by reading, and confirming a
+//! plan again never applies it twice. Each swap names the version of the key that was read,
+//! so a swap based on a stale read can never overwrite a newer value.
 
 use std::sync::Arc;
 
@@ -13,50 +13,51 @@
 use crate::catalog::{Catalog, Revision};
 use crate::plan::{self, Plan, Step};
 
-/// Most swaps in one confirmation; it stops a busy key from holding an operator up for ever.
+/// Maximum number of swaps in one confirmation, so that contention on the key cannot delay
+/// an operator indefinitely.
 pub const MAX_SWAPS: u32 = 8;
 
-/// What became of a confirmation.
+/// The outcome of a confirmation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Verdict {
-    /// The plan was accepted as this revision; it stays accepted.
+    /// The plan was accepted as this revision. This is final.
     Accepted(Revision),
-    /// Another plan was accepted on the same base; this one never will be.
+    /// Another plan was accepted on the same base, so this one can never be accepted.
     Stale {
-        /// The newest revision seen.
+        /// The newest revision that was read.
         current: Revision,
-        /// The revision that `changed` starts from; none if the plan's base is
-        /// no longer known and `changed` states the configuration as a whole.
+        /// The revision from which `changed` starts. `None` if the plan's base is no longer
+        /// retained; `changed` then lists the complete configuration.
         since: Option<Revision>,
-        /// What the others changed.
+        /// The changes that were made by others.
         changed: Vec<Step>,
     },
-    /// The plan itself cannot be taken; it never will be.
+    /// The plan is invalid and can never be accepted.
     Refused {
-        /// Why, for people.
+        /// The reason, for display.
         message: String,
     },
-    /// This confirmation wrote nothing, and could not learn whether an earlier
-    /// one of the same plan did.
+    /// This confirmation wrote nothing, and could not determine whether an earlier
+    /// confirmation of the same plan did.
     Untried {
-        /// Why, for people.
+        /// The reason, for display.
         message: String,
     },
-    /// This confirmation may have written the plan; confirm again to settle it.
+    /// This confirmation may have written the plan. Confirming again resolves it.
     Unsettled {
-        /// Why, for people.
+        /// The reason, for display.
         message: String,
     },
-    /// So many plans were accepted since the base that the catalog no longer
-    /// remembers which one followed it.
+    /// So many plans have been accepted since the base that the catalog's history no longer
+    /// contains the one that followed it.
     Expired {
-        /// The newest revision seen.
+        /// The newest revision that was read.
         current: Revision,
     },
 }
 
-/// What came of the last action.
+/// The result of the last action.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The key was read.
@@ -70,25 +71,25 @@
     Swapped,
     /// The key had another version, so the swap had no effect.
     Conflict,
-    /// No answer came; a swap may have taken effect, or may do so later.
+    /// No answer was received. A swap may have taken effect, or may still do so.
     Lost,
-    /// The call surely had no effect: not connected, or refused.
+    /// The call certainly had no effect: the connection failed or the call was refused.
     Down,
 }
 
-/// What the program does next.
+/// The next action for the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Read the key.
     Read,
     /// Write the value if the key still has this version.
     Swap {
-        /// Version that the key must have; 0 for absent.
+        /// Version that the key must have; 0 if it must be absent.
         version: u64,
         /// The value.
         value: Arc<Catalog>,
     },
-    /// Answer the operator.
+    /// Report the outcome to the operator.
     Settle(Verdict),
 }
 
@@ -96,15 +97,15 @@
 #[derive(Debug)]
 pub struct Attempt {
     plan: Plan,
-    after: Arc<Catalog>,
-    held: Arc<Catalog>,
+    value: Arc<Catalog>,
+    current: Arc<Catalog>,
     base: Option<Arc<Catalog>>,
     stage: Stage,
     swaps: u32,
-    lost: bool,
+    answer_lost: bool,
 }
 
-/// What the attempt waits for.
+/// The kind of event for which the attempt is waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Reading,
@@ -113,50 +114,51 @@
 }
 
 impl Attempt {
-    /// A confirmation on an instance where `held` is in force and which still
-    /// has `base`, the plan's base, or has forgotten it.
+    /// Creates a confirmation on an instance where the configuration `current` is in force.
+    /// `base` is the plan's base, if the instance still retains it.
     #[must_use]
-    pub fn new(plan: Plan, held: Arc<Catalog>, base: Option<Arc<Catalog>>) -> Self {
+    pub fn new(plan: Plan, current: Arc<Catalog>, base: Option<Arc<Catalog>>) -> Self {
         let base = base.filter(|base| base.revision == plan.base);
         Self {
-            after: Arc::new(plan.after.clone()),
+            value: Arc::new(plan.after.clone()),
             plan,
-            held,
+            current,
             base,
             stage: Stage::Reading,
             swaps: 0,
-            lost: false,
+            answer_lost: false,
         }
     }
 
-    /// The first action; what is in force here can settle a plan without a call.
+    /// Returns the first action. The configuration in force may settle the plan without a
+    /// call.
     pub fn start(&mut self) -> Action {
-        let held = Arc::clone(&self.held);
-        match self.judge(&held) {
+        let current = Arc::clone(&self.current);
+        match self.judge(&current) {
             Some(verdict) => self.settle(verdict),
             None => self.read(),
         }
     }
 
-    /// The next action. An event that does not belong to the last action settles
-    /// as not known.
+    /// Returns the next action. An event that does not match the last action settles the
+    /// confirmation as [`Verdict::Unsettled`].
     pub fn step(&mut self, event: Event) -> Action {
         match (self.stage, event) {
             (Stage::Reading, Event::Found { version, catalog }) => self.found(version, &catalog),
             (Stage::Swapping, Event::Swapped) => {
-                let revision = self.after.revision;
+                let revision = self.value.revision;
                 self.settle(Verdict::Accepted(revision))
             }
             (Stage::Swapping, Event::Conflict) => self.read(),
             (Stage::Swapping, Event::Lost) => {
-                self.lost = true;
+                self.answer_lost = true;
                 self.read()
             }
             (Stage::Reading, Event::Lost | Event::Down) | (Stage::Swapping, Event::Down) => {
                 self.give_up("the key-value service did not answer")
             }
             (stage, event) => {
-                // A bug of the program around it; the truth is that nothing is known.
+                // This is a bug in the caller; the outcome of the plan is unknown.
                 let message = format!("{event:?} came while {stage:?}; this is a bug");
                 self.settle(Verdict::Unsettled { message })
             }
@@ -167,37 +169,37 @@
         if let Some(verdict) = self.judge(found) {
             return self.settle(verdict);
         }
-        // The base is what is in force here or was read, whichever is newer. An
-        // older value read is either late, and then the swap's version fails,
-        // or the service lost a write, and then the swap mends that.
-        let held = Arc::clone(&self.held);
-        let newest = if found.revision < held.revision {
-            &held
+        // The base is the newer of the configuration in force and the one that was read. If
+        // the one read is older, either the read was stale, and the swap fails on its
+        // version, or the service lost a write, and the swap repairs that.
+        let current = Arc::clone(&self.current);
+        let newest = if found.revision < current.revision {
+            &current
         } else {
             found
         };
         if newest.revision < self.plan.base {
-            return self.give_up("the plan's base is newer than all that was read");
+            return self.give_up("the plan's base is newer than every configuration that was read");
         }
-        if let Some(message) = self.unfit(newest) {
+        if let Some(message) = self.validate(newest) {
             return self.settle(Verdict::Refused { message });
         }
         if self.swaps == MAX_SWAPS {
-            return self.give_up("other writes came in between each time");
+            return self.give_up("every swap conflicted with another write");
         }
         self.swaps += 1;
         self.stage = Stage::Swapping;
         Action::Swap {
             version,
-            value: Arc::clone(&self.after),
+            value: Arc::clone(&self.value),
         }
     }
 
-    /// What a configuration alone says of the plan, if it settles it.
+    /// The verdict that follows from a configuration alone, if it settles the plan.
     fn judge(&self, current: &Catalog) -> Option<Verdict> {
         if let Some(revision) = current.accepted(&self.plan.id) {
-            if *current != *self.after && current.plan.as_ref() == Some(&self.plan.id) {
-                let message = "the plan was altered after it was accepted".into();
+            if *current != *self.value && current.plan.as_ref() == Some(&self.plan.id) {
+                let message = "the plan was modified after it was accepted".into();
                 return Some(Verdict::Refused { message });
             }
             return Some(Verdict::Accepted(revision));
@@ -214,8 +216,8 @@
     }
 
     fn stale(&self, current: &Catalog) -> Verdict {
-        let nothing = Catalog::default();
-        let from = self.base.as_deref().unwrap_or(&nothing);
+        let empty = Catalog::default();
+        let from = self.base.as_deref().unwrap_or(&empty);
         Verdict::Stale {
             current: current.revision,
             since: self.base.as_ref().map(|base| base.revision),
@@ -223,16 +225,16 @@
         }
     }
 
-    /// Why the plan may not be written on its base. What an operator confirms
-    /// must be what the intent does, so it is worked out again.
-    fn unfit(&self, base: &Catalog) -> Option<String> {
+    /// The reason why the plan may not be applied to its base, if there is one. The
+    /// operator must confirm exactly what the intent does, so the plan is recomputed.
+    fn validate(&self, base: &Catalog) -> Option<String> {
         if self.plan.steps.is_empty() {
             return Some("the plan changes nothing".into());
         }
         match Plan::make(base, self.plan.intent.clone(), self.plan.id.clone()) {
             Err(error) => Some(error.to_string()),
             Ok(made) if made != self.plan => {
-                Some("the plan is not what its intent does on its base".into())
+                Some("the plan differs from the result of its intent on its base".into())
             }
             Ok(_same) => None,
         }
@@ -243,9 +245,9 @@
         Action::Read
     }
 
-    fn give_up(&mut self, why: &str) -> Action {
-        let message = why.to_owned();
-        let verdict = if self.lost {
+    fn give_up(&mut self, reason: &str) -> Action {
+        let message = reason.to_owned();
+        let verdict = if self.answer_lost {
             Verdict::Unsettled { message }
         } else {
             Verdict::Untried { message }
--- a/coltsfoothall/src/digest.rs
+++ b/coltsfoothall/src/digest.rs
@@ -1,58 +1,57 @@
-//! What entry instances say of themselves and others, and what callers get.
+//! Messages of the membership protocol, and the addresses that callers receive.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id;
 use crate::size::{Bytes, Millis};
 
-/// Estimate of a digest on the wire, with its share of the frame.
+/// Estimated size of a digest on the wire, with its share of the frame.
 pub const DIGEST_SIZE: Bytes = Bytes(110);
 
-/// Estimate of a death on the wire.
+/// Estimated size of a death notice on the wire.
 pub const DEATH_SIZE: Bytes = Bytes(30);
 
-/// Estimate of a heartbeat on the wire without digests: frame, call and
-/// answer.
+/// Estimated size of a heartbeat without digests on the wire: frame, call and response.
 pub const HEARTBEAT_SIZE: Bytes = Bytes(160);
 
-/// What an instance says of itself.
+/// The state that an instance reports about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// Its name.
     pub instance: id::Instance,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: String,
-    /// Where peers reach it.
+    /// Address for peers.
     pub peers: String,
-    /// Rises with each start of its process.
+    /// Increases with each start of its process.
     pub incarnation: u64,
-    /// Rises with each heartbeat.
+    /// Increases with each heartbeat.
     pub version: u64,
-    /// Whether it is about to stop.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Use of its capacity, in hundredths.
+    /// Utilization of its capacity, in percent.
     pub load: u32,
-    /// The configuration that is in force there.
+    /// Revision of the configuration in force on it.
     pub revision: u64,
-    /// The slot table that it knows.
+    /// Version of the newest slot table that it has.
     pub slots: u64,
 }
 
 impl Digest {
-    pub(crate) fn age(&self) -> (u64, u64) {
+    pub(crate) fn logical_time(&self) -> (u64, u64) {
         (self.incarnation, self.version)
     }
 
-    /// Whether nothing changed that others must know soon.
-    pub(crate) fn same(&self, new: &Self) -> bool {
+    /// Whether nothing has changed that must be propagated quickly.
+    pub(crate) fn is_same_state(&self, new: &Self) -> bool {
         let state = |digest: &Self| (digest.leaving, digest.revision, digest.slots);
         state(self) == state(new)
     }
 }
 
-/// The last that was heard of a member that is believed dead.
+/// The last known incarnation and version of a member that is presumed dead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Death {
     /// Its name.
@@ -63,18 +62,18 @@
     pub version: u64,
 }
 
-/// One message: the sender's digest first, then news of others.
+/// One message: the sender's digest first, then updates about other members.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Digests.
     pub digests: Vec<Digest>,
-    /// Members that are believed dead.
+    /// Members that are presumed dead.
     #[serde(default)]
     pub deaths: Vec<Death>,
 }
 
 impl Heartbeat {
-    /// Estimate of the message's size.
+    /// Estimated size of the message.
     #[must_use]
     pub fn size(&self) -> Bytes {
         let digests = DIGEST_SIZE.0 * self.digests.len() as u64;
@@ -85,19 +84,19 @@
 /// An address for callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Address {
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// Share of new connections, at least 1.
+    /// Relative share of new connections, at least 1.
     pub weight: u32,
 }
 
 /// The addresses for callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Addresses {
-    /// Addresses by domain and address.
+    /// The addresses, sorted by domain and address.
     pub addresses: Vec<Address>,
-    /// How long to keep them.
+    /// How long callers may cache them.
     pub ttl: Millis,
 }
--- a/coltsfoothall/src/effect.rs
+++ b/coltsfoothall/src/effect.rs
@@ -1,4 +1,5 @@
-//! Effects of a change in plain English, one line each. Tokens are never shown.
+//! Descriptions of the effects of a configuration change, one per line. Bearer tokens are
+//! never shown.
 
 use std::fmt::Display;
 
@@ -6,12 +7,12 @@
 use crate::id;
 use crate::object;
 
-/// The configurations before and after.
+/// The configurations before and after a change.
 #[derive(Debug, Clone, Copy)]
 pub struct Change<'a> {
-    /// Before.
+    /// The configuration before the change.
     pub from: &'a Catalog,
-    /// After.
+    /// The configuration after the change.
     pub to: &'a Catalog,
 }
 
@@ -124,11 +125,11 @@
         ];
     };
     let mut lines = Vec::new();
-    let more = beyond(&new.tokens, &old.tokens);
+    let more = count_missing(&new.tokens, &old.tokens);
     if more > 0 {
         lines.push(format!("{} more taken", count(more, "token")));
     }
-    let less = beyond(&old.tokens, &new.tokens);
+    let less = count_missing(&old.tokens, &new.tokens);
     if less > 0 {
         let tokens = count(less, "token");
         lines.push(format!(
@@ -184,7 +185,7 @@
     lines
 }
 
-/// What a service did that nothing does afterwards.
+/// Adds what a service provided that no service provides afterwards.
 fn lost(change: Change<'_>, old: &Service, lines: &mut Vec<String>) {
     match &old.kind {
         Kind::Model { model, adapters } => {
@@ -291,7 +292,7 @@
     )
 }
 
-/// A line for a field that changes.
+/// Adds a line for a field that has changed.
 fn field<T: Display + PartialEq>(lines: &mut Vec<String>, name: &str, old: &T, new: &T) {
     if old != new {
         lines.push(format!("{name}: {new} in place of {old}"));
@@ -331,7 +332,7 @@
     names.join(", ")
 }
 
-/// Items of one list that are not in the other.
-fn beyond(list: &[String], other: &[String]) -> usize {
+/// Number of items in one list that are not in the other.
+fn count_missing(list: &[String], other: &[String]) -> usize {
     list.iter().filter(|item| !other.contains(item)).count()
 }
--- a/coltsfoothall/src/fleet.rs
+++ b/coltsfoothall/src/fleet.rs
@@ -1,12 +1,12 @@
-//! The cheapest set of instances that carries a service's load.
+//! The cheapest set of instances that carries the load of a service.
 //!
-//! Choose a whole number for each offer such that, after the worst failure
-//! domain has lost what it can lose, the rest still carries the load. For a
-//! bound on what one domain may lose, the problem is to buy the load plus
-//! that bound at the lowest price for its load, so every split of the load
-//! over so many domains gives one greedy start. One-for-one and one-for-none
-//! exchanges then improve the best of them. Few offers and a small load are
-//! solved exactly by branch and bound from there.
+//! The problem is to choose a whole number of instances for each offer such that the
+//! remaining instances still carry the load after the worst failure domain has lost what it
+//! can lose. For a fixed bound on the loss of one domain, this means buying the load plus
+//! that bound at the lowest price per unit of load, so each number of domains over which
+//! the load may be split gives one greedy starting point. The best of them is then improved
+//! by dropping single instances or exchanging them one for one. If there are few offers and
+//! the load is small, branch and bound finds the exact solution from there.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,103 +15,104 @@
 use crate::id;
 use crate::size::Price;
 
-/// Most offers for which the exact search is tried.
+/// Maximum number of offers for which the exact search is attempted.
 const MAX_EXACT: usize = 18;
 
-/// Most rounds of exchanges; each lowers the cost, so this only bounds the time.
+/// Maximum number of exchange rounds. Each round lowers the cost, so this only bounds the
+/// time.
 const MAX_ROUNDS: usize = 64;
 
-/// How an instance is lent.
+/// The terms on which the cloud provides an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lend {
-    /// Cheap, taken back on a few seconds' notice.
+    /// Cheap, but may be reclaimed at a few seconds' notice.
     Reclaimable,
-    /// Kept until given back.
+    /// Available until it is released.
     OnDemand,
 }
 
-/// A kind of instance that can be had.
+/// A kind of instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Kind {
     /// Failure domain.
     pub domain: id::Domain,
     /// Machine class.
     pub class: id::Class,
-    /// How it is lent.
+    /// Terms on which it is provided.
     pub lend: Lend,
 }
 
-/// A price.
+/// A kind of instance and its price.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Offer {
-    /// What is offered.
+    /// The kind of instance.
     pub kind: Kind,
     /// Price of one instance.
     pub price: Price,
 }
 
-/// Load that one instance of a class carries at the latency target.
+/// The load that one instance of a machine class carries within the latency target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Capacity {
     /// Machine class.
     pub class: id::Class,
-    /// Load, in the demand's unit; 0 means that the class can't serve.
+    /// Load in the unit of the demand; 0 means that the class cannot serve.
     pub load: u64,
 }
 
-/// What is lost with a failure domain.
+/// The instances that are lost when a failure domain fails.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Loss {
-    /// Its reclaimable instances.
+    /// Its reclaimable instances only.
     #[default]
     Reclaimable,
     /// All its instances.
     All,
 }
 
-/// What a service needs.
+/// The requirements of a service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Load to carry after the loss of any one domain, in a unit of the caller's.
+    /// Load to carry after the loss of any one domain, in a unit chosen by the caller.
     pub load: u64,
-    /// What the classes carry, sorted by class.
+    /// Capacity of each machine class, sorted by class.
     pub capacities: Vec<Capacity>,
-    /// What goes with a domain.
+    /// What is lost with a domain.
     pub loss: Loss,
-    /// Fewest instances.
+    /// Minimum number of instances.
     pub min: u32,
-    /// Most instances; 0 means no limit.
+    /// Maximum number of instances; 0 means no limit.
     pub max: u32,
 }
 
-/// Instances to hold of one kind.
+/// The number of instances of one kind in a plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Allocation {
     /// The kind and its price.
     pub offer: Offer,
-    /// Load that one carries.
+    /// Load that one instance carries.
     pub load: u64,
-    /// How many.
+    /// Number of instances.
     pub count: u32,
 }
 
-/// The set of instances to allocation.
+/// A set of instances for a service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Plan {
     /// The instances, in the order of the offers.
     pub allocations: Vec<Allocation>,
-    /// How many.
+    /// Number of instances.
     pub count: u32,
-    /// Price of all in an hour.
+    /// Total price per hour.
     pub cost: Price,
-    /// Load that isn't carried after the worst loss; 0 where the demand is met.
+    /// Load that is not carried after the worst loss; 0 if the demand is met.
     pub shortfall: u64,
-    /// Whether no cheaper set exists; else the set is the best that was found.
+    /// Whether the set is proven optimal; otherwise it is the best set found.
     pub exact: bool,
 }
 
-/// Finds the set of instances to allocation.
+/// Finds the cheapest set of instances that meets the demand.
 #[must_use]
 pub fn plan(demand: &Demand, offers: &[Offer], placement: &Placement) -> Plan {
     let search = Search::new(demand, offers, placement);
@@ -123,7 +124,7 @@
     }
 }
 
-/// An offer that the placement allows.
+/// An offer that the placement preferences allow.
 #[derive(Debug, Clone)]
 pub(crate) struct Item {
     offer: Offer,
@@ -133,7 +134,7 @@
     exposed: bool,
 }
 
-/// Counts in the order of the items, with their sums.
+/// A count for each item, in the order of the items, with the derived sums.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Set {
     counts: Vec<u32>,
@@ -224,12 +225,12 @@
         self.demand.max == 0 || count <= self.demand.max
     }
 
-    /// The cheapest greedy set over all bounds on what one domain may lose.
+    /// The cheapest greedy set over all tested bounds on the loss of one domain.
     fn start(&self) -> Option<Set> {
-        let most = self.items.iter().map(|item| item.load).max().unwrap_or(0);
-        let split = |parts: u64| self.demand.load.div_ceil(parts);
+        let max_load = self.items.iter().map(|item| item.load).max().unwrap_or(0);
+        let split = |count: u64| self.demand.load.div_ceil(count);
         let splits = (1..=self.domains.max(1) as u64).map(split);
-        let bounds = splits.flat_map(|part| [part, part + most / 2, part + most]);
+        let bounds = splits.flat_map(|share| [share, share + max_load / 2, share + max_load]);
         let bounds: Vec<u64> = bounds.chain([0]).collect();
         let cheap: Vec<usize> = (0..self.items.len()).collect();
         let mut large = cheap.clone();
@@ -239,11 +240,12 @@
             sets.filter(|set| self.is_met(set))
                 .min_by_key(|set| set.cost)
         };
-        // Large instances first only where too few are allowed otherwise.
+        // Large instances come first only if the instance limit rules removed every set
+        // that starts with the cheapest.
         best(&cheap).or_else(|| best(&large))
     }
 
-    /// Buys in the given order while no domain may lose more than `bound`.
+    /// Buys instances in the given order such that no domain can lose more than `bound`.
     fn greedy(&self, order: &[usize], bound: u64) -> Set {
         let mut set = self.empty();
         self.fill(&mut set, order, bound, |item, set| {
@@ -253,8 +255,8 @@
             }
         });
         self.fill(&mut set, order, bound, |item, set| {
-            let worst = set.lost.iter().copied().max().unwrap_or(0).max(bound);
-            let missing = (self.demand.load + worst).saturating_sub(set.load);
+            let loss = set.lost.iter().copied().max().unwrap_or(0).max(bound);
+            let missing = (self.demand.load + loss).saturating_sub(set.load);
             u32::try_from(missing.div_ceil(item.load)).unwrap_or(u32::MAX)
         });
         self.fill(&mut set, order, u64::MAX, |_item, set| {
@@ -266,16 +268,16 @@
     fn fill(&self, set: &mut Set, order: &[usize], bound: u64, want: impl Fn(&Item, &Set) -> u32) {
         for &index in order {
             let item = &self.items[index];
-            let room = match item.exposed {
+            let limit = match item.exposed {
                 true => bound.saturating_sub(set.lost[item.domain]) / item.load,
                 false => u64::MAX,
             };
-            let count = u64::from(want(item, set)).min(room);
+            let count = u64::from(want(item, set)).min(limit);
             set.add(index, item, u32::try_from(count).unwrap_or(u32::MAX));
         }
     }
 
-    /// Drops and exchanges single instances while that lowers the cost.
+    /// Drops and exchanges single instances as long as that lowers the cost.
     fn improve(&self, mut set: Set) -> Set {
         for _round in 0..MAX_ROUNDS {
             if !self.improve_once(&mut set) {
@@ -286,22 +288,22 @@
     }
 
     fn improve_once(&self, set: &mut Set) -> bool {
-        let mut better = false;
-        for out in 0..self.items.len() {
-            while set.counts[out] > 0 && self.exchange(set, out) {
-                better = true;
+        let mut improved = false;
+        for removed in 0..self.items.len() {
+            while set.counts[removed] > 0 && self.exchange(set, removed) {
+                improved = true;
             }
         }
-        better
+        improved
     }
 
-    fn exchange(&self, set: &mut Set, out: usize) -> bool {
-        set.remove(out, &self.items[out]);
+    fn exchange(&self, set: &mut Set, removed: usize) -> bool {
+        set.remove(removed, &self.items[removed]);
         if self.is_met(set) {
             return true;
         }
         for (index, item) in self.items.iter().enumerate() {
-            if item.price >= self.items[out].price {
+            if item.price >= self.items[removed].price {
                 continue;
             }
             set.add(index, item, 1);
@@ -310,11 +312,12 @@
             }
             set.remove(index, item);
         }
-        set.add(out, &self.items[out], 1);
+        set.add(removed, &self.items[removed], 1);
         false
     }
 
-    /// Branch and bound; says whether the result is proved.
+    /// Runs branch and bound if it is feasible. Also returns whether the result is proven
+    /// optimal.
     fn exact(&self, best: Option<Set>) -> (Option<Set>, bool) {
         let bounded = best.is_some() || self.demand.max > 0;
         if self.items.len() > MAX_EXACT || !bounded {
@@ -323,7 +326,8 @@
         Branch::search(self, best)
     }
 
-    /// Where nothing meets the demand: the load itself at the lowest price, as far as allowed.
+    /// The plan if no set meets the demand: the load itself at the lowest price, without
+    /// any spare, within the instance limit.
     fn fallback(&self) -> Plan {
         let mut set = self.empty();
         for (index, item) in self.items.iter().enumerate() {
--- a/coltsfoothall/src/index.rs
+++ b/coltsfoothall/src/index.rs
@@ -1,43 +1,46 @@
-//! What each endpoint's prefix cache is believed to hold.
+//! An estimate of the contents of each endpoint's prefix cache.
 //!
-//! Beliefs come from requests that were sent from here, which are known at
-//! once, and from cache events, which are late and have gaps. They are
-//! corrected by what an endpoint says it read from its cache, and lapse once
-//! the endpoint has stored more than its cache holds. Memory is bounded: the
-//! beliefs stand in a fixed number of sorted buckets of bounded length.
+//! Entries come from requests sent by this instance, which are known immediately, and from
+//! cache events, which arrive late and with gaps. They are corrected by the number of
+//! tokens that an endpoint reports to have read from its cache, and expire once the
+//! endpoint has stored more blocks than its cache can hold. Memory is bounded: the entries
+//! are kept in a fixed number of sorted buckets of bounded length.
 
 use serde::{Deserialize, Serialize};
 
 use crate::prefix::{BLOCK_TOKENS, Block};
 use crate::size::Tokens;
 
-/// Most bits of a block that choose its bucket; it bounds the table of buckets.
+/// Maximum number of bits of a block hash that select its bucket; it bounds the number of
+/// buckets.
 const MAX_BITS: u32 = 16;
-/// A belief is young up to this part of its cache's capacity.
-const YOUNG: u64 = 4;
+/// An entry is young if its cache has since stored less than its capacity divided by this
+/// number.
+const YOUNG_DIVISOR: u64 = 4;
 
-/// A cache of an endpoint, from its start or from when it was last cleared.
-/// Numbers are never used again, so beliefs about a lost cache need no search.
+/// Identifies the cache of an endpoint since the start of the endpoint or since the cache
+/// was last cleared. Ids are never reused, so the entries of a discarded cache become
+/// invalid without being searched for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CacheId(u32);
 
-/// What happened to a block of a cache.
+/// A change of the contents of a cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// It was stored.
+    /// A block was stored.
     Stored(Block),
-    /// It was evicted.
+    /// A block was evicted.
     Evicted(Block),
-    /// All were dropped.
+    /// All blocks were dropped.
     Cleared,
 }
 
 /// A cache event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Event {
-    /// Number; a jump says that events were lost.
+    /// Sequence number; a gap means that events were lost.
     pub seq: u64,
-    /// What happened.
+    /// The change.
     pub change: Change,
 }
 
@@ -45,11 +48,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Buckets, as a power of two, at most 16; more make an insertion cheaper.
+    /// Number of buckets as a power of two, at most 16. More buckets make insertions
+    /// cheaper.
     pub bits: u32,
-    /// Most beliefs in one bucket; it bounds memory at 24 bytes a belief.
+    /// Maximum number of entries in one bucket; it bounds memory at 24 bytes per entry.
     pub depth: usize,
-    /// Size of an endpoint's cache before it reports one.
+    /// Assumed size of an endpoint's cache until it reports one.
     pub capacity: Tokens,
 }
 
@@ -63,57 +67,57 @@
     }
 }
 
-/// That a cache has a block.
+/// Records that a cache holds a block.
 #[derive(Debug, Clone, Copy)]
-struct Belief {
+struct Entry {
     block: Block,
     cache: CacheId,
-    /// Blocks that the cache had stored when this one was last used.
+    /// Number of blocks that the cache had stored when this one was last used.
     stamp: u64,
 }
 
 #[derive(Debug)]
 struct Cache {
-    cache: CacheId,
-    /// Blocks stored so far, which is the cache's clock.
+    id: CacheId,
+    /// Number of blocks stored so far, which serves as the cache's logical clock.
     stored: u64,
-    /// Blocks that it has room for.
+    /// Number of blocks that fit into the cache.
     capacity: u64,
-    /// Newest event seen.
+    /// Sequence number of the newest event received.
     seq: u64,
-    /// Beliefs up to this stamp were found to be evicted.
+    /// Entries with a stamp up to this one are known to be evicted.
     floor: u64,
 }
 
-/// What a cache is believed to have of a prompt.
+/// The prefix of a prompt that a cache is estimated to hold.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Estimate {
-    /// Leading blocks.
+    /// Number of leading blocks.
     pub blocks: usize,
-    /// When the last of them was used, by the cache's own clock.
+    /// Logical time of the cache when the last of them was used.
     stamp: u64,
 }
 
-/// A cache and how much of a prompt it is believed to have.
+/// A cache and the length of the prefix that it is estimated to hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Match {
     /// The cache.
     pub cache: CacheId,
-    /// Leading blocks that it has.
+    /// Number of leading blocks that it holds.
     pub blocks: usize,
 }
 
-/// Beliefs about all caches.
+/// The estimated contents of all caches.
 #[derive(Debug)]
 pub struct Index {
     settings: Settings,
-    buckets: Vec<Vec<Belief>>,
+    buckets: Vec<Vec<Entry>>,
     caches: Vec<Cache>,
     next: u32,
 }
 
 impl Index {
-    /// An index without beliefs.
+    /// Creates an empty index.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         let bits = settings.bits.min(MAX_BITS);
@@ -130,7 +134,7 @@
         let cache = CacheId(self.next);
         self.next += 1;
         self.caches.push(Cache {
-            cache,
+            id: cache,
             stored: 0,
             capacity: blocks_in(self.settings.capacity),
             seq: 0,
@@ -139,65 +143,65 @@
         cache
     }
 
-    /// Forgets a cache.
+    /// Removes a cache.
     pub fn remove_cache(&mut self, cache: CacheId) {
-        if let Ok(at) = self.find(cache) {
-            self.caches.remove(at);
+        if let Ok(index) = self.find(cache) {
+            self.caches.remove(index);
         }
     }
 
-    /// Notes the size that a cache reports.
+    /// Sets the size that an endpoint reports for its cache.
     pub fn resize(&mut self, cache: CacheId, capacity: Tokens) {
-        if let Ok(at) = self.find(cache)
+        if let Ok(index) = self.find(cache)
             && capacity.0 > 0
         {
-            self.caches[at].capacity = blocks_in(capacity);
+            self.caches[index].capacity = blocks_in(capacity);
         }
     }
 
-    /// Notes that a cache uses these blocks and stores those that it lacks.
+    /// Records that a cache uses these blocks and stores those that it lacks.
     pub fn record_use(&mut self, cache: CacheId, blocks: &[Block]) {
-        let Ok(at) = self.find(cache) else { return };
+        let Ok(index) = self.find(cache) else { return };
         for block in blocks {
-            self.store(at, *block);
+            self.store(index, *block);
         }
     }
 
-    /// Notes that a cache had lost what was believed. A cache evicts what was
-    /// used longest ago, so older beliefs fall with it. A young belief says
-    /// nothing about older ones: its blocks may still have been on their way in.
-    pub fn record_miss(&mut self, cache: CacheId, held: Estimate) {
-        let Ok(at) = self.find(cache) else { return };
-        let cache = &mut self.caches[at];
-        // A stamp from before the cache was cleared says nothing of it.
-        let age = cache.stored.checked_sub(held.stamp);
-        if age.is_some_and(|age| age >= cache.capacity / YOUNG) {
-            cache.floor = cache.floor.max(held.stamp);
+    /// Records that a cache did not hold an estimated prefix. Caches evict the least
+    /// recently used blocks first, so older entries are invalidated too. A miss of a young
+    /// entry does not invalidate anything, since its blocks may not have been stored yet.
+    pub fn record_miss(&mut self, cache: CacheId, estimate: Estimate) {
+        let Ok(index) = self.find(cache) else { return };
+        let cache = &mut self.caches[index];
+        // A stamp from before the cache was cleared does not apply to it.
+        let age = cache.stored.checked_sub(estimate.stamp);
+        if age.is_some_and(|age| age >= cache.capacity / YOUNG_DIVISOR) {
+            cache.floor = cache.floor.max(estimate.stamp);
         }
     }
 
-    /// Takes in cache events. Returns the cache to use from now on, which is
-    /// a new one if the cache was cleared, and the number of lost events.
+    /// Records cache events. Returns the id to use from now on, which is a new one if the
+    /// cache was cleared, and the number of lost events.
     pub fn record_events(&mut self, cache: CacheId, events: &[Event]) -> (CacheId, u64) {
         let mut cache = cache;
         let mut lost = 0;
         for event in events {
-            let Ok(at) = self.find(cache) else { break };
-            if event.seq <= self.caches[at].seq {
+            let Ok(index) = self.find(cache) else { break };
+            if event.seq <= self.caches[index].seq {
                 continue;
             }
-            lost += self.gap(at, event.seq);
+            lost += self.advance(index, event.seq);
             match event.change {
-                Change::Stored(block) => self.store(at, block),
+                Change::Stored(block) => self.store(index, block),
                 Change::Evicted(block) => self.evict(cache, block),
-                Change::Cleared => cache = self.renew(at),
+                Change::Cleared => cache = self.replace(index),
             }
         }
         (cache, lost)
     }
 
-    /// Collects the holders with the most leading blocks, at most `limit`,
-    /// best first, those that `usable` refuses left out.
+    /// Collects the caches that hold the most leading blocks, best first, at most `limit`.
+    /// Caches that `usable` rejects are skipped.
     pub fn find_best(
         &self,
         blocks: &[Block],
@@ -206,14 +210,14 @@
         found: &mut Vec<Match>,
     ) {
         for (depth, block) in blocks.iter().enumerate().rev() {
-            for belief in self.run(*block) {
+            for entry in self.entries_for(*block) {
                 if found.len() >= limit {
                     return;
                 }
-                let known = found.iter().any(|have| have.cache == belief.cache);
-                if !known && self.holds(belief) && usable(belief.cache) {
+                let known = found.iter().any(|other| other.cache == entry.cache);
+                if !known && self.is_valid(entry) && usable(entry.cache) {
                     found.push(Match {
-                        cache: belief.cache,
+                        cache: entry.cache,
                         blocks: depth + 1,
                     });
                 }
@@ -221,43 +225,42 @@
         }
     }
 
-    /// What a cache is believed to have of a prompt.
+    /// The prefix of a prompt that a cache is estimated to hold.
     #[must_use]
     pub fn estimate(&self, cache: CacheId, blocks: &[Block]) -> Estimate {
         for (depth, block) in blocks.iter().enumerate().rev() {
-            let own = |belief: &&Belief| belief.cache == cache && self.holds(belief);
-            if let Some(belief) = self.run(*block).iter().find(own) {
+            let matches = |entry: &&Entry| entry.cache == cache && self.is_valid(entry);
+            if let Some(entry) = self.entries_for(*block).iter().find(matches) {
                 return Estimate {
                     blocks: depth + 1,
-                    stamp: belief.stamp,
+                    stamp: entry.stamp,
                 };
             }
         }
         Estimate::default()
     }
 
-    /// Beliefs in memory.
+    /// Number of entries in memory.
     #[must_use]
     pub fn len(&self) -> usize {
         self.buckets.iter().map(Vec::len).sum()
     }
 
-    /// Whether there is no belief in memory.
+    /// Whether the index has no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.buckets.iter().all(Vec::is_empty)
     }
 
     fn find(&self, cache: CacheId) -> Result<usize, usize> {
-        self.caches
-            .binary_search_by_key(&cache, |cache| cache.cache)
+        self.caches.binary_search_by_key(&cache, |cache| cache.id)
     }
 
-    /// Whether the belief still stands: the cache lives and has not stored so
-    /// much since that the block must have been evicted.
-    fn holds(&self, belief: &Belief) -> bool {
-        match self.find(belief.cache) {
-            Ok(at) => self.caches[at].keeps(belief.stamp),
+    /// Whether an entry is still valid: the cache exists and has not stored so many blocks
+    /// since that this one must have been evicted.
+    fn is_valid(&self, entry: &Entry) -> bool {
+        match self.find(entry.cache) {
+            Ok(index) => self.caches[index].retains(entry.stamp),
             Err(_) => false,
         }
     }
@@ -266,79 +269,79 @@
         (block.0 as usize) & (self.buckets.len() - 1)
     }
 
-    /// All beliefs about a block.
-    fn run(&self, block: Block) -> &[Belief] {
+    /// All entries for a block.
+    fn entries_for(&self, block: Block) -> &[Entry] {
         let bucket = &self.buckets[self.bucket(block)];
-        let start = bucket.partition_point(|belief| belief.block < block);
-        let len = bucket[start..].partition_point(|belief| belief.block == block);
+        let start = bucket.partition_point(|entry| entry.block < block);
+        let len = bucket[start..].partition_point(|entry| entry.block == block);
         &bucket[start..start + len]
     }
 
-    fn store(&mut self, at: usize, block: Block) {
-        let cache = self.caches[at].cache;
-        let number = self.bucket(block);
+    fn store(&mut self, cache_index: usize, block: Block) {
+        let cache = self.caches[cache_index].id;
+        let bucket_index = self.bucket(block);
         let key = (block, cache);
-        let place =
-            self.buckets[number].binary_search_by_key(&key, |have| (have.block, have.cache));
-        match place {
-            Ok(place) => {
-                let belief = &mut self.buckets[number][place];
-                if !self.caches[at].keeps(belief.stamp) {
-                    self.caches[at].stored += 1;
+        let index = self.buckets[bucket_index]
+            .binary_search_by_key(&key, |other| (other.block, other.cache));
+        match index {
+            Ok(index) => {
+                let entry = &mut self.buckets[bucket_index][index];
+                if !self.caches[cache_index].retains(entry.stamp) {
+                    self.caches[cache_index].stored += 1;
                 }
-                belief.stamp = self.caches[at].stored;
+                entry.stamp = self.caches[cache_index].stored;
             }
-            Err(place) => {
-                self.caches[at].stored += 1;
-                let stamp = self.caches[at].stored;
-                let belief = Belief {
+            Err(index) => {
+                self.caches[cache_index].stored += 1;
+                let stamp = self.caches[cache_index].stored;
+                let entry = Entry {
                     block,
                     cache,
                     stamp,
                 };
-                self.buckets[number].insert(place, belief);
-                self.trim(number);
+                self.buckets[bucket_index].insert(index, entry);
+                self.trim(bucket_index);
             }
         }
     }
 
     fn evict(&mut self, cache: CacheId, block: Block) {
-        let number = self.bucket(block);
+        let bucket_index = self.bucket(block);
         let key = (block, cache);
-        let bucket = &mut self.buckets[number];
-        if let Ok(place) = bucket.binary_search_by_key(&key, |have| (have.block, have.cache)) {
-            bucket.remove(place);
+        let bucket = &mut self.buckets[bucket_index];
+        if let Ok(index) = bucket.binary_search_by_key(&key, |other| (other.block, other.cache)) {
+            bucket.remove(index);
         }
     }
 
-    /// Makes room in a bucket that grew too long: first what no longer holds,
-    /// then the older half by the age in each cache's own clock.
-    fn trim(&mut self, number: usize) {
-        if self.buckets[number].len() <= self.settings.depth {
+    /// Shrinks a bucket that has grown too long. Invalid entries are removed first, then
+    /// the older half by age on each cache's logical clock.
+    fn trim(&mut self, bucket_index: usize) {
+        if self.buckets[bucket_index].len() <= self.settings.depth {
             return;
         }
-        let mut bucket = std::mem::take(&mut self.buckets[number]);
-        bucket.retain(|belief| self.holds(belief));
+        let mut bucket = std::mem::take(&mut self.buckets[bucket_index]);
+        bucket.retain(|entry| self.is_valid(entry));
         if bucket.len() > self.settings.depth / 2 {
-            let mut ages: Vec<u64> = bucket.iter().map(|belief| self.age(belief)).collect();
+            let mut ages: Vec<u64> = bucket.iter().map(|entry| self.age(entry)).collect();
             ages.sort_unstable();
             let limit = ages[self.settings.depth / 2];
-            bucket.retain(|belief| self.age(belief) < limit);
+            bucket.retain(|entry| self.age(entry) < limit);
         }
-        self.buckets[number] = bucket;
+        self.buckets[bucket_index] = bucket;
     }
 
-    fn age(&self, belief: &Belief) -> u64 {
-        match self.find(belief.cache) {
-            Ok(at) => self.caches[at].stored - belief.stamp,
+    fn age(&self, entry: &Entry) -> u64 {
+        match self.find(entry.cache) {
+            Ok(index) => self.caches[index].stored - entry.stamp,
             Err(_) => u64::MAX,
         }
     }
 
-    /// Moves a cache to the event `seq`; returns how many were lost before it.
-    /// Half of the lost ones are taken to have stored a block.
-    fn gap(&mut self, at: usize, seq: u64) -> u64 {
-        let cache = &mut self.caches[at];
+    /// Advances a cache to the event `seq` and returns the number of events lost before it.
+    /// Half of the lost events are assumed to have stored a block.
+    fn advance(&mut self, index: usize, seq: u64) -> u64 {
+        let cache = &mut self.caches[index];
         let lost = if cache.seq == 0 {
             0
         } else {
@@ -349,13 +352,13 @@
         lost
     }
 
-    /// Replaces a cleared cache by an empty one with the same bounds.
-    fn renew(&mut self, at: usize) -> CacheId {
-        let old = self.caches.remove(at);
+    /// Replaces a cleared cache by an empty one with the same capacity.
+    fn replace(&mut self, index: usize) -> CacheId {
+        let old = self.caches.remove(index);
         let cache = CacheId(self.next);
         self.next += 1;
         self.caches.push(Cache {
-            cache,
+            id: cache,
             stored: 0,
             floor: 0,
             ..old
@@ -365,7 +368,7 @@
 }
 
 impl Cache {
-    fn keeps(&self, stamp: u64) -> bool {
+    fn retains(&self, stamp: u64) -> bool {
         stamp > self.floor && self.stored - stamp <= self.capacity
     }
 }
--- a/coltsfoothall/src/instances.rs
+++ b/coltsfoothall/src/instances.rs
@@ -1,4 +1,4 @@
-//! The instances of a service, as far as a lagging list and notices tell.
+//! The known instances of a service, derived from a lagging instance list and from notices.
 
 use std::time::Duration;
 
@@ -8,22 +8,23 @@
 use crate::fleet::Kind;
 use crate::id;
 
-/// One in so many absent at once is taken for a fault of the list.
-const OUTAGE_PART: usize = 4;
+/// If more than one in this many instances is absent at once, the list is assumed to be
+/// faulty.
+const OUTAGE_DIVISOR: usize = 4;
 
-/// Where an instance is in its life.
+/// Lifecycle phase of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// It is being started.
+    /// It is starting.
     Starting,
     /// It serves.
     Live,
-    /// It was given notice, is being stopped, or is known to be dead.
+    /// It has received a reclaim notice, is being stopped, or is known to be dead.
     Leaving,
 }
 
-/// An instance, as the list shows it.
+/// An instance as reported by the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Machine {
     /// Its name.
@@ -34,15 +35,15 @@
     pub phase: Phase,
 }
 
-/// An instance with what is remembered of it.
+/// An instance and its history.
 #[derive(Debug, Clone)]
 pub(crate) struct Known {
     pub(crate) machine: Machine,
-    /// When it was first heard of.
+    /// When it was first reported.
     pub(crate) since: Time,
-    /// When the list last showed it, or when it was started.
+    /// When the list last contained it, or when its start was confirmed.
     seen_at: Time,
-    /// When to tell it to stop (again), once it is to.
+    /// When to send the next stop request, if it is to be stopped.
     pub(crate) stop_at: Option<Time>,
 }
 
@@ -76,8 +77,8 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Set {
     pub(crate) known: Vec<Known>,
-    /// Notices of instances that the list hasn't shown yet.
-    early: Vec<Notice>,
+    /// Notices for instances that the list has not contained yet.
+    early_notices: Vec<Notice>,
 }
 
 impl Set {
@@ -86,104 +87,123 @@
             .binary_search_by(|known| known.machine.id.cmp(id))
     }
 
-    /// Takes in a list. It lags, so it never takes a notice back.
-    pub(crate) fn listed(&mut self, now: Time, machines: Vec<Machine>) {
+    /// Merges an instance list. Since the list lags, it never revokes a notice.
+    pub(crate) fn merge_list(&mut self, now: Time, machines: Vec<Machine>) {
         for mut machine in machines {
-            if self.early.iter().any(|notice| notice.id == machine.id) {
+            if self
+                .early_notices
+                .iter()
+                .any(|notice| notice.id == machine.id)
+            {
                 machine.phase = Phase::Leaving;
             }
             match self.find(&machine.id) {
-                Ok(at) => {
-                    let known = &mut self.known[at];
+                Ok(index) => {
+                    let known = &mut self.known[index];
                     known.seen_at = now;
                     if known.stays() {
                         known.machine.phase = machine.phase;
                     }
                 }
-                Err(at) => self.known.insert(at, Known::new(now, machine)),
+                Err(index) => self.known.insert(index, Known::new(now, machine)),
             }
         }
     }
 
-    /// Takes in a notice, or other evidence that an instance goes.
-    pub(crate) fn notice(&mut self, now: Time, id: id::Instance) {
+    /// Records a notice, or other evidence that an instance is going away.
+    pub(crate) fn record_notice(&mut self, now: Time, id: id::Instance) {
         match self.find(&id) {
-            Ok(at) => self.known[at].machine.phase = Phase::Leaving,
-            Err(_at) => self.early.push(Notice { id, at: now }),
+            Ok(index) => self.known[index].machine.phase = Phase::Leaving,
+            Err(_index) => self.early_notices.push(Notice { id, at: now }),
         }
     }
 
-    /// Takes in an answered start.
-    pub(crate) fn started(&mut self, now: Time, mut machine: Machine) {
-        if self.early.iter().any(|notice| notice.id == machine.id) {
+    /// Records a successful start.
+    pub(crate) fn record_start(&mut self, now: Time, mut machine: Machine) {
+        if self
+            .early_notices
+            .iter()
+            .any(|notice| notice.id == machine.id)
+        {
             machine.phase = Phase::Leaving;
         }
-        if let Err(at) = self.find(&machine.id) {
-            self.known.insert(at, Known::new(now, machine));
+        if let Err(index) = self.find(&machine.id) {
+            self.known.insert(index, Known::new(now, machine));
         }
     }
 
-    /// Drops what has been absent from the list for `absent`, or for `outage` if much is.
-    pub(crate) fn forget(&mut self, now: Time, absent: Duration, outage: Duration) {
-        let is_absent = |known: &&Known| known.seen_at + absent <= now;
+    /// Drops instances that have been absent from the list for `absence_timeout`, or for
+    /// `outage_timeout` if many are absent at once.
+    pub(crate) fn expire(
+        &mut self,
+        now: Time,
+        absence_timeout: Duration,
+        outage_timeout: Duration,
+    ) {
+        let is_absent = |known: &&Known| known.seen_at + absence_timeout <= now;
         let staying = || self.known.iter().filter(|known| known.stays());
         let missing = staying().filter(is_absent).count();
-        let many = missing * OUTAGE_PART > staying().count().max(OUTAGE_PART);
-        let bound = if many { outage } else { absent };
+        let many = missing * OUTAGE_DIVISOR > staying().count().max(OUTAGE_DIVISOR);
+        let timeout = if many {
+            outage_timeout
+        } else {
+            absence_timeout
+        };
         self.known.retain(|known| match known.stays() {
-            true => now < known.seen_at + bound,
-            false => now < known.seen_at + absent,
+            true => now < known.seen_at + timeout,
+            false => now < known.seen_at + absence_timeout,
         });
-        self.early.retain(|notice| now < notice.at + outage);
+        self.early_notices
+            .retain(|notice| now < notice.at + outage_timeout);
     }
 
-    /// Counts by kind.
-    pub(crate) fn tally<'a>(&'a self, wished: impl Iterator<Item = &'a Kind>) -> Tally {
+    /// Counts the instances by kind, including the pending starts.
+    pub(crate) fn tally<'a>(&'a self, pending: impl Iterator<Item = &'a Kind>) -> Tally {
         let mut tally = Tally::default();
         for known in self.known.iter().filter(|known| known.stays()) {
             let live = known.machine.phase == Phase::Live;
             tally.add(&known.machine.kind, live);
         }
-        wished.for_each(|kind| tally.add(kind, false));
+        pending.for_each(|kind| tally.add(kind, false));
         tally
     }
 }
 
-/// Instances of one kind.
+/// Number of instances of one kind.
 #[derive(Debug, Clone)]
-pub(crate) struct Row {
+pub(crate) struct Count {
     pub(crate) kind: Kind,
-    /// Here or on the way.
-    pub(crate) held: u32,
+    /// Running, starting or requested.
+    pub(crate) total: u32,
     /// Serving.
     pub(crate) live: u32,
 }
 
-/// Counts by kind, sorted.
+/// Instance counts, sorted by kind.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Tally {
-    pub(crate) rows: Vec<Row>,
+    pub(crate) counts: Vec<Count>,
 }
 
 impl Tally {
     pub(crate) fn add(&mut self, kind: &Kind, live: bool) {
-        let found = self.rows.binary_search_by(|row| row.kind.cmp(kind));
-        let at = found.unwrap_or_else(|at| {
-            let row = Row {
+        let found = self.counts.binary_search_by(|count| count.kind.cmp(kind));
+        let index = found.unwrap_or_else(|index| {
+            let count = Count {
                 kind: kind.clone(),
-                held: 0,
+                total: 0,
                 live: 0,
             };
-            self.rows.insert(at, row);
-            at
+            self.counts.insert(index, count);
+            index
         });
-        self.rows[at].held += 1;
-        self.rows[at].live += u32::from(live);
+        self.counts[index].total += 1;
+        self.counts[index].live += u32::from(live);
     }
 
-    /// Instances of a kind that are here or on the way.
-    pub(crate) fn held(&self, kind: &Kind) -> u32 {
-        let found = self.rows.binary_search_by(|row| row.kind.cmp(kind));
-        found.map_or(0, |at| self.rows[at].held)
+    /// Number of instances of a kind that are running, starting or requested.
+    pub(crate) fn total(&self, kind: &Kind) -> u32 {
+        let found = self.counts.binary_search_by(|count| count.kind.cmp(kind));
+        found.map_or(0, |index| self.counts[index].total)
     }
 }
--- a/coltsfoothall/src/intent.rs
+++ b/coltsfoothall/src/intent.rs
@@ -1,6 +1,6 @@
-//! What an operator states: objects as they should be, and objects to remove.
+//! An operator's intent: the desired state of objects, and objects to remove.
 //!
-//! An intent is a YAML document; JSON is YAML too. Every section may be left out:
+//! An intent is a YAML document (JSON is valid YAML). All sections are optional:
 //!
 //! ```
 //! use coltsfoothall::intent::Intent;
@@ -22,11 +22,11 @@
 //! # Ok::<(), coltsfoothall::intent::Error>(())
 //! ```
 //!
-//! - A stated object replaces the whole object of its name; fields that are
-//!   left out get their default, not their old value.
-//! - Objects that are not named stay as they are.
-//! - An object may not be stated twice, nor be stated and removed.
-//! - What is removed must be there, so that a wrong name is seen.
+//! - A stated object replaces the complete object of the same name. Fields that are omitted
+//!   get their default, not their previous value.
+//! - Objects that are not named remain unchanged.
+//! - An object must not be stated twice, nor be both stated and removed.
+//! - An object to remove must exist, so that a wrong name is detected.
 
 use std::str::FromStr;
 
@@ -38,7 +38,7 @@
 use crate::object::{self, Kind, Named, Object};
 use crate::rule;
 
-/// What is to change.
+/// A set of changes to the configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Intent {
@@ -73,10 +73,11 @@
 }
 
 quick_error! {
-    /// An intent that is refused.
+    /// The reason why an intent is refused.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// Not an intent: bad YAML, an unknown field or a bad name.
+        /// The document is not an intent: invalid YAML, an unknown field or an invalid
+        /// name.
         Document(message: String) {
             display("{message}")
         }
@@ -84,24 +85,24 @@
         Twice(object: Object) {
             display("{object}: field name: named twice in the intent")
         }
-        /// An object to remove is not there.
+        /// An object to remove does not exist.
         Absent(object: Object) {
             display("{object}: field remove: there is none")
         }
-        /// The configuration would break a rule.
+        /// The resulting configuration would violate a rule.
         Rule(error: rule::Error) {
             from()
             display("{error}")
         }
-        /// The configuration would not fit into the key-value service.
-        Large(bytes: usize, most: usize) {
-            display("configuration would have {bytes} bytes, at most {most} are stored")
+        /// The resulting configuration would be too large for the key-value service.
+        Large(bytes: usize, max: usize) {
+            display("the configuration would have {bytes} bytes, the maximum is {max}")
         }
     }
 }
 
 impl Error {
-    /// The field at fault as `kind.name.field`, as far as it is known.
+    /// The invalid field as `kind.name.field`, if it is known.
     #[must_use]
     pub fn field(&self) -> Option<String> {
         let (object, field) = match self {
@@ -121,17 +122,17 @@
         if text.trim().is_empty() {
             return Err(Error::Document("the document is empty".into()));
         }
-        // A snippet of the document could carry tokens into logs.
+        // A snippet of the document could leak bearer tokens into logs.
         serde_saphyr::from_str(text)
             .map_err(|error| Error::Document(error.without_snippet().to_string()))
     }
 }
 
 impl Intent {
-    /// The configuration once the intent holds, on the same revision.
+    /// Applies the intent to a configuration. The revision is not changed.
     ///
     /// # Errors
-    /// An object is named twice, or one to remove is not there. The rules of
+    /// An object is named twice, or an object to remove does not exist. The rules of
     /// [`Catalog::check`] are not checked here.
     pub fn apply(&self, base: &Catalog) -> Result<Catalog, Error> {
         let mut after = base.clone();
@@ -174,7 +175,7 @@
     stated: &[T],
     removed: Vec<&str>,
 ) -> Result<(), Error> {
-    once(
+    check_unique(
         T::KIND,
         stated.iter().map(T::name).chain(removed.iter().copied()),
     )?;
@@ -187,11 +188,11 @@
     Ok(())
 }
 
-fn once<'a>(kind: Kind, named: impl Iterator<Item = &'a str>) -> Result<(), Error> {
-    let mut named: Vec<&str> = named.collect();
-    named.sort_unstable();
-    match named.windows(2).find(|two| two[0] == two[1]) {
-        Some(two) => Err(Error::Twice(Object::new(kind, two[0]))),
+fn check_unique<'a>(kind: Kind, names: impl Iterator<Item = &'a str>) -> Result<(), Error> {
+    let mut names: Vec<&str> = names.collect();
+    names.sort_unstable();
+    match names.windows(2).find(|pair| pair[0] == pair[1]) {
+        Some(pair) => Err(Error::Twice(Object::new(kind, pair[0]))),
         None => Ok(()),
     }
 }
--- a/coltsfoothall/src/lib.rs
+++ b/coltsfoothall/src/lib.rs
@@ -1,7 +1,8 @@
-//! Every decision of coltsfoothall, free of sockets, tasks and files.
+//! The decision logic of coltsfoothall, without sockets, tasks or files.
 //!
-//! Aggregates take the time and one typed input, keep their own rules and
-//! return typed actions. The programs around them only move bytes.
+//! Each state machine takes the current time and one typed input, enforces its own
+//! invariants and returns typed actions. The programs that embed this crate perform the
+//! I/O.
 //!
 //! ```
 //! use coltsfoothall::key::Key;
--- a/coltsfoothall/src/limit.rs
+++ b/coltsfoothall/src/limit.rs
@@ -1,15 +1,16 @@
-//! Which requests go on to an endpoint, which wait and which are given up.
+//! Admission control: which requests are sent to an endpoint, which wait and which are
+//! refused.
 //!
-//! Work is counted in prompt tokens to be read plus a fixed amount for each
-//! open request. Each service has room for so much of it. A workspace may take
-//! at most its share, or a part of the room that is still free, whichever is
-//! more: so one that floods leaves room for the next small one. Waiting
-//! requests are served by start-time fair queueing over workspaces, interactive
-//! before batch, with a fixed part of the work for batch while it waits.
+//! Work is measured in prompt tokens to be processed plus a fixed amount for each open
+//! request. Each service has a budget of open work. A workspace may use its share or a part
+//! of the free budget, whichever is larger, so a flood of requests from one workspace
+//! leaves room for others. Waiting requests are served by start-time fair queueing over
+//! workspaces, interactive before batch, with a fixed part of the work for batch while it
+//! waits.
 //!
-//! A request that cannot be served within its deadline is refused at once with
-//! the time after which it is worth coming back, whether it just arrived or
-//! has waited; none is held until its deadline.
+//! A request that cannot be served within its deadline is refused as soon as that is known,
+//! with the time after which to retry. This holds for new and for waiting requests: none is
+//! kept waiting until its deadline just to be refused.
 
 use std::time::Duration;
 
@@ -23,29 +24,28 @@
 use crate::record::{Cause, Class};
 use crate::size::{Millis, Tokens};
 
-/// Bounds on what is open and what waits.
+/// Limits on open and waiting requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Most requests that wait in all; it bounds memory under a flood.
+    /// Maximum total number of waiting requests; it bounds memory under a flood.
     pub queue: usize,
-    /// Most requests of one workspace that wait; it keeps one workspace from
-    /// filling the queue.
+    /// Maximum number of waiting requests of one workspace, so that one workspace cannot
+    /// fill the queue.
     pub each: usize,
-    /// Work that one open request counts as beside its cost.
+    /// Work that one open request counts as, in addition to its cost.
     pub slot: Tokens,
-    /// Part of the free room that one workspace may take beyond its share, in
-    /// percent.
+    /// Part of the free budget that one workspace may use beyond its share, in percent.
     pub greed: u32,
-    /// Part of the admitted work that batch gets while it waits, in percent.
+    /// Part of the admitted work that is reserved for batch while it waits, in percent.
     pub batch: u32,
-    /// Part of the room that batch may hold, in percent.
+    /// Part of the budget that batch may mean_duration, in percent.
     pub batch_room: u32,
-    /// Time over which the rate of served work is averaged.
+    /// Time constant with which the rate of served work is averaged.
     pub window: Millis,
-    /// Shortest time that a refusal asks to stay away.
+    /// Minimum retry delay in a refusal.
     pub shortest: Millis,
-    /// Longest time that a refusal asks to stay away.
+    /// Maximum retry delay in a refusal.
     pub longest: Millis,
 }
 
@@ -65,70 +65,70 @@
     }
 }
 
-/// Names a request at the gate.
+/// Identifies a request at the gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Number(u64);
 
-/// A request that asks to go on.
+/// A request for admission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
     /// Its workspace.
     pub workspace: id::Workspace,
-    /// How urgent it is.
+    /// Its priority class.
     pub class: Class,
-    /// The service that it goes to.
+    /// The requested service.
     pub service: id::Service,
-    /// Latest time at which it helps to begin: the caller's deadline less the
-    /// time that the answer is expected to take.
+    /// Latest useful start time: the caller's deadline minus the expected duration of the
+    /// response.
     pub deadline: Time,
-    /// Prompt tokens that are expected to be read for it.
+    /// Number of prompt tokens that are expected to be processed for it.
     pub cost: Tokens,
 }
 
-/// A refusal and what to tell the caller.
+/// A refusal, with the details for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     /// Why.
     pub cause: Cause,
-    /// It is the workspace's own limit that is reached.
+    /// Whether the request exceeded a limit of its own workspace.
     pub limited: bool,
-    /// When it is worth coming back.
+    /// Time after which to retry.
     pub retry_after: Duration,
 }
 
-/// What becomes of an offered request.
+/// The decision about an offered request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It goes on now.
+    /// It starts now.
     Admit(Number),
     /// It waits for [`Gate::poll`].
     Queue(Number),
-    /// It is given up.
+    /// It is refused.
     Refuse(Refusal),
 }
 
-/// What became of a waiting request.
+/// The outcome for a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It goes on now.
+    /// It starts now.
     Ready(Number),
-    /// It is given up.
+    /// It is refused.
     Refused(Number, Refusal),
 }
 
-/// A request that waits or is open.
+/// A waiting or open request.
 #[derive(Debug)]
 struct Entry {
     number: Number,
     workspace: id::Workspace,
     service: id::Service,
     class: Class,
-    /// Work that it holds in its queue; nothing while it waits.
+    /// Work that it holds in its queue; `None` while it waits.
     held: Option<Tokens>,
     began: Time,
 }
 
-/// Decides which requests go on.
+/// Decides which requests are admitted.
 #[derive(Debug)]
 pub struct Gate {
     settings: Settings,
@@ -136,14 +136,14 @@
     queues: Vec<Queue>,
     entries: Vec<Entry>,
     next: u64,
-    /// Let on while another request was offered; handed out by the next poll.
+    /// Requests that started while another one was offered; the next poll returns them.
     ready: Vec<Number>,
-    /// Mean time that requests are open.
-    hold: Duration,
+    /// Moving average of the time for which requests are open.
+    mean_duration: Duration,
 }
 
 impl Gate {
-    /// A gate that knows no workspaces and has no room.
+    /// Creates a gate without workspaces and with no budget for any service.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -153,16 +153,16 @@
             entries: Vec::new(),
             next: 0,
             ready: Vec::new(),
-            hold: Duration::from_secs(1),
+            mean_duration: Duration::from_secs(1),
         }
     }
 
-    /// Takes the workspaces in force. Requests of one that is gone end as usual.
+    /// Sets the current workspaces. Requests of a workspace that was removed end as usual.
     pub fn set_workspaces(&mut self, workspaces: &[Workspace]) {
         let old = std::mem::take(&mut self.quotas);
         for workspace in workspaces {
-            let had = old.iter().find(|have| have.workspace == workspace.name);
-            self.quotas.push(Quota::new(workspace, had));
+            let previous = old.iter().find(|other| other.workspace == workspace.name);
+            self.quotas.push(Quota::new(workspace, previous));
         }
         self.quotas.sort_by(|a, b| a.workspace.cmp(&b.workspace));
         for queue in &mut self.queues {
@@ -173,90 +173,93 @@
         }
     }
 
-    /// Sets the work that may be open at a service, as the router has it.
+    /// Sets the work that may be open at a service; see
+    /// [`Router::budget`](crate::choice::Router::budget).
     pub fn set_budget(&mut self, service: &id::Service, budget: Tokens) {
         self.queue(service).budget = budget.0;
     }
 
-    /// A request arrives.
+    /// Offers a new request.
     pub fn offer(&mut self, now: Time, ticket: &Ticket) -> Decision {
         if let Err(refusal) = self.check(now, ticket) {
             return Decision::Refuse(refusal);
         }
-        let number = self.enter(now, ticket);
+        let number = self.enqueue(now, ticket);
         self.pump(now, &ticket.service);
-        match self.ready.iter().position(|have| *have == number) {
-            Some(place) => {
-                self.ready.remove(place);
+        match self.ready.iter().position(|other| *other == number) {
+            Some(index) => {
+                self.ready.remove(index);
                 Decision::Admit(number)
             }
             None => Decision::Queue(number),
         }
     }
 
-    /// A request's prompt was read, so only its open stream counts from now on.
+    /// Records that a request's prompt has been processed, so only its open stream counts
+    /// from now on.
     pub fn record_prefill(&mut self, now: Time, number: Number) {
         let slot = self.settings.slot;
-        let Ok(place) = self.find(number) else { return };
-        let entry = &mut self.entries[place];
+        let Ok(index) = self.find(number) else { return };
+        let entry = &mut self.entries[index];
         let Some(held) = entry.held else { return };
         entry.held = Some(held.min(slot));
         let (workspace, service, class) = entry.key();
-        let rest = held.minus(slot);
-        self.queue(&service).release(&workspace, class, rest);
+        let excess = held.minus(slot);
+        self.queue(&service).release(&workspace, class, excess);
         self.pump(now, &service);
     }
 
-    /// A request ended, or its caller left while it waited.
+    /// Records that a request has ended, or that its caller has disconnected while it
+    /// waited.
     pub fn record_end(&mut self, now: Time, number: Number) {
-        let Ok(place) = self.find(number) else { return };
-        let entry = self.entries.remove(place);
-        self.ready.retain(|have| *have != number);
+        let Ok(index) = self.find(number) else { return };
+        let entry = self.entries.remove(index);
+        self.ready.retain(|other| *other != number);
         let (workspace, service, class) = entry.key();
         let queue = self.queue(&service);
         match entry.held {
             Some(held) => {
                 queue.release(&workspace, class, held);
-                self.hold = (self.hold * 15 + now.since(entry.began)) / 16;
+                self.mean_duration = (self.mean_duration * 15 + now.since(entry.began)) / 16;
             }
             None => {
                 queue.withdraw(&workspace, class, number);
             }
         }
-        self.leave(&workspace);
+        self.release_quota(&workspace);
     }
 
-    /// Says what became of waiting requests since the last poll.
+    /// Returns the outcomes of waiting requests since the last poll.
     pub fn poll(&mut self, now: Time) -> Vec<Outcome> {
         let mut outcomes = Vec::new();
         let mut late = Vec::new();
-        for at in 0..self.queues.len() {
-            self.queues[at].review(now, &mut late);
-            let service = self.queues[at].service.clone();
+        for index in 0..self.queues.len() {
+            self.queues[index].review(now, &mut late);
+            let service = self.queues[index].service.clone();
             self.pump(now, &service);
         }
         for number in late {
-            outcomes.push(self.give_up(number));
+            outcomes.push(self.refuse(number));
         }
         let ready = std::mem::take(&mut self.ready);
         outcomes.extend(ready.into_iter().map(Outcome::Ready));
         outcomes
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        self.queues.iter().map(Queue::waits).sum()
+        self.queues.iter().map(Queue::waiting).sum()
     }
 
-    /// Requests that wait or are open.
+    /// Number of waiting or open requests.
     #[must_use]
     pub fn open(&self) -> usize {
         self.entries.len()
     }
 
     fn check(&mut self, now: Time, ticket: &Ticket) -> Result<(), Refusal> {
-        let hold = self.hold;
+        let mean_duration = self.mean_duration;
         let settings = self.settings.clone();
         let refuse = |cause, after: Duration| {
             let shortest = settings.shortest.duration();
@@ -273,14 +276,15 @@
         let waiting = self.waiting();
         let queue = self.queue(&ticket.service);
         let wait = queue.wait(&ticket.workspace, ticket.class);
-        let mine = queue.waits_of(&ticket.workspace);
+        let own_waiting = queue.waiting_of(&ticket.workspace);
         if queue.budget == 0 {
             return refuse(Cause::NoEndpoint, settings.longest.duration() / 8);
         }
-        if waiting >= settings.queue || mine >= settings.each || now + wait > ticket.deadline {
+        if waiting >= settings.queue || own_waiting >= settings.each || now + wait > ticket.deadline
+        {
             return refuse(Cause::Overloaded, wait);
         }
-        let Ok(at) = self.quota(&ticket.workspace) else {
+        let Ok(index) = self.quota(&ticket.workspace) else {
             return Ok(());
         };
         let limited = |refused: Result<(), Refusal>| {
@@ -289,9 +293,9 @@
                 ..refusal
             })
         };
-        let quota = &mut self.quotas[at];
-        if quota.most_open > 0 && quota.open >= quota.most_open {
-            return limited(refuse(Cause::Overloaded, hold / quota.most_open));
+        let quota = &mut self.quotas[index];
+        if quota.max_open > 0 && quota.open >= quota.max_open {
+            return limited(refuse(Cause::Overloaded, mean_duration / quota.max_open));
         }
         match quota.take(now) {
             Ok(()) => Ok(()),
@@ -299,7 +303,7 @@
         }
     }
 
-    fn enter(&mut self, now: Time, ticket: &Ticket) -> Number {
+    fn enqueue(&mut self, now: Time, ticket: &Ticket) -> Number {
         let number = Number(self.next);
         self.next += 1;
         let waiting = Waiting {
@@ -317,8 +321,8 @@
             held: None,
             began: now,
         });
-        if let Ok(at) = self.quota(&ticket.workspace) {
-            self.quotas[at].open += 1;
+        if let Ok(index) = self.quota(&ticket.workspace) {
+            self.quotas[index].open += 1;
         }
         number
     }
@@ -328,22 +332,22 @@
         let settings = self.settings.clone();
         self.queue(service).pump(now, &settings, &mut starts);
         for start in starts {
-            let place = self
+            let index = self
                 .find(start.number)
                 .expect("a waiting request stays among the entries until it ends");
-            self.entries[place].held = Some(start.held);
-            self.entries[place].began = now;
+            self.entries[index].held = Some(start.held);
+            self.entries[index].began = now;
             self.ready.push(start.number);
         }
     }
 
-    fn give_up(&mut self, number: Number) -> Outcome {
+    fn refuse(&mut self, number: Number) -> Outcome {
         let mut retry_after = self.settings.shortest.duration();
-        if let Ok(place) = self.find(number) {
-            let entry = self.entries.remove(place);
+        if let Ok(index) = self.find(number) {
+            let entry = self.entries.remove(index);
             let (workspace, service, class) = entry.key();
             retry_after = self.queue(&service).wait(&workspace, class);
-            self.leave(&workspace);
+            self.release_quota(&workspace);
         }
         let shortest = self.settings.shortest.duration();
         let longest = self.settings.longest.duration().max(shortest);
@@ -355,9 +359,9 @@
         Outcome::Refused(number, refusal)
     }
 
-    fn leave(&mut self, workspace: &id::Workspace) {
-        if let Ok(at) = self.quota(workspace) {
-            let quota = &mut self.quotas[at];
+    fn release_quota(&mut self, workspace: &id::Workspace) {
+        if let Ok(index) = self.quota(workspace) {
+            let quota = &mut self.quotas[index];
             quota.open = quota.open.saturating_sub(1);
         }
     }
@@ -373,18 +377,18 @@
     }
 
     fn queue(&mut self, service: &id::Service) -> &mut Queue {
-        let place = self
+        let index = self
             .queues
             .binary_search_by(|queue| queue.service.cmp(service));
-        let place = place.unwrap_or_else(|place| {
+        let index = index.unwrap_or_else(|index| {
             let mut queue = Queue::new(service.clone());
             for quota in &self.quotas {
                 queue.set_share(&quota.workspace, quota.share);
             }
-            self.queues.insert(place, queue);
-            place
+            self.queues.insert(index, queue);
+            index
         });
-        &mut self.queues[place]
+        &mut self.queues[index]
     }
 }
 
--- a/coltsfoothall/src/load.rs
+++ b/coltsfoothall/src/load.rs
@@ -1,10 +1,10 @@
-//! How busy an endpoint is believed to be.
+//! An estimate of the load of an endpoint.
 //!
-//! The requests that this instance has open there are known at once. What
-//! others have open comes from the endpoint's reports, which lag: each report
-//! is compared with what was open here when it was taken, and loses its weight
-//! with age, towards the mean of the service, the sooner the shorter requests are. An endpoint whose reports stop
-//! therefore looks neither idle nor full.
+//! The requests that this instance has open at the endpoint are known immediately. The load
+//! caused by others comes from the endpoint's reports, which lag: this instance's own load
+//! at the time of the report is subtracted, and the rest decays with age towards the mean
+//! of the service, the faster the shorter its requests are. An endpoint that stops
+//! reporting therefore looks neither idle nor full.
 
 use std::time::Duration;
 
@@ -16,27 +16,28 @@
 /// Load that an endpoint reports about itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Requests in the batch.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests in the queue.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Prompt tokens still to be read.
+    /// Prompt tokens that remain to be processed.
     pub prefill: Tokens,
-    /// Tokens held in the prefix cache.
+    /// Tokens in the prefix cache.
     pub cached: Tokens,
-    /// Size of the prefix cache.
+    /// Capacity of the prefix cache.
     pub capacity: Tokens,
 }
 
-/// How reports are read.
+/// How reports are interpreted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Time by which reports usually lag.
+    /// Typical lag of a report.
     pub lag: Millis,
-    /// Age at which a report of open requests has lost two thirds of its weight.
+    /// Time constant with which the reported open requests decay.
     pub fade: Millis,
-    /// The same for prompt tokens still to be read, which change faster.
+    /// Time constant for the prompt tokens that remain to be processed, which change
+    /// faster.
     pub fade_prefill: Millis,
 }
 
@@ -55,7 +56,7 @@
 pub struct Work {
     /// Open requests.
     pub open: f64,
-    /// Prompt tokens still to be read.
+    /// Prompt tokens that remain to be processed.
     pub prefill: f64,
 }
 
@@ -87,42 +88,42 @@
         }
     }
 
-    /// The point at `share` of the way to `other`.
+    /// Interpolates linearly from this work to `other`, by `share`.
     #[must_use]
     pub fn towards(self, other: Self, share: f64) -> Self {
         self.times(1.0 - share).plus(other.times(share))
     }
 }
 
-/// How the reports of one service are seen.
+/// Parameters for interpreting the reports of one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct View {
     /// Work of others at an average endpoint.
     pub mean: Work,
-    /// Time constant with which reported open requests lose their weight.
+    /// Time constant with which reported open requests decay.
     pub fade: Duration,
-    /// The same for reported prompt tokens.
+    /// Time constant with which reported prompt tokens decay.
     pub fade_prefill: Duration,
 }
 
 impl View {
-    /// The view of a service whose requests are open for `hold` on average:
-    /// what was open longer ago than that has ended.
+    /// The view of a service whose requests are open for `duration` on average: requests
+    /// that were reported longer ago than that have ended.
     #[must_use]
-    pub fn new(mean: Work, hold: Duration, settings: &Settings) -> Self {
+    pub fn new(mean: Work, duration: Duration, settings: &Settings) -> Self {
         Self {
             mean,
-            fade: settings.fade.duration().min(hold),
-            fade_prefill: settings.fade_prefill.duration().min(hold),
+            fade: settings.fade.duration().min(duration),
+            fade_prefill: settings.fade_prefill.duration().min(duration),
         }
     }
 }
 
-/// What is known of one endpoint's load.
+/// The load state of one endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct State {
     own: Work,
-    /// Own work as a report with the usual lag shows it.
+    /// Own work as a report with the typical lag shows it.
     shown: Work,
     shown_at: Time,
     others: Option<Others>,
@@ -141,9 +142,10 @@
         self.own
     }
 
-    /// A request was sent, of whose prompt `prefill` is believed uncached.
+    /// Records that a request was sent; `prefill` tokens of its prompt are estimated to be
+    /// uncached.
     pub fn record_start(&mut self, now: Time, prefill: Tokens, settings: &Settings) {
-        self.follow(now, settings);
+        self.update(now, settings);
         let work = Work {
             open: 1.0,
             prefill: prefill.0 as f64,
@@ -151,9 +153,9 @@
         self.own = self.own.plus(work);
     }
 
-    /// Prompt tokens of a request were read.
+    /// Records that prompt tokens of a request were processed.
     pub fn record_prefill(&mut self, now: Time, prefill: Tokens, settings: &Settings) {
-        self.follow(now, settings);
+        self.update(now, settings);
         let work = Work {
             open: 0.0,
             prefill: prefill.0 as f64,
@@ -161,9 +163,9 @@
         self.own = self.own.minus(work);
     }
 
-    /// A request ended.
+    /// Records that a request ended.
     pub fn record_end(&mut self, now: Time, settings: &Settings) {
-        self.follow(now, settings);
+        self.update(now, settings);
         let work = Work {
             open: 1.0,
             prefill: 0.0,
@@ -171,9 +173,9 @@
         self.own = self.own.minus(work);
     }
 
-    /// A report arrived. Returns the work of others that it shows.
+    /// Records a report. Returns the work of others that it shows.
     pub fn record_report(&mut self, now: Time, report: &Report, settings: &Settings) -> Work {
-        self.follow(now, settings);
+        self.update(now, settings);
         let all = Work {
             open: f64::from(report.running) + f64::from(report.waiting),
             prefill: report.prefill.0 as f64,
@@ -183,43 +185,43 @@
         work
     }
 
-    /// All work that is believed to be at the endpoint.
+    /// Estimate of all work at the endpoint.
     #[must_use]
     pub fn estimate(&self, now: Time, view: &View) -> Work {
         self.own.plus(self.others(now, view))
     }
 
-    /// Work of others that is believed to be at the endpoint.
+    /// Estimate of the work of others at the endpoint.
     #[must_use]
     pub fn others(&self, now: Time, view: &View) -> Work {
         let Some(others) = self.others else {
             return view.mean;
         };
         let age = now.since(others.at);
-        let open = keep(age, view.fade);
-        let prefill = keep(age, view.fade_prefill);
+        let open = decay(age, view.fade);
+        let prefill = decay(age, view.fade_prefill);
         Work {
             open: blend(others.work.open, view.mean.open, open),
             prefill: blend(others.work.prefill, view.mean.prefill, prefill),
         }
     }
 
-    /// Moves what a report would show towards what is open now.
-    fn follow(&mut self, now: Time, settings: &Settings) {
+    /// Moves the work that a report would show towards the work that is open now.
+    fn update(&mut self, now: Time, settings: &Settings) {
         let age = now.since(self.shown_at);
-        let share = 1.0 - keep(age, settings.lag.duration());
+        let share = 1.0 - decay(age, settings.lag.duration());
         self.shown = self.shown.towards(self.own, share);
         self.shown_at = now;
     }
 }
 
-/// The point between two values with weight `share` on the first.
+/// Weighted mean of two values, with weight `share` on the first.
 fn blend(first: f64, second: f64, share: f64) -> f64 {
     first * share + second * (1.0 - share)
 }
 
-/// Weight that is left after `age`, with time constant `span`.
-fn keep(age: Duration, span: Duration) -> f64 {
-    let span = span.as_secs_f64().max(1e-3);
-    (-age.as_secs_f64() / span).exp()
+/// Exponential decay factor after `age`, with the given time constant.
+fn decay(age: Duration, time_constant: Duration) -> f64 {
+    let time_constant = time_constant.as_secs_f64().max(1e-3);
+    (-age.as_secs_f64() / time_constant).exp()
 }
--- a/coltsfoothall/src/member.rs
+++ b/coltsfoothall/src/member.rs
@@ -165,7 +165,7 @@
         let Some(member) = found.ok().map(|at| &mut self.members[at]) else {
             return;
         };
-        let later = member.digest.age() > (death.incarnation, death.version);
+        let later = member.digest.logical_time() > (death.incarnation, death.version);
         if !later && member.dead.is_none() {
             // Older news of its life are no news any more.
             member.digest.incarnation = death.incarnation;
@@ -186,14 +186,14 @@
         let (joined, leaving) = match self.find(&instance) {
             Ok(at) => {
                 let member = &mut self.members[at];
-                if digest.age() <= member.digest.age() {
+                if digest.logical_time() <= member.digest.logical_time() {
                     return;
                 }
                 let anew = digest.incarnation > member.digest.incarnation;
                 let joined = anew || member.dead.is_some();
                 let leaving = digest.leaving && (joined || !member.digest.leaving);
                 let old = std::mem::replace(member, Member::new(now, digest));
-                let routine = !joined && old.digest.same(&member.digest);
+                let routine = !joined && old.digest.is_same_state(&member.digest);
                 member.told = if routine { old.told } else { 0 };
                 member.judged = old.judged.filter(|_| !joined);
                 (joined, leaving)
--- a/coltsfoothall/src/object.rs
+++ b/coltsfoothall/src/object.rs
@@ -1,4 +1,4 @@
-//! What operators name: five kinds of objects in lists sorted by name.
+//! The five kinds of objects in the configuration, kept in lists sorted by name.
 
 use std::fmt;
 
@@ -44,7 +44,7 @@
 }
 
 impl Object {
-    /// Names an object.
+    /// Creates a reference to an object.
     #[must_use]
     pub fn new(kind: Kind, name: &str) -> Self {
         Self {
@@ -92,20 +92,20 @@
 /// Finds an object in a list sorted by name.
 #[must_use]
 pub fn find<'a, T: Named>(list: &'a [T], name: &str) -> Option<&'a T> {
-    let at = list.binary_search_by(|item| item.name().cmp(name)).ok()?;
-    list.get(at)
+    let index = list.binary_search_by(|item| item.name().cmp(name)).ok()?;
+    list.get(index)
 }
 
-/// Puts an object into a sorted list, in place of one with its name.
+/// Inserts an object into a sorted list, replacing one with the same name.
 pub fn put<T: Named>(list: &mut Vec<T>, item: T) {
     match list.binary_search_by(|other| other.name().cmp(item.name())) {
-        Ok(at) => list[at] = item,
-        Err(at) => list.insert(at, item),
+        Ok(index) => list[index] = item,
+        Err(index) => list.insert(index, item),
     }
 }
 
-/// Takes an object out of a sorted list; `None` if there was none.
+/// Removes an object from a sorted list and returns it; `None` if there is none.
 pub fn take<T: Named>(list: &mut Vec<T>, name: &str) -> Option<T> {
-    let at = list.binary_search_by(|item| item.name().cmp(name)).ok()?;
-    Some(list.remove(at))
+    let index = list.binary_search_by(|item| item.name().cmp(name)).ok()?;
+    Some(list.remove(index))
 }
--- a/coltsfoothall/src/pending.rs
+++ b/coltsfoothall/src/pending.rs
@@ -1,4 +1,4 @@
-//! Starts that are asked for and not yet answered.
+//! Starts that have been requested but not yet answered.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 use crate::id;
 use crate::steward::Fence;
 
-/// Name of a wish; the platform starts at most one instance for it.
+/// Idempotency token of a start; the platform starts at most one instance for it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Token(String);
 
 impl Token {
-    /// The name as text.
+    /// The token as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
@@ -23,10 +23,10 @@
 struct Pending {
     token: Token,
     kind: Kind,
-    asked_at: Time,
+    requested_at: Time,
 }
 
-/// The open starts, sorted by token.
+/// The pending starts, sorted by token.
 #[derive(Debug, Clone)]
 pub(crate) struct List {
     service: id::Service,
@@ -49,12 +49,12 @@
         self.starts.len()
     }
 
-    /// The kinds wished for, one entry a start.
+    /// The requested kinds, one entry for each pending start.
     pub(crate) fn kinds(&self) -> impl Iterator<Item = &Kind> {
         self.starts.iter().map(|start| &start.kind)
     }
 
-    /// Makes a start. Digits are padded, so that later tokens sort last.
+    /// Adds a pending start. The digits are padded so that later tokens sort last.
     pub(crate) fn add(&mut self, now: Time, kind: Kind) -> Token {
         self.number += 1;
         let Self {
@@ -67,12 +67,12 @@
         self.starts.push(Pending {
             token: token.clone(),
             kind,
-            asked_at: now,
+            requested_at: now,
         });
         token
     }
 
-    /// Removes an answered start.
+    /// Removes a start that was answered.
     pub(crate) fn take(&mut self, token: &Token) -> Option<Kind> {
         let at = self
             .starts
@@ -81,13 +81,13 @@
         Some(self.starts.remove(at).kind)
     }
 
-    /// Wishes to ask for again, having waited for `repeat`.
-    pub(crate) fn late(&mut self, now: Time, repeat: Duration) -> Vec<(Token, Kind)> {
-        let late = |start: &&mut Pending| start.asked_at + repeat <= now;
-        let again = |start: &mut Pending| {
-            start.asked_at = now;
+    /// Starts to request again, after waiting for `retry_interval`.
+    pub(crate) fn take_due(&mut self, now: Time, retry_interval: Duration) -> Vec<(Token, Kind)> {
+        let is_due = |start: &&mut Pending| start.requested_at + retry_interval <= now;
+        let retry = |start: &mut Pending| {
+            start.requested_at = now;
             (start.token.clone(), start.kind.clone())
         };
-        self.starts.iter_mut().filter(late).map(again).collect()
+        self.starts.iter_mut().filter(is_due).map(retry).collect()
     }
 }
--- a/coltsfoothall/src/pool.rs
+++ b/coltsfoothall/src/pool.rs
@@ -1,6 +1,6 @@
-//! The endpoints of all services, with what is known of each.
+//! The endpoints of all services and their state.
 //!
-//! Nodes are sorted by service and name, so a service's nodes stand together.
+//! Nodes are sorted by service and name, so the nodes of one service are contiguous.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -15,34 +15,34 @@
 use crate::prefix::Block;
 use crate::record::Class;
 
-/// Share of one report or request in the running means of a service.
-const MEAN_SHARE: f64 = 0.05;
+/// Weight of one report or request in the exponential moving averages of a service.
+const AVERAGE_WEIGHT: f64 = 0.05;
 
-/// Time that requests are taken to be open before any has ended.
-const FIRST_HOLD: Duration = Duration::from_secs(5);
-/// Weight that a request's work keeps with each further request.
-const WORK_KEPT: f64 = 0.998;
+/// Assumed duration of a request before any request of the service has ended.
+const INITIAL_DURATION: Duration = Duration::from_secs(5);
+/// Factor by which the work of earlier requests is discounted with each new request.
+const WORK_DECAY: f64 = 0.998;
 
 /// An endpoint and its state.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) endpoint: Endpoint,
-    pub(crate) holder: CacheId,
+    pub(crate) cache: CacheId,
     pub(crate) load: load::State,
     pub(crate) leaving: bool,
-    /// Avoided before this time.
+    /// The endpoint is avoided until this time.
     pub(crate) suspect: Time,
-    /// Open requests that nothing may run beside.
+    /// Number of open requests that must run isolated.
     pub(crate) isolated: u32,
-    /// Place of its service in the table.
+    /// Index of its service in the table.
     pub(crate) pool: usize,
     hash: u64,
-    /// Place among the service's nodes by hash, between 0 and 1.
+    /// Rank among the service's nodes in the order of their hashes, from 0 to 1.
     pub(crate) rank: f64,
 }
 
 impl Node {
-    /// Whether the endpoint may take the request.
+    /// Whether the endpoint may serve the request.
     pub(crate) fn serves(&self, query: &Query<'_>) -> bool {
         let models = &self.endpoint.models;
         let model = match query.model {
@@ -63,18 +63,18 @@
 struct Pool {
     service: id::Service,
     nodes: Range<usize>,
-    /// Running mean of others' work at one endpoint.
+    /// Moving average of the work that other entry instances have open at one endpoint.
     mean: Work,
-    /// Running mean of the time that a request is open.
-    hold: Duration,
-    /// Work sent from here, older work counting less: all, and batch.
+    /// Moving average of the time for which a request is open.
+    duration: Duration,
+    /// Discounted sum of the work sent by this instance: all work, and batch work.
     sent: [f64; 2],
 }
 
-/// Which node a holder is.
+/// The node to which a cache belongs.
 #[derive(Debug, Clone, Copy)]
-struct Seat {
-    holder: CacheId,
+struct CacheOwner {
+    cache: CacheId,
     node: usize,
 }
 
@@ -82,54 +82,54 @@
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     nodes: Vec<Node>,
-    /// Nodes by name.
+    /// Node indices sorted by endpoint name.
     names: Vec<usize>,
-    /// Nodes by holder.
-    seats: Vec<Seat>,
-    /// Services, sorted.
+    /// Nodes sorted by cache.
+    cache_owners: Vec<CacheOwner>,
+    /// Services, sorted by name.
     pools: Vec<Pool>,
 }
 
 impl Table {
-    /// Takes a new list; nodes whose endpoint stays keep their state.
-    pub(crate) fn replace(&mut self, endpoints: Vec<Endpoint>, index: &mut Index) {
+    /// Replaces the endpoints. Nodes whose endpoint remains keep their state.
+    pub(crate) fn replace(&mut self, endpoints: Vec<Endpoint>, caches: &mut Index) {
         let mut old = std::mem::take(&mut self.nodes);
         old.sort_by(|a, b| a.endpoint.id.cmp(&b.endpoint.id));
         for endpoint in endpoints {
-            let place = old.binary_search_by(|node| node.endpoint.id.cmp(&endpoint.id));
-            let node = match place {
-                Ok(place) => Node {
+            let index = old.binary_search_by(|node| node.endpoint.id.cmp(&endpoint.id));
+            let node = match index {
+                Ok(index) => Node {
                     endpoint,
-                    ..old.remove(place)
+                    ..old.remove(index)
                 },
-                Err(_) => fresh(endpoint, index),
+                Err(_) => new_node(endpoint, caches),
             };
             self.nodes.push(node);
         }
         for node in &old {
-            index.remove_cache(node.holder);
+            caches.remove_cache(node.cache);
         }
-        self.arrange();
+        self.rebuild();
     }
 
-    pub(crate) fn remove(&mut self, id: &id::Endpoint, index: &mut Index) {
-        if let Some(place) = self.place(id) {
-            let node = self.nodes.remove(place);
-            index.remove_cache(node.holder);
-            self.arrange();
+    pub(crate) fn remove(&mut self, id: &id::Endpoint, caches: &mut Index) {
+        if let Some(index) = self.find(id) {
+            let node = self.nodes.remove(index);
+            caches.remove_cache(node.cache);
+            self.rebuild();
         }
     }
 
     pub(crate) fn get_mut(&mut self, id: &id::Endpoint) -> Option<&mut Node> {
-        let place = self.place(id)?;
-        Some(&mut self.nodes[place])
+        let index = self.find(id)?;
+        Some(&mut self.nodes[index])
     }
 
     pub(crate) fn at(&self, node: usize) -> &Node {
         &self.nodes[node]
     }
 
-    /// Nodes of a service.
+    /// Node indices of a service.
     pub(crate) fn range(&self, service: &id::Service) -> Range<usize> {
         self.pool(service).map_or(0..0, |pool| pool.nodes.clone())
     }
@@ -138,104 +138,106 @@
         self.nodes[self.range(service)].iter()
     }
 
-    /// The node that a holder is.
-    pub(crate) fn holder(&self, holder: CacheId) -> Option<usize> {
-        let place = self.seats.binary_search_by_key(&holder, |seat| seat.holder);
-        place.ok().map(|place| self.seats[place].node)
+    /// The node to which a cache belongs.
+    pub(crate) fn node_of(&self, cache: CacheId) -> Option<usize> {
+        let index = self
+            .cache_owners
+            .binary_search_by_key(&cache, |owner| owner.cache);
+        index.ok().map(|index| self.cache_owners[index].node)
     }
 
-    /// The nodes of a service that a block hashes to, by weighted rendezvous
-    /// hashing; `weight` says how much of a node may be used, by its rank.
-    pub(crate) fn homes(
+    /// The nodes of a service to which a block hashes by weighted rendezvous hashing.
+    /// `weight` gives the usable share of a node by its rank.
+    pub(crate) fn hash_targets(
         &self,
         service: &id::Service,
         weight: &dyn Fn(f64) -> f64,
         block: Block,
         count: usize,
     ) -> Vec<usize> {
-        let mut homes: Vec<(f64, usize)> = Vec::with_capacity(count + 1);
-        for at in self.range(service) {
-            let node = &self.nodes[at];
+        let mut targets: Vec<(f64, usize)> = Vec::with_capacity(count + 1);
+        for node_index in self.range(service) {
+            let node = &self.nodes[node_index];
             let weight = weight(node.rank);
             if node.leaving || weight <= 0.0 {
                 continue;
             }
             let score = score(node.hash, block, weight);
-            let place = homes.partition_point(|(have, _)| *have > score);
-            if place < count {
-                homes.insert(place, (score, at));
-                homes.truncate(count);
+            let index = targets.partition_point(|(other, _)| *other > score);
+            if index < count {
+                targets.insert(index, (score, node_index));
+                targets.truncate(count);
             }
         }
-        homes.into_iter().map(|(_, node)| node).collect()
+        targets.into_iter().map(|(_, node)| node).collect()
     }
 
-    /// How the reports of a service are seen.
+    /// How the load reports of a service are interpreted.
     pub(crate) fn view(&self, service: &id::Service, settings: &load::Settings) -> View {
         match self.pool(service) {
-            Some(pool) => View::new(pool.mean, pool.hold, settings),
-            None => View::new(Work::default(), FIRST_HOLD, settings),
+            Some(pool) => View::new(pool.mean, pool.duration, settings),
+            None => View::new(Work::default(), INITIAL_DURATION, settings),
         }
     }
 
     pub(crate) fn pool_view(&self, pool: usize, settings: &load::Settings) -> View {
         let pool = &self.pools[pool];
-        View::new(pool.mean, pool.hold, settings)
+        View::new(pool.mean, pool.duration, settings)
     }
 
-    /// Takes the time that a request was open into the mean of its service.
-    pub(crate) fn note_hold(&mut self, pool: usize, hold: Duration) {
-        let mean = &mut self.pools[pool].hold;
-        *mean = mean.mul_f64(1.0 - MEAN_SHARE) + hold.mul_f64(MEAN_SHARE);
+    /// Records the time for which a request was open in the moving average of its service.
+    pub(crate) fn record_duration(&mut self, pool: usize, duration: Duration) {
+        let mean = &mut self.pools[pool].duration;
+        *mean = mean.mul_f64(1.0 - AVERAGE_WEIGHT) + duration.mul_f64(AVERAGE_WEIGHT);
     }
 
-    /// Takes a report's view of others' work into the mean of its service.
-    pub(crate) fn note_others(&mut self, pool: usize, work: Work) {
+    /// Records the work of others shown by a report in the moving average of its service.
+    pub(crate) fn record_others(&mut self, pool: usize, work: Work) {
         let mean = &mut self.pools[pool].mean;
-        *mean = mean.towards(work, MEAN_SHARE);
+        *mean = mean.towards(work, AVERAGE_WEIGHT);
     }
 
-    /// Notes work that was sent, in microseconds of an endpoint.
-    pub(crate) fn note_work(&mut self, pool: usize, class: Class, work: f64) {
+    /// Records work that was sent, in microseconds of an endpoint's time.
+    pub(crate) fn record_work(&mut self, pool: usize, class: Class, work: f64) {
         let [all, batch] = &mut self.pools[pool].sent;
-        *all = *all * WORK_KEPT + work;
-        *batch *= WORK_KEPT;
+        *all = *all * WORK_DECAY + work;
+        *batch *= WORK_DECAY;
         if class == Class::Batch {
             *batch += work;
         }
     }
 
-    /// Part of a service's work that is batch.
-    pub(crate) fn part(&self, service: &id::Service) -> f64 {
+    /// Share of batch in a service's work.
+    pub(crate) fn batch_share(&self, service: &id::Service) -> f64 {
         let [all, batch] = self.pool(service).map_or([0.0; 2], |pool| pool.sent);
         if all > 0.0 { batch / all } else { 0.0 }
     }
 
-    /// Sorts the holders anew.
-    pub(crate) fn seat(&mut self) {
-        self.seats.clear();
+    /// Rebuilds the cache lookup table.
+    pub(crate) fn index_caches(&mut self) {
+        self.cache_owners.clear();
         for (node, state) in self.nodes.iter().enumerate() {
-            let holder = state.holder;
-            self.seats.push(Seat { holder, node });
+            let cache = state.cache;
+            self.cache_owners.push(CacheOwner { cache, node });
         }
-        self.seats.sort_unstable_by_key(|seat| seat.holder);
+        self.cache_owners.sort_unstable_by_key(|owner| owner.cache);
     }
 
-    fn place(&self, id: &id::Endpoint) -> Option<usize> {
+    fn find(&self, id: &id::Endpoint) -> Option<usize> {
         let by_name = |node: &usize| self.nodes[*node].endpoint.id.cmp(id);
-        let place = self.names.binary_search_by(by_name).ok()?;
-        Some(self.names[place])
+        let index = self.names.binary_search_by(by_name).ok()?;
+        Some(self.names[index])
     }
 
     fn pool(&self, service: &id::Service) -> Option<&Pool> {
-        let place = self
+        let index = self
             .pools
             .binary_search_by(|pool| pool.service.cmp(service));
-        place.ok().map(|place| &self.pools[place])
+        index.ok().map(|index| &self.pools[index])
     }
 
-    /// Sorts the nodes and builds what finds them.
-    fn arrange(&mut self) {
+    /// Sorts the nodes and rebuilds the lookup tables.
+    fn rebuild(&mut self) {
         self.nodes.sort_by(|a, b| {
             let service = a.endpoint.service.cmp(&b.endpoint.service);
             service.then_with(|| a.endpoint.id.cmp(&b.endpoint.id))
@@ -245,47 +247,47 @@
         self.names = names;
         self.group();
         self.rank();
-        self.seat();
+        self.index_caches();
     }
 
-    /// Ranks each service's nodes by hash.
+    /// Ranks the nodes of each service by hash.
     fn rank(&mut self) {
         for pool in &self.pools {
             let mut order: Vec<usize> = pool.nodes.clone().collect();
             order.sort_by_key(|node| self.nodes[*node].hash);
             let len = order.len() as f64;
-            for (place, node) in order.into_iter().enumerate() {
-                self.nodes[node].rank = place as f64 / len;
+            for (index, node) in order.into_iter().enumerate() {
+                self.nodes[node].rank = index as f64 / len;
             }
         }
     }
 
-    /// Finds the services' ranges, keeping their means.
+    /// Recomputes the node ranges of the services, keeping their moving averages.
     fn group(&mut self) {
         let old = std::mem::take(&mut self.pools);
-        for at in 0..self.nodes.len() {
-            let endpoint = &self.nodes[at].endpoint;
+        for node_index in 0..self.nodes.len() {
+            let endpoint = &self.nodes[node_index].endpoint;
             let same = |pool: &&mut Pool| pool.service == endpoint.service;
             if let Some(pool) = self.pools.last_mut().filter(same) {
-                pool.nodes.end = at + 1;
+                pool.nodes.end = node_index + 1;
             } else {
                 let known = old.iter().find(|pool| pool.service == endpoint.service);
                 self.pools.push(Pool {
                     service: endpoint.service.clone(),
-                    nodes: at..at + 1,
+                    nodes: node_index..node_index + 1,
                     mean: known.map_or(Work::default(), |pool| pool.mean),
-                    hold: known.map_or(FIRST_HOLD, |pool| pool.hold),
+                    duration: known.map_or(INITIAL_DURATION, |pool| pool.duration),
                     sent: known.map_or([0.0; 2], |pool| pool.sent),
                 });
             }
-            self.nodes[at].pool = self.pools.len() - 1;
+            self.nodes[node_index].pool = self.pools.len() - 1;
         }
     }
 }
 
-fn fresh(endpoint: Endpoint, index: &mut Index) -> Node {
+fn new_node(endpoint: Endpoint, caches: &mut Index) -> Node {
     Node {
-        holder: index.add_cache(),
+        cache: caches.add_cache(),
         load: load::State::default(),
         leaving: false,
         suspect: Time::START,
@@ -297,13 +299,14 @@
     }
 }
 
-/// Score of an endpoint for a block: the highest is the block's home.
+/// Rendezvous score of an endpoint for a block. The block hashes to the endpoint with the
+/// highest score.
 fn score(hash: u64, block: Block, weight: f64) -> f64 {
-    let drawn = xxh3_64_with_seed(&block.0.to_le_bytes(), hash);
-    let part = drawn as f64 / u64::MAX as f64;
+    let hash = xxh3_64_with_seed(&block.0.to_le_bytes(), hash);
+    let fraction = hash as f64 / u64::MAX as f64;
     if weight >= 1.0 {
-        part
+        fraction
     } else {
-        part.powf(1.0 / weight)
+        fraction.powf(1.0 / weight)
     }
 }
--- a/coltsfoothall/src/prefix.rs
+++ b/coltsfoothall/src/prefix.rs
@@ -8,7 +8,7 @@
 
 /// Bytes of prompt in one block.
 pub const BLOCK_BYTES: usize = 1024;
-/// Bytes that count as one token of a prompt, before an engine says better.
+/// Bytes of prompt that count as one token, until an engine reports the actual number.
 pub const BYTES_PER_TOKEN: usize = 4;
 /// Tokens in one block.
 pub const BLOCK_TOKENS: Tokens = Tokens((BLOCK_BYTES / BYTES_PER_TOKEN) as u64);
@@ -18,7 +18,8 @@
 #[serde(transparent)]
 pub struct Block(pub u64);
 
-/// Seed of a model's blocks, which keeps models and adapters apart.
+/// Hash seed for the blocks of a model, so that blocks of different models and adapters
+/// differ.
 #[must_use]
 pub fn seed(model: &id::Model, adapter: Option<&id::Adapter>) -> u64 {
     match adapter {
@@ -27,14 +28,14 @@
     }
 }
 
-/// Hashes the whole blocks of a prompt; a rest shorter than a block is left out.
+/// Hashes the complete blocks of a prompt. A remainder shorter than a block is ignored.
 ///
-/// `seed` keeps prompts of different models apart.
+/// `seed` distinguishes prompts of different models.
 #[must_use]
 pub fn blocks(seed: u64, prompt: &str) -> Vec<Block> {
     let mut hash = seed;
-    let whole = prompt.as_bytes().chunks_exact(BLOCK_BYTES);
-    whole
+    let complete = prompt.as_bytes().chunks_exact(BLOCK_BYTES);
+    complete
         .map(|block| {
             hash = xxh3_64_with_seed(block, hash);
             Block(hash)
@@ -42,7 +43,7 @@
         .collect()
 }
 
-/// Tokens that a prompt counts as, at least one.
+/// Estimated number of tokens of a prompt, at least one.
 #[must_use]
 pub fn tokens(prompt: &str) -> Tokens {
     Tokens(prompt.len().div_ceil(BYTES_PER_TOKEN).max(1) as u64)
--- a/coltsfoothall/src/start.rs
+++ b/coltsfoothall/src/start.rs
@@ -1,16 +1,16 @@
-//! Starts and stops that bring the instances held to the set wanted.
+//! Starts and stops that bring the running instances to the wanted set.
 //!
-//! An instance with notice no longer counts, so its replacement starts while
-//! it still serves. A refused start backs its kind off and the load goes to
-//! the next cheapest kind elsewhere; once the cheaper kind can be had again,
-//! the costlier substitute is given back after its successor serves.
+//! An instance with a notice no longer counts, so its replacement starts while it still
+//! serves. A refused start puts its kind into backoff, and the load moves to the next
+//! cheapest kind that is available. Once the cheaper kind is available again, the more
+//! expensive substitute is released as soon as its successor serves.
 //!
-//! Three things keep starts from multiplying. Each start has a token of
-//! service, fencing number and wish number, so asking again after a lost
-//! answer starts nothing more. A new steward starts nothing until the lagging
-//! list must show what its predecessor started. An instance that the list no
-//! longer shows counts as held until it has been absent for long, longer
-//! still when many go at once.
+//! Three rules prevent duplicate starts. Each start has a token made of service, fencing
+//! number and request number, so retrying after a lost answer does not start a second
+//! instance. A new steward starts nothing until the lagging list must contain everything
+//! that its predecessor started. An instance that disappears from the list keeps counting
+//! until it has been absent for `absence_timeout`, or for `outage_timeout` if many
+//! disappear at once.
 
 use std::time::Duration;
 
@@ -26,27 +26,30 @@
 pub use crate::instances::{Machine, Phase};
 pub use crate::pending::Token;
 
-/// Span of [`Settings::max_per_minute`], and time from one telling to stop to the next.
+/// Window of [`Settings::max_per_minute`], and time between two stop requests for one
+/// instance.
 const MINUTE: Duration = Duration::from_secs(60);
 
 /// Limits of starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// Most starts without an answer; it stops a storm on the cloud's API.
+    /// Maximum number of unanswered starts; it limits the load on the cloud API.
     pub max_pending: usize,
-    /// Most starts in a minute; it stops a wrong list from buying a second fleet.
+    /// Maximum number of starts per minute, so that a wrong list cannot cause a second
+    /// fleet to be bought.
     pub max_per_minute: usize,
-    /// Longest lag of the instance list, the flight of a start included.
+    /// Maximum lag of the instance list, including the time a start request takes to
+    /// arrive.
     pub max_lag: Duration,
-    /// Time that an instance must be absent from the list to be believed gone.
+    /// Time for which an instance must be absent from the list to be considered gone.
     pub absence_timeout: Duration,
-    /// The same where more than a quarter is absent at once.
+    /// The same if more than a quarter of the instances is absent at once.
     pub outage_timeout: Duration,
-    /// First backoff of a kind after a refusal.
+    /// Initial backoff of a kind after a refusal.
     pub backoff: Duration,
-    /// Time from one asking to the next while an answer is lost.
+    /// Time between two requests for a start whose answer was lost.
     pub retry_interval: Duration,
-    /// Time that a start may take; a later one is stopped and replaced.
+    /// Time that a start may take; after that the instance is stopped and replaced.
     pub start_timeout: Duration,
     /// Seed of the jitter.
     pub seed: u64,
@@ -68,67 +71,67 @@
     }
 }
 
-/// What is to be held.
+/// The wanted instances.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Wanted {
-    /// The plan's instances.
+    /// The instances of the plan.
     pub allocations: Vec<Allocation>,
-    /// All that can be had, for substitutes.
+    /// All offers, for substitutes.
     pub offers: Vec<Offer>,
-    /// What the classes carry, sorted by class.
+    /// Capacity of each machine class, sorted by class.
     pub capacities: Vec<Capacity>,
 }
 
-/// What the queue hears.
+/// An input to the queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// What is to be held.
+    /// The wanted instances.
     Wanted(Wanted),
     /// The instance list was read.
     Listed(Vec<Machine>),
-    /// An instance was given notice, or is known to be dead.
+    /// An instance has received a reclaim notice, or is known to be dead.
     Notice(id::Instance),
-    /// A start was answered.
+    /// A start succeeded.
     Started {
-        /// The wish.
+        /// Token of the start.
         token: Token,
         /// The instance.
         id: id::Instance,
     },
     /// A start was refused.
     Refused(Token),
-    /// A start's answer was lost, or the cloud's API is down.
+    /// The answer to a start was lost, or the cloud API is unavailable.
     Unknown(Token),
 }
 
-/// What the queue wants from the cloud's API.
+/// A request to the cloud API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Start an instance.
     Start {
-        /// Names the wish.
+        /// Token of the start.
         token: Token,
         /// The kind.
         kind: Kind,
     },
-    /// Stop an instance: drain it, then give it back.
+    /// Stop an instance: drain it, then release it.
     Stop(id::Instance),
 }
 
-/// Counts since the queue began, and how far it is.
+/// Counters since the queue was created, and its current progress.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Wishes made.
+    /// Number of starts requested.
     pub requested: u64,
-    /// Starts refused.
+    /// Number of starts refused.
     pub refused: u64,
-    /// Starts asked again after a lost answer.
+    /// Number of starts that were retried after a lost answer.
     pub retries: u64,
-    /// Load held, instances on the way included.
+    /// Load carried by the instances, including those that are starting or requested.
     pub held_load: u64,
-    /// Load wanted.
+    /// Load of the wanted instances.
     pub wanted_load: u64,
 }
 
@@ -137,54 +140,54 @@
 pub struct Queue {
     settings: Settings,
     first_start_at: Time,
-    /// Whether a list was read that shows all that a predecessor started.
-    listed: bool,
+    /// Whether a list has been read that contains everything a predecessor started.
+    list_complete: bool,
     wanted: Wanted,
-    set: instances::Set,
+    instances: instances::Set,
     pending: pending::List,
     backoffs: backoff::Table,
-    started: Vec<Time>,
+    recent_starts: Vec<Time>,
     progress: Progress,
 }
 
 impl Queue {
-    /// The queue of a steward whose first order may be sent at `now`.
+    /// Creates the queue of a steward that may send its first order at `now`.
     #[must_use]
     pub fn new(now: Time, settings: Settings, service: id::Service, fence: Fence) -> Self {
         Self {
             settings,
             first_start_at: now + settings.max_lag,
-            listed: false,
+            list_complete: false,
             wanted: Wanted::default(),
-            set: instances::Set::default(),
+            instances: instances::Set::default(),
             pending: pending::List::new(service, fence),
             backoffs: backoff::Table::new(settings.backoff, settings.seed ^ fence),
-            started: Vec::new(),
+            recent_starts: Vec::new(),
             progress: Progress::default(),
         }
     }
 
-    /// Counts since the queue began, and how far it is.
+    /// Counters since the queue was created, and its current progress.
     #[must_use]
     pub fn progress(&self) -> Progress {
         self.progress
     }
 
-    /// Kinds that can't be had for now, for an operator to see.
+    /// Kinds that are currently refused, for display to an operator.
     pub fn refused(&self, now: Time) -> impl Iterator<Item = &Kind> {
         self.backoffs.waiting(now)
     }
 
-    /// Takes one input.
+    /// Handles one input.
     pub fn handle(&mut self, now: Time, input: Input) -> Vec<Action> {
         match input {
             Input::Tick => return self.tick(now),
             Input::Wanted(wanted) => self.wanted = wanted,
             Input::Listed(machines) => {
-                self.listed |= self.first_start_at <= now;
-                self.set.listed(now, machines);
+                self.list_complete |= self.first_start_at <= now;
+                self.instances.merge_list(now, machines);
             }
-            Input::Notice(id) => self.set.notice(now, id),
+            Input::Notice(id) => self.instances.record_notice(now, id),
             Input::Started { token, id } => self.started(now, &token, id),
             Input::Refused(token) => self.refuse(now, &token),
             Input::Unknown(_token) => {}
@@ -193,21 +196,21 @@
     }
 
     fn tick(&mut self, now: Time) -> Vec<Action> {
-        self.set.forget(
+        self.instances.expire(
             now,
             self.settings.absence_timeout,
             self.settings.outage_timeout,
         );
-        let mut actions = self.repeat(now);
-        let mut tally = self.set.tally(self.pending.kinds());
-        if self.listed {
+        let mut actions = self.retry(now);
+        let mut tally = self.instances.tally(self.pending.kinds());
+        if self.list_complete {
             self.start(now, &mut tally, &mut actions);
             self.stop_slow(now);
             self.stop_surplus(now, &mut tally);
         }
-        self.stops(now, &mut actions);
+        self.request_stops(now, &mut actions);
         self.progress.wanted_load = self.wanted_load();
-        self.progress.held_load = self.load_of(&tally, |row| row.held);
+        self.progress.held_load = self.load_of(&tally, |count| count.total);
         actions
     }
 
@@ -217,7 +220,8 @@
         };
         self.backoffs.clear(&kind);
         let phase = Phase::Starting;
-        self.set.started(now, Machine { id, kind, phase });
+        self.instances
+            .record_start(now, Machine { id, kind, phase });
     }
 
     fn refuse(&mut self, now: Time, token: &Token) {
@@ -227,40 +231,41 @@
         }
     }
 
-    fn repeat(&mut self, now: Time) -> Vec<Action> {
-        let late = self.pending.late(now, self.settings.retry_interval);
-        self.progress.retries += late.len() as u64;
-        let again = |(token, kind)| Action::Start { token, kind };
-        late.into_iter().map(again).collect()
+    fn retry(&mut self, now: Time) -> Vec<Action> {
+        let due = self.pending.take_due(now, self.settings.retry_interval);
+        self.progress.retries += due.len() as u64;
+        let retry = |(token, kind)| Action::Start { token, kind };
+        due.into_iter().map(retry).collect()
     }
 
     fn start(&mut self, now: Time, tally: &mut Tally, actions: &mut Vec<Action>) {
-        self.started.retain(|at| now < *at + MINUTE);
-        let rest = self
+        self.recent_starts.retain(|at| now < *at + MINUTE);
+        let budget = self
             .settings
             .max_per_minute
-            .saturating_sub(self.started.len());
-        let idle = self.settings.max_pending.saturating_sub(self.pending.len());
-        for _start in 0..rest.min(idle) {
+            .saturating_sub(self.recent_starts.len());
+        let free = self.settings.max_pending.saturating_sub(self.pending.len());
+        for _start in 0..budget.min(free) {
             let Some(kind) = self.next_kind(now, tally) else {
                 return;
             };
             tally.add(&kind, false);
             let token = self.pending.add(now, kind.clone());
             self.progress.requested += 1;
-            self.started.push(now);
+            self.recent_starts.push(now);
             actions.push(Action::Start { token, kind });
         }
     }
 
-    /// The kind to start next: one that the plan lacks, else a substitute for refused load.
+    /// The kind to start next: one that the plan lacks, or else a substitute for refused
+    /// load.
     fn next_kind(&self, now: Time, tally: &Tally) -> Option<Kind> {
         let lacks =
-            |allocation: &&Allocation| tally.held(&allocation.offer.kind) < allocation.count;
+            |allocation: &&Allocation| tally.total(&allocation.offer.kind) < allocation.count;
         let mut lacking = self.wanted.allocations.iter().filter(lacks).peekable();
         lacking.peek()?;
         let free = lacking.find(|allocation| self.is_free(now, &allocation.offer.kind));
-        let held = self.load_of(tally, |row| row.held);
+        let held = self.load_of(tally, |count| count.total);
         match free {
             Some(allocation) => Some(allocation.offer.kind.clone()),
             None if held < self.wanted_load() => self.substitute(now, tally),
@@ -268,22 +273,24 @@
         }
     }
 
-    /// The cheapest kind for its load that isn't backed off; the least held among equals.
+    /// The kind with the lowest price per unit of load that is not backing off. Ties are
+    /// broken in favour of the kind with the fewest instances.
     fn substitute(&self, now: Time, tally: &Tally) -> Option<Kind> {
         let free = |offer: &&Offer| self.is_free(now, &offer.kind);
         let cost = |offer: &Offer| {
             let load = self.load(&offer.kind);
             let price = u128::from(offer.price.0) * 1_000_000;
-            (load > 0).then(|| (price / u128::from(load), tally.held(&offer.kind)))
+            (load > 0).then(|| (price / u128::from(load), tally.total(&offer.kind)))
         };
         let offers = self.wanted.offers.iter().filter(free);
         let costs = offers.filter_map(|offer| Some((cost(offer)?, &offer.kind)));
         costs.min().map(|(_cost, kind)| kind.clone())
     }
 
-    /// Whether a kind may be asked for; one that was refused is probed by one start at a time.
+    /// Whether a kind may be requested. A kind that was refused is probed with one start at
+    /// a time.
     fn is_free(&self, now: Time, kind: &Kind) -> bool {
-        let probed = || self.pending.kinds().any(|wished| wished == kind);
+        let probed = || self.pending.kinds().any(|pending| pending == kind);
         let probing = self.backoffs.is_suspect(kind) && probed();
         !probing && !self.backoffs.waits(now, kind)
     }
@@ -305,52 +312,52 @@
             .sum()
     }
 
-    fn load_of(&self, tally: &Tally, count: impl Fn(&instances::Row) -> u32) -> u64 {
-        let load = |row: &instances::Row| self.load(&row.kind) * u64::from(count(row));
-        tally.rows.iter().map(load).sum()
+    fn load_of(&self, tally: &Tally, number: impl Fn(&instances::Count) -> u32) -> u64 {
+        let load = |count: &instances::Count| self.load(&count.kind) * u64::from(number(count));
+        tally.counts.iter().map(load).sum()
     }
 
-    /// Gives up on starts that take too long.
+    /// Stops instances that take too long to start.
     fn stop_slow(&mut self, now: Time) {
-        let slow = self.settings.start_timeout;
+        let timeout = self.settings.start_timeout;
         let starting = |known: &&mut Known| known.machine.phase == Phase::Starting;
-        for known in self.set.known.iter_mut().filter(starting) {
-            if known.since + slow <= now {
+        for known in self.instances.known.iter_mut().filter(starting) {
+            if known.since + timeout <= now {
                 known.stop(now);
             }
         }
     }
 
-    /// Stops what is held beyond the plan once the rest carries the plan's load.
+    /// Stops instances beyond the plan once the remaining ones carry the plan's load.
     fn stop_surplus(&mut self, now: Time, tally: &mut Tally) {
         for _stop in 0..self.settings.max_pending {
-            let live = self.load_of(tally, |row| row.live);
+            let live = self.load_of(tally, |count| count.live);
             let spare = live.saturating_sub(self.wanted_load());
-            let Some(at) = self.surplus(tally, spare) else {
+            let Some(index) = self.surplus(tally, spare) else {
                 return;
             };
-            self.set.known[at].stop(now);
-            *tally = self.set.tally(self.pending.kinds());
+            self.instances.known[index].stop(now);
+            *tally = self.instances.tally(self.pending.kinds());
         }
     }
 
-    /// The costliest live instance beyond the plan whose load can be spared.
+    /// Index of the most expensive live instance beyond the plan whose load can be spared.
     fn surplus(&self, tally: &Tally, spare: u64) -> Option<usize> {
-        let fits = |row: &&instances::Row| self.is_surplus(row, spare);
-        let rows = tally.rows.iter().filter(fits);
-        let row = rows.max_by_key(|row| (self.price(&row.kind), &row.kind))?;
-        let live = |k: &Known| k.machine.phase == Phase::Live && k.machine.kind == row.kind;
-        self.set.known.iter().rposition(live)
+        let fits = |count: &&instances::Count| self.is_surplus(count, spare);
+        let counts = tally.counts.iter().filter(fits);
+        let count = counts.max_by_key(|count| (self.price(&count.kind), &count.kind))?;
+        let live = |k: &Known| k.machine.phase == Phase::Live && k.machine.kind == count.kind;
+        self.instances.known.iter().rposition(live)
     }
 
-    fn is_surplus(&self, row: &instances::Row, spare: u64) -> bool {
+    fn is_surplus(&self, count: &instances::Count, spare: u64) -> bool {
         let allocation = self
             .wanted
             .allocations
             .iter()
-            .find(|allocation| allocation.offer.kind == row.kind);
-        let count = allocation.map_or(0, |allocation| allocation.count);
-        row.live > 0 && row.held > count && self.load(&row.kind) <= spare
+            .find(|allocation| allocation.offer.kind == count.kind);
+        let planned = allocation.map_or(0, |allocation| allocation.count);
+        count.live > 0 && count.total > planned && self.load(&count.kind) <= spare
     }
 
     fn price(&self, kind: &Kind) -> Price {
@@ -358,9 +365,9 @@
         offer.map_or(Price(0), |offer| offer.price)
     }
 
-    /// Stops that are new, or not yet seen done.
-    fn stops(&mut self, now: Time, actions: &mut Vec<Action>) {
-        for known in &mut self.set.known {
+    /// Adds stop requests that are new or not yet confirmed by the list.
+    fn request_stops(&mut self, now: Time, actions: &mut Vec<Action>) {
+        for known in &mut self.instances.known {
             if known.stop_at.is_some_and(|at| at <= now) {
                 known.stop_at = Some(now + MINUTE);
                 actions.push(Action::Stop(known.machine.id.clone()));
--- a/coltsfoothall/src/weight.rs
+++ b/coltsfoothall/src/weight.rs
@@ -1,35 +1,35 @@
-//! What each part of an endpoint's expected cost weighs.
+//! Weights of the terms of an endpoint's expected cost.
 //!
-//! Costs are added up in microseconds of a caller's wait, so each weight says
-//! how many microseconds one unit of its quantity is worth.
+//! Costs are expressed in microseconds of a caller's waiting time, so each weight is the
+//! number of microseconds that one unit of its quantity is worth.
 
 use serde::{Deserialize, Serialize};
 
-/// Expected reclaims of an instance in a thousand hours.
+/// Expected number of reclaims of an instance in a thousand hours.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Risk(pub u64);
 
-/// The weights of a choice.
+/// Weights of the cost terms.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Weights {
-    /// Microseconds for each prompt token that the endpoint still has to read
-    /// before this request's own.
+    /// Microseconds for each prompt token that the endpoint must process before those of
+    /// this request.
     pub queued: f64,
-    /// Microseconds for each token of the request's prompt that is not cached:
-    /// its own reading time, and what the reading costs the others in the batch.
+    /// Microseconds for each uncached token of the request's prompt: its own processing
+    /// time, and the delay that this causes for the other requests in the batch.
     pub uncached: f64,
-    /// Microseconds less for each uncached token at the endpoint that the
-    /// first unknown block hashes to, where other entry instances bring it too.
+    /// Discount in microseconds for each uncached token at the endpoint to which the first
+    /// uncached block hashes, since other entry instances send the same prefix there.
     pub home: f64,
-    /// Microseconds for each request open at the endpoint.
+    /// Microseconds for each open request at the endpoint.
     pub open: f64,
     /// Microseconds for a hop to another failure domain.
     pub hop: f64,
-    /// Endpoints where batch has its homes, as a multiple of its part of the
-    /// work; it keeps long prompts from being read where callers wait. At 0
-    /// both classes have homes everywhere.
+    /// Share of the endpoints to which batch prompts hash, as a multiple of batch's share
+    /// of the work. It keeps long batch prompts away from endpoints that serve interactive
+    /// callers. At 0, prompts of both classes hash to all endpoints.
     pub apart: f64,
 }
 
