--- a/coltsfoothall/benches/choice.rs
+++ b/coltsfoothall/benches/choice.rs
@@ -1,4 +1,4 @@
-//! Microseconds a choice, with the bookkeeping of a request around it, at three
+//! Time to choose an endpoint and to keep account of a request, in microseconds, at three
 //! sizes of a service. Run with `cargo bench -p coltsfoothall --bench choice`.
 
 use std::hint::black_box;
@@ -12,19 +12,19 @@
 use coltsfoothall::size::{Price, Tokens};
 use coltsfoothall::weight::Risk;
 
-/// Endpoints of the service.
+/// Number of endpoints of the service.
 const SIZES: [usize; 3] = [9, 450, 2_700];
-/// Requests that are timed.
+/// Number of requests that are timed.
 const REQUESTS: u64 = 20_000;
-/// Blocks of a prompt: 16,384 tokens.
+/// Number of blocks in a prompt: 16,384 tokens.
 const BLOCKS: u64 = 64;
-/// Documents that the requests are about.
+/// Number of documents that the requests refer to.
 const DOCUMENTS: u64 = 2_000;
-/// Requests that are open at any time.
+/// Number of requests that are open at any time.
 const OPEN: usize = 200;
 
 fn main() {
-    println!("| endpoints | choose, us | began, first and ended, us | beliefs |");
+    println!("| endpoints | choose, us | record start, first token and end, us | index entries |");
     println!("| --- | --- | --- | --- |");
     for size in SIZES {
         let figures = measure(size);
@@ -39,7 +39,7 @@
     router.set_endpoints((0..size).map(|n| endpoint(&service, n)).collect());
     let mut open: Vec<Run> = Vec::new();
     let mut choosing = Duration::ZERO;
-    let mut keeping = Duration::ZERO;
+    let mut recording = Duration::ZERO;
     for n in 0..REQUESTS * 2 {
         let now = Time::START + Duration::from_millis(n);
         let blocks = prompt(n);
@@ -55,19 +55,19 @@
         if open.len() > OPEN {
             router.record_end(now, open.swap_remove(n as usize % OPEN));
         }
-        let kept = start.elapsed();
+        let recorded = start.elapsed();
         // The first half fills the index.
         if n >= REQUESTS {
             choosing += chosen;
-            keeping += kept;
+            recording += recorded;
         }
     }
     let each = |span: Duration| span.as_secs_f64() * 1e6 / REQUESTS as f64;
-    let beliefs = router.index_entries();
+    let entries = router.index_entries();
     format!(
-        "| {size} | {:.1} | {:.1} | {beliefs} |",
+        "| {size} | {:.1} | {:.1} | {entries} |",
         each(choosing),
-        each(keeping)
+        each(recording)
     )
 }
 
--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -1,5 +1,5 @@
-//! Time and memory of the control state for each member, endpoint, slot and
-//! workspace, at several sizes up to the one to design for.
+//! Time and memory of the control state by number of members, endpoints, slots and
+//! workspaces, at several sizes up to the one the system is designed for.
 //!
 //! `cargo bench -p coltsfoothall --bench control`
 
@@ -24,13 +24,13 @@
 use coltsfoothall::stall::{self, Watch};
 use coltsfoothall::weight::Risk;
 
-/// Failure domains at the size to design for.
+/// Number of failure domains at the size the system is designed for.
 const DOMAINS: usize = 19;
-/// Times that each step is measured.
+/// Number of measurements of each operation.
 const ROUNDS: usize = 101;
-/// Objects that are made at once where memory is read.
+/// Number of objects that are created to measure the memory of one.
 const COPIES: usize = 20;
-/// Blocks that an endpoint's cache holds: 400,000 tokens.
+/// Number of blocks in an endpoint's cache: 400,000 tokens.
 const CACHE: u64 = 1562;
 
 fn main() {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Prints the median time and the spread.
+/// Prints the median time and the 10th and 90th percentiles.
 fn measure(name: &str, mut run: impl FnMut(usize)) {
     let mut times: Vec<u128> = Vec::new();
     for round in 0..ROUNDS {
@@ -77,14 +77,14 @@
     pages.expect("its second field is a number") * 4096
 }
 
-/// Prints the resident bytes of one of many equal objects.
-fn weigh<T>(name: &str, mut make: impl FnMut() -> T) {
+/// Prints the resident memory per object, measured over many equal objects.
+fn measure_memory<T>(name: &str, mut make: impl FnMut() -> T) {
     let warm: Vec<T> = (0..2).map(|_| make()).collect();
     let before = resident();
     let held: Vec<T> = (0..COPIES).map(|_| make()).collect();
     let bytes = resident().saturating_sub(before) / COPIES;
     println!("{name}_bytes={bytes}");
-    // Memory that was given back would be used again and not be seen the next time.
+    // Freed memory would be reused and would not show up in the next measurement.
     std::mem::forget((warm, held));
 }
 
@@ -126,7 +126,7 @@
 }
 
 fn membership(members: usize) {
-    weigh(&format!("members={members} table"), || table_of(members));
+    measure_memory(&format!("members={members} table"), || table_of(members));
     let mut table = table_of(members);
     let mut watch = Watch::new(at(0), stall::Settings::default());
     measure(&format!("members={members} heartbeat"), |round| {
@@ -164,7 +164,7 @@
     (0..members).map(candidate).collect()
 }
 
-/// A table in which each slot has an owner and a backup.
+/// A table in which each slot has a primary and a backup.
 fn backed(all: &[Candidate]) -> Table {
     let mut table = Table::first(SLOTS, all).expect("there are candidates");
     for number in 0..SLOTS {
@@ -184,11 +184,11 @@
     let table = backed(&all);
     let text = serde_json::to_string(&table).expect("a table has no map keys");
     println!("members={members} slot_table_json_bytes={}", text.len());
-    let owning = all
+    let with_slot = all
         .iter()
         .filter(|one| table.primaries(&one.instance) > 0)
         .count();
-    println!("members={members} members_that_own_a_slot={owning}");
+    println!("members={members} members_with_a_slot={with_slot}");
     measure(&format!("members={members} slot_table_parse"), |_| {
         let read: Result<Table, _> = serde_json::from_str(black_box(&text));
         black_box(read.is_ok());
@@ -218,7 +218,7 @@
     });
 }
 
-/// What the loss of the fullest failure domain leaves to do.
+/// Prints the work that follows from the loss of the largest failure domain.
 fn domain_loss(members: usize) {
     let all = candidates(members);
     let table = backed(&all);
@@ -229,11 +229,11 @@
     };
     let (mut takeovers, mut backups, mut both) = (0, 0, 0);
     for (_, entry) in table.iter() {
-        let owner = gone(&entry.primary);
+        let primary = gone(&entry.primary);
         let backup = entry.backup.as_ref().is_some_and(gone);
-        both += usize::from(owner && backup);
-        takeovers += usize::from(owner && !backup);
-        backups += usize::from(!owner && backup);
+        both += usize::from(primary && backup);
+        takeovers += usize::from(primary && !backup);
+        backups += usize::from(!primary && backup);
     }
     let left = all.iter().filter(|one| one.domain == lost).count();
     println!(
@@ -263,7 +263,7 @@
     router
 }
 
-/// Cache events of an endpoint: blocks of its own and blocks that many share.
+/// Cache events of an endpoint: blocks of its own and blocks shared by many endpoints.
 fn events(endpoint: usize, from: u64, count: u64) -> Vec<Event> {
     let block = |seq: u64| match seq % 8 {
         0 => Block(seq.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
@@ -287,7 +287,7 @@
     }
     let full = resident().saturating_sub(before);
     println!(
-        "endpoints={count} router_empty_bytes={empty} router_full_bytes={full} beliefs={} \
+        "endpoints={count} router_empty_bytes={empty} router_full_bytes={full} index_entries={} \
          blocks_reported={}",
         router.index_entries(),
         count as u64 * CACHE
@@ -333,7 +333,7 @@
             black_box(router.choose(at(1000 + round as u64), &query));
         });
         measure(
-            &format!("endpoints={count} choose_began_ended_{label}"),
+            &format!("endpoints={count} choose_start_end_{label}"),
             |round| {
                 let now = at(2000 + round as u64);
                 if let Some(pick) = router.choose(now, &query) {
@@ -343,7 +343,7 @@
             },
         );
     }
-    measure(&format!("endpoints={count} room"), |round| {
+    measure(&format!("endpoints={count} budget"), |round| {
         black_box(router.budget(at(3000 + round as u64), &service));
     });
 }
@@ -386,7 +386,7 @@
     measure(&format!("workspaces={workspaces} catalog_check"), |_| {
         black_box(catalog.check().is_ok());
     });
-    weigh(&format!("workspaces={workspaces} catalog"), || {
+    measure_memory(&format!("workspaces={workspaces} catalog"), || {
         catalog.clone()
     });
 }
--- a/coltsfoothall/benches/fleet.rs
+++ b/coltsfoothall/benches/fleet.rs
@@ -1,4 +1,5 @@
-//! Time of one plan, one rollout step and one tick of starts at the size to design for.
+//! Time of one plan, one rollout tick and one tick of starts at the size the system is
+//! designed for.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -13,7 +14,7 @@
 
 const ROUNDS: u64 = 101;
 
-/// Prints the median and the longest time.
+/// Prints the median and the maximum time.
 fn measure(name: &str, mut run: impl FnMut(u64)) {
     let mut times: Vec<Duration> = Vec::new();
     for round in 0..ROUNDS {
@@ -104,7 +105,7 @@
         needed: 2_400,
     };
     let mut rollout = Rollout::new(Settings::default());
-    measure("rollout step, 2,700 engines", |round| {
+    measure("rollout tick, 2,700 engines", |round| {
         let now = Time::since_start(Duration::from_secs(round));
         black_box(rollout.tick(now, &wanted, &engines));
     });
--- a/coltsfoothall/src/member.rs
+++ b/coltsfoothall/src/member.rs
@@ -1,12 +1,12 @@
-//! Entry instances as each of them sees the others.
+//! Membership of entry instances, as seen by one of them.
 //!
-//! Members stand in a ring by the hash of their names. Each tick an instance
-//! sends its digest to its next few in the ring and to a few others drawn anew
-//! each time, with the latest news. Only the next two in the ring judge its
-//! silence, so the bytes of a node and the time to find a death do not grow
-//! with the fleet; others hear of the death as news. The newest incarnation
-//! and version of a member wins, so one that is believed dead and is not comes
-//! back with its next digest.
+//! Members form a ring in the order of the hashes of their names. At each tick an instance
+//! sends its digest, with the latest updates about others, to its next few successors in
+//! the ring and to a few random members. Only its next two successors monitor it for
+//! failure, so the traffic of an instance and the time to detect a failure do not grow with
+//! the fleet; the other members learn of the failure from updates. The newest incarnation
+//! and version of a member wins, so a live member that was declared dead rejoins with its
+//! next digest.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -23,45 +23,48 @@
     Address, Addresses, DEATH_SIZE, DIGEST_SIZE, Death, Digest, HEARTBEAT_SIZE, Heartbeat,
 };
 
-/// Members that judge one's silence: one may die together with it.
-const JUDGES: usize = 2;
+/// Number of members that monitor an instance. There are two because one may fail together
+/// with it.
+const MONITORS_PER_MEMBER: usize = 2;
 
-/// What became known about a member.
+/// A change in the state of a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// It is new, or began anew: what its former process kept is lost.
+    /// It is new, or its process was restarted and has lost its state.
     Joined(id::Instance),
-    /// It is about to stop.
+    /// It is shutting down.
     Leaving(id::Instance),
-    /// Nobody heard it in time.
+    /// It was not heard of in time.
     Died(id::Instance),
-    /// Its silence was put off as one's own stall or cut.
+    /// It is silent, but this instance may itself be stalled or partitioned.
     Doubted(id::Instance),
 }
 
-/// Limits of the member table.
+/// Settings of the member table.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Next members in the ring that get a heartbeat each tick, beside those
-    /// in `random_fanout`. Bytes grow with it, not with the fleet. One more than judge,
-    /// as views of the ring differ for a moment.
+    /// Number of ring successors that receive a heartbeat at each tick, in addition to
+    /// `random_fanout`. Traffic grows with it, not with the size of the fleet. It is one
+    /// more than the number of monitors, since views of the ring can differ temporarily.
     pub fanout: usize,
-    /// Others that get one each tick, drawn anew each time, so that news reach
-    /// the whole fleet in a few ticks.
+    /// Number of random other members that receive a heartbeat at each tick, so that
+    /// updates reach the whole fleet within a few ticks.
     pub random_fanout: usize,
-    /// Digests of others, and deaths, in a heartbeat, for the same reason.
+    /// Maximum number of digests of others and death notices in a heartbeat, chosen for the
+    /// same reason.
     pub max_updates: usize,
     /// Time between heartbeats.
     pub tick: Duration,
-    /// Members of each failure domain that read and watch the platform's keys,
+    /// Number of members of each failure domain that read and watch the key-value service,
     /// so that its calls do not grow with the fleet.
     pub watchers: usize,
-    /// How long callers keep addresses.
+    /// How long callers may cache addresses.
     pub ttl: Millis,
-    /// Silence after which callers are sent elsewhere; it can be taken back.
+    /// Silence after which a member is left out of the addresses for callers; this is
+    /// reversible.
     pub suspect: Duration,
-    /// How long a removed member's last version is kept, so that no late news
-    /// brings it back.
+    /// How long the last version of a dead member is retained, so that late updates do not
+    /// bring it back.
     pub retention: Duration,
 }
 
@@ -80,19 +83,19 @@
     }
 }
 
-/// A member and when it was heard of.
+/// A member and its state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// What it last said.
+    /// Its newest digest.
     pub digest: Digest,
-    /// When that became known here.
+    /// When the newest digest was received.
     pub last_seen: Time,
-    /// Since when it counts as dead.
+    /// When it was declared dead.
     pub dead: Option<Time>,
-    /// How often its news were passed on.
-    told: u32,
-    /// Since when this instance judges its silence.
-    judged: Option<Time>,
+    /// How often its newest state has been sent to others.
+    times_sent: u32,
+    /// Since when this instance monitors it.
+    monitored_since: Option<Time>,
 }
 
 /// The members.
@@ -100,14 +103,14 @@
 pub struct Table {
     settings: Settings,
     me: Digest,
-    /// Sorted by instance, without this one.
+    /// The other members, sorted by name.
     members: Vec<Member>,
     round: u64,
     sent: Bytes,
 }
 
 impl Table {
-    /// A table that knows only this instance.
+    /// Creates a table that contains only this instance.
     #[must_use]
     pub fn new(me: Digest, settings: Settings) -> Self {
         Self {
@@ -119,13 +122,13 @@
         }
     }
 
-    /// What this instance says of itself.
+    /// The digest of this instance.
     #[must_use]
     pub fn me(&self) -> &Digest {
         &self.me
     }
 
-    /// Says something new of this instance; its version rises by itself.
+    /// Updates the state of this instance and increments its version.
     pub fn update(&mut self, leaving: bool, load: u32, revision: u64, slots: u64) {
         self.me.leaving |= leaving;
         self.me.load = load;
@@ -134,44 +137,45 @@
         self.me.version += 1;
     }
 
-    /// Takes in a heartbeat, or members read from the platform's keys.
+    /// Merges a heartbeat, or members that were read from the key-value service.
     pub fn merge(&mut self, now: Time, heartbeat: Heartbeat) -> Vec<Event> {
         let mut events = Vec::new();
         for digest in heartbeat.digests {
             if digest.instance != self.me.instance {
-                self.learn(now, digest, &mut events);
+                self.merge_digest(now, digest, &mut events);
             }
         }
         for death in heartbeat.deaths {
-            self.mourn(now, &death, &mut events);
+            self.merge_death(now, &death, &mut events);
         }
         events
     }
 
-    /// Takes in news of a death, unless something later is known. One's own is
-    /// refuted with the next heartbeat.
-    fn mourn(&mut self, now: Time, death: &Death, events: &mut Vec<Event>) {
+    /// Merges a death notice, unless newer state of the member is known. A notice about
+    /// this instance is refuted by its next heartbeat.
+    fn merge_death(&mut self, now: Time, death: &Death, events: &mut Vec<Event>) {
         if death.instance == self.me.instance {
             if death.incarnation == self.me.incarnation {
                 self.me.version = self.me.version.max(death.version);
             }
-            // A former process of this name; others pass over what is older.
+            // The notice is about a previous process of this name. The incarnation must
+            // exceed it, since others ignore older ones.
             if death.incarnation > self.me.incarnation {
                 self.me.incarnation = death.incarnation + 1;
             }
             return;
         }
         let found = self.find(&death.instance);
-        let Some(member) = found.ok().map(|at| &mut self.members[at]) else {
+        let Some(member) = found.ok().map(|index| &mut self.members[index]) else {
             return;
         };
         let later = member.digest.logical_time() > (death.incarnation, death.version);
         if !later && member.dead.is_none() {
-            // Older news of its life are no news any more.
+            // Digests up to this version must no longer revive it.
             member.digest.incarnation = death.incarnation;
             member.digest.version = death.version;
             member.dead = Some(now);
-            member.told = 0;
+            member.times_sent = 0;
             events.push(Event::Died(death.instance.clone()));
         }
     }
@@ -181,26 +185,26 @@
             .binary_search_by(|member| member.digest.instance.cmp(instance))
     }
 
-    fn learn(&mut self, now: Time, digest: Digest, events: &mut Vec<Event>) {
+    fn merge_digest(&mut self, now: Time, digest: Digest, events: &mut Vec<Event>) {
         let instance = digest.instance.clone();
         let (joined, leaving) = match self.find(&instance) {
-            Ok(at) => {
-                let member = &mut self.members[at];
+            Ok(index) => {
+                let member = &mut self.members[index];
                 if digest.logical_time() <= member.digest.logical_time() {
                     return;
                 }
-                let anew = digest.incarnation > member.digest.incarnation;
-                let joined = anew || member.dead.is_some();
+                let restarted = digest.incarnation > member.digest.incarnation;
+                let joined = restarted || member.dead.is_some();
                 let leaving = digest.leaving && (joined || !member.digest.leaving);
                 let old = std::mem::replace(member, Member::new(now, digest));
                 let routine = !joined && old.digest.is_same_state(&member.digest);
-                member.told = if routine { old.told } else { 0 };
-                member.judged = old.judged.filter(|_| !joined);
+                member.times_sent = if routine { old.times_sent } else { 0 };
+                member.monitored_since = old.monitored_since.filter(|_| !joined);
                 (joined, leaving)
             }
-            Err(at) => {
+            Err(index) => {
                 let leaving = digest.leaving;
-                self.members.insert(at, Member::new(now, digest));
+                self.members.insert(index, Member::new(now, digest));
                 (true, leaving)
             }
         };
@@ -212,22 +216,25 @@
         }
     }
 
-    /// Judges members that were not heard in time. Call once a control tick,
-    /// after the watch's own tick.
+    /// Checks the monitored members for silence. It must be called once per control tick,
+    /// after the tick of `watch`.
     pub fn expire(&mut self, now: Time, watch: &Watch) -> Vec<Event> {
-        let forget = self.settings.retention;
-        let gone = |dead: Time| now.since(dead) >= forget;
-        self.members.retain(|member| !member.dead.is_some_and(gone));
-        self.judge(now);
-        let tracked = self.live().filter(|m| m.judged.is_some()).count();
+        let retention = self.settings.retention;
+        let expired = |dead: Time| now.since(dead) >= retention;
+        self.members
+            .retain(|member| !member.dead.is_some_and(expired));
+        self.select_monitored(now);
+        let tracked = self.live().filter(|m| m.monitored_since.is_some()).count();
         let mut events = Vec::new();
         for member in self.members.iter_mut().filter(|m| m.dead.is_none()) {
-            let Some(since) = member.judged else { continue };
+            let Some(since) = member.monitored_since else {
+                continue;
+            };
             let instance = member.digest.instance.clone();
             match watch.judge(now, member.last_seen.max(since), tracked) {
                 Verdict::Dead => {
                     member.dead = Some(now);
-                    member.told = 0;
+                    member.times_sent = 0;
                     events.push(Event::Died(instance));
                 }
                 Verdict::Own => events.push(Event::Doubted(instance)),
@@ -237,78 +244,87 @@
         events
     }
 
-    /// Chooses whom this instance judges: those before it in the ring.
-    fn judge(&mut self, now: Time) {
+    /// Selects the members that this instance monitors: its predecessors in the ring.
+    fn select_monitored(&mut self, now: Time) {
         let mut ring = self.ring();
         ring.reverse();
-        ring.truncate(JUDGES);
-        for (at, member) in self.members.iter_mut().enumerate() {
-            let judged = ring.contains(&at);
-            member.judged = judged.then(|| member.judged.unwrap_or(now));
+        ring.truncate(MONITORS_PER_MEMBER);
+        for (index, member) in self.members.iter_mut().enumerate() {
+            let is_monitored = ring.contains(&index);
+            member.monitored_since = is_monitored.then(|| member.monitored_since.unwrap_or(now));
         }
     }
 
-    /// Places of live members, from the one after this instance round the ring.
+    /// Indices of the live members in ring order, starting at the successor of this
+    /// instance.
     fn ring(&self) -> Vec<usize> {
-        let place = |instance: &id::Instance| xxh3_64_with_seed(instance.as_str().as_bytes(), 0);
-        let me = place(&self.me.instance);
-        let alive = |at: &usize| self.members[*at].dead.is_none();
+        let position = |instance: &id::Instance| xxh3_64_with_seed(instance.as_str().as_bytes(), 0);
+        let me = position(&self.me.instance);
+        let alive = |index: &usize| self.members[*index].dead.is_none();
         let mut ring: Vec<_> = (0..self.members.len()).filter(alive).collect();
-        ring.sort_by_cached_key(|at| place(&self.members[*at].digest.instance).wrapping_sub(me));
+        ring.sort_by_cached_key(|index| {
+            position(&self.members[*index].digest.instance).wrapping_sub(me)
+        });
         ring
     }
 
-    /// The peers to send a heartbeat to now, and the message.
+    /// Returns the peers to which a heartbeat is due, and the message.
     pub fn heartbeat(&mut self, now: Time) -> (Vec<Digest>, Heartbeat) {
         self.me.version += 1;
         let to = self.targets();
         let mut digests = vec![self.me.clone()];
-        let (news, deaths) = self.news(now);
-        digests.extend(news);
+        let (updates, deaths) = self.updates(now);
+        digests.extend(updates);
         let heartbeat = Heartbeat { digests, deaths };
         let bytes = heartbeat.size().0 * to.len() as u64;
         self.sent = self.sent.plus(Bytes(bytes));
         (to, heartbeat)
     }
 
-    /// The next few in the ring, and some of the others in turn.
+    /// The next few members in the ring and some random others.
     fn targets(&mut self) -> Vec<Digest> {
         let ring = self.ring();
         let next = self.settings.fanout.min(ring.len());
         let (next, others) = ring.split_at(next);
-        let turns = (0..self.settings.random_fanout.min(others.len())).filter_map(|_| {
+        let random = (0..self.settings.random_fanout.min(others.len())).filter_map(|_| {
             self.round = self.round.wrapping_add(1);
-            let turn = xxh3_64_with_seed(self.me.instance.as_str().as_bytes(), self.round);
-            let turn = usize::try_from(turn % others.len().max(1) as u64).ok()?;
-            others.get(turn).copied()
+            let hash = xxh3_64_with_seed(self.me.instance.as_str().as_bytes(), self.round);
+            let index = usize::try_from(hash % others.len().max(1) as u64).ok()?;
+            others.get(index).copied()
         });
-        let mut to: Vec<_> = next.iter().copied().chain(turns).collect();
+        let mut to: Vec<_> = next.iter().copied().chain(random).collect();
         to.dedup();
         let to = to.into_iter();
-        to.map(|at| self.members[at].digest.clone()).collect()
+        to.map(|index| self.members[index].digest.clone()).collect()
     }
 
-    /// News, deaths and leaving members first, then what was told least; each is
-    /// told a few times. Room that is left goes to the members heard last.
-    fn news(&mut self, now: Time) -> (Vec<Digest>, Vec<Death>) {
-        let most = 2 * (usize::BITS - self.members.len().leading_zeros());
+    /// The updates for one heartbeat: deaths and leaving members first, then those that
+    /// have been sent least often. Each update is sent a few times. The remaining space
+    /// goes to the members that were heard of most recently.
+    fn updates(&mut self, now: Time) -> (Vec<Digest>, Vec<Death>) {
+        let max_sends = 2 * (usize::BITS - self.members.len().leading_zeros());
         let mut order: Vec<_> = (0..self.members.len()).collect();
         let suspect = self.settings.suspect;
-        order.retain(|at| {
-            let member = &self.members[*at];
-            let fresh = member.dead.is_none() && now.since(member.last_seen) < suspect;
-            fresh || member.told < most
+        order.retain(|index| {
+            let member = &self.members[*index];
+            let recent = member.dead.is_none() && now.since(member.last_seen) < suspect;
+            recent || member.times_sent < max_sends
         });
-        order.sort_by_key(|at| {
-            let member = &self.members[*at];
-            let urgent = member.told < most && (member.dead.is_some() || member.digest.leaving);
-            (!urgent, member.told.min(most), Reverse(member.last_seen))
+        order.sort_by_key(|index| {
+            let member = &self.members[*index];
+            let urgent =
+                member.times_sent < max_sends && (member.dead.is_some() || member.digest.leaving);
+            (
+                !urgent,
+                member.times_sent.min(max_sends),
+                Reverse(member.last_seen),
+            )
         });
         order.truncate(self.settings.max_updates);
         let (mut digests, mut deaths) = (Vec::new(), Vec::new());
-        for at in order {
-            let member = &mut self.members[at];
-            member.told += 1;
+        for index in order {
+            let member = &mut self.members[index];
+            member.times_sent += 1;
             match member.dead {
                 Some(_) => deaths.push(Death {
                     instance: member.digest.instance.clone(),
@@ -321,20 +337,21 @@
         (digests, deaths)
     }
 
-    /// Members that count as alive, without this instance.
+    /// Live members, without this instance.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|member| member.dead.is_none())
     }
 
-    /// A member that counts as alive.
+    /// A live member by name.
     #[must_use]
     pub fn get(&self, instance: &id::Instance) -> Option<&Member> {
         let member = &self.members[self.find(instance).ok()?];
         member.dead.is_none().then_some(member)
     }
 
-    /// Later news of the sender than its own digest: a former process of its
-    /// name. It is told, since its digests would be passed over otherwise.
+    /// The newer incarnation of a sender, left by a previous process of the same name, if
+    /// there is one. The sender must be times_sent, since its digests would be ignored
+    /// otherwise.
     #[must_use]
     pub fn newer_incarnation(&self, sender: &Digest) -> Option<Death> {
         let member = &self.members[self.find(&sender.instance).ok()?];
@@ -346,7 +363,7 @@
         })
     }
 
-    /// All live members and this instance, as keepers of slots.
+    /// All live members and this instance, as candidates for slots.
     #[must_use]
     pub fn candidates(&self) -> Vec<Candidate> {
         let mut all: Vec<_> = self.digests().map(candidate).collect();
@@ -354,28 +371,34 @@
         all
     }
 
-    /// The addresses for callers: members that stay, without those whose
-    /// silence is judged here and has grown long,
-    /// weighted by free capacity, each failure domain alike.
+    /// The addresses for callers: all members that are not leaving, except those that this
+    /// instance monitors and that have been silent for too long. Addresses are weighted by
+    /// free capacity, and each failure domain gets the same total weight.
     #[must_use]
     pub fn addresses(&self, now: Time) -> Addresses {
         let suspect = self.settings.suspect;
-        let heard = |member: &&Member| {
-            let since = member.judged.map(|since| member.last_seen.max(since));
+        let recently_seen = |member: &&Member| {
+            let since = member
+                .monitored_since
+                .map(|since| member.last_seen.max(since));
             since.is_none_or(|since| now.since(since) < suspect)
         };
-        let mut fit: Vec<_> = self.live().filter(heard).map(|m| &m.digest).collect();
-        fit.push(&self.me);
-        fit.retain(|digest| !digest.leaving);
-        fit.sort_by(|a, b| (&a.domain, &a.callers).cmp(&(&b.domain, &b.callers)));
+        let mut available: Vec<_> = self
+            .live()
+            .filter(recently_seen)
+            .map(|m| &m.digest)
+            .collect();
+        available.push(&self.me);
+        available.retain(|digest| !digest.leaving);
+        available.sort_by(|a, b| (&a.domain, &a.callers).cmp(&(&b.domain, &b.callers)));
         let weight = |digest: &&Digest| {
-            let first = fit.partition_point(|other| other.domain < digest.domain);
-            let end = fit.partition_point(|other| other.domain <= digest.domain);
-            let near = end - first;
+            let first = available.partition_point(|other| other.domain < digest.domain);
+            let end = available.partition_point(|other| other.domain <= digest.domain);
+            let domain_size = end - first;
             let free = 100 - digest.load.min(95);
-            (free * 10 / u32::try_from(near).unwrap_or(u32::MAX)).max(1)
+            (free * 10 / u32::try_from(domain_size).unwrap_or(u32::MAX)).max(1)
         };
-        let addresses = fit.iter().map(|digest| Address {
+        let addresses = available.iter().map(|digest| Address {
             address: digest.callers.clone(),
             domain: digest.domain.clone(),
             weight: weight(digest),
@@ -386,17 +409,17 @@
         }
     }
 
-    /// Whether this instance is to read and watch the platform's keys: the
-    /// first few of each failure domain by name, so that it is agreed without
-    /// a message. Alone it always is.
+    /// Whether this instance must read and watch the key-value service. The first few
+    /// members of each failure domain by name do so, which needs no coordination. An
+    /// instance without peers always does.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
-        let near = |digest: &&Digest| digest.domain == self.me.domain && !digest.leaving;
+        let same_domain = |digest: &&Digest| digest.domain == self.me.domain && !digest.leaving;
         let before = |digest: &&Digest| digest.instance < self.me.instance;
-        self.digests().filter(near).filter(before).count() < self.settings.watchers
+        self.digests().filter(same_domain).filter(before).count() < self.settings.watchers
     }
 
-    /// Estimated bytes of all heartbeats sent.
+    /// Estimated size of all heartbeats sent so far.
     #[must_use]
     pub fn sent(&self) -> Bytes {
         self.sent
@@ -414,8 +437,8 @@
             digest,
             last_seen: now,
             dead: None,
-            told: 0,
-            judged: None,
+            times_sent: 0,
+            monitored_since: None,
         }
     }
 }
--- a/coltsfoothall/src/order.rs
+++ b/coltsfoothall/src/order.rs
@@ -1,26 +1,27 @@
-//! Orders to model engines, and what engines say of themselves.
+//! Orders to model engines, and the state that engines report.
 //!
-//! An order names the state to be in, so it may be sent again at any time.
+//! An order describes the desired state, so it is idempotent and may be sent again at any
+//! time.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id;
 use crate::size::Bytes;
 
-/// Work that an engine takes.
+/// The requests that an engine accepts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
     /// All requests.
     #[default]
     Mixed,
-    /// Long prompts first.
+    /// Preferably long prompts.
     Prefill,
-    /// Nothing new.
+    /// No new requests.
     Drain,
 }
 
-/// A model or adapter at a version.
+/// A version of a model or adapter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Loaded {
     /// Name of the model or adapter.
@@ -32,57 +33,58 @@
 /// Weights to load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Weights {
-    /// What they are.
+    /// The model or adapter.
     pub loaded: Loaded,
     /// Their size.
     pub size: Bytes,
 }
 
-/// What all engines of the service should hold.
+/// What all engines of a service should have loaded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wanted {
     /// The model.
     pub model: Weights,
     /// The adapters, sorted by name.
     pub adapters: Vec<Weights>,
-    /// Engines that the load needs; version changes leave as many serving.
+    /// Number of engines that the load requires; a version change keeps at least this many
+    /// serving.
     pub needed: usize,
 }
 
-/// An engine as it was last heard of.
+/// The last reported state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Engine {
     /// Its name.
     pub endpoint: id::Endpoint,
-    /// The model that runs, if one is loaded.
+    /// The loaded model, if any.
     pub model: Option<Loaded>,
-    /// Adapters held, sorted.
+    /// The loaded adapters, sorted.
     pub adapters: Vec<Loaded>,
-    /// What is being loaded, if anything.
+    /// The model or adapter that is being loaded, if any.
     pub loading: Option<Loaded>,
     /// Its role.
     pub role: Role,
-    /// Requests open on it, from all entry instances.
+    /// Number of requests open on it, from all entry instances.
     pub open: u32,
-    /// Whether it was given notice; it gets no orders.
+    /// Whether it has received a reclaim notice; it is sent no orders.
     pub leaving: bool,
 }
 
-/// The state that an engine is ordered to be in.
+/// The desired state of one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     /// The engine.
     pub endpoint: id::Endpoint,
     /// The model to run.
     pub model: Loaded,
-    /// Adapters to hold, sorted.
+    /// The adapters to load, sorted.
     pub adapters: Vec<Loaded>,
-    /// Role to take.
+    /// The role to assume.
     pub role: Role,
 }
 
 impl Engine {
-    /// Whether it takes requests; loading an adapter doesn't keep it from that.
+    /// Whether it accepts requests. Loading an adapter does not prevent that.
     #[must_use]
     pub fn serves(&self) -> bool {
         let reloads = match (&self.model, &self.loading) {
@@ -93,30 +95,34 @@
         !reloads && !self.leaving && self.role != Role::Drain
     }
 
-    /// Whether it has the wanted model at the wanted version.
+    /// Whether it runs the wanted version of the wanted model.
     #[must_use]
     pub fn runs(&self, wanted: &Wanted) -> bool {
         self.model.as_ref() == Some(&wanted.model.loaded)
     }
 
-    /// Whether it holds all that is wanted.
+    /// Whether it has everything that is wanted loaded.
     #[must_use]
     pub fn is_current(&self, wanted: &Wanted) -> bool {
         let names = wanted.adapters.iter().map(|adapter| &adapter.loaded);
         self.loading.is_none() && self.runs(wanted) && names.eq(self.adapters.iter())
     }
 
-    /// Bytes that it must read to hold all that is wanted.
+    /// Number of bytes that it must load to have everything that is wanted.
     #[must_use]
     pub fn missing(&self, wanted: &Wanted) -> Bytes {
-        let fresh = !self.runs(wanted);
-        let lacks = |w: &&Weights| fresh || self.adapters.binary_search(&w.loaded).is_err();
-        let model = if fresh { wanted.model.size } else { Bytes(0) };
+        let loads_model = !self.runs(wanted);
+        let lacks = |w: &&Weights| loads_model || self.adapters.binary_search(&w.loaded).is_err();
+        let model = if loads_model {
+            wanted.model.size
+        } else {
+            Bytes(0)
+        };
         let adapters = wanted.adapters.iter().filter(lacks).map(|w| w.size);
         adapters.fold(model, Bytes::plus)
     }
 
-    /// Order of loads; lower goes first.
+    /// Priority of a load; lower values are loaded first.
     pub(crate) fn urgency(&self, wanted: &Wanted) -> u8 {
         match &self.model {
             None => 0,
@@ -127,7 +133,7 @@
 }
 
 impl Order {
-    /// All that is wanted.
+    /// An order to load everything that is wanted.
     pub(crate) fn load(wanted: &Wanted, engine: &Engine, role: Role) -> Self {
         Self {
             endpoint: engine.endpoint.clone(),
@@ -137,8 +143,9 @@
         }
     }
 
-    /// What the engine holds already, in another role.
-    pub(crate) fn stay(engine: &Engine, role: Role) -> Option<Self> {
+    /// An order to keep what the engine has loaded but change its role; `None` if it
+    /// already has that role.
+    pub(crate) fn change_role(engine: &Engine, role: Role) -> Option<Self> {
         let model = engine.model.clone()?;
         (engine.role != role).then(|| Self {
             endpoint: engine.endpoint.clone(),
--- a/coltsfoothall/src/plan.rs
+++ b/coltsfoothall/src/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what an intent changes on one revision, and with which effects.
+//! Plans: the changes that an intent makes to one revision, and their effects.
 //!
 //! ```
 //! use coltsfoothall::catalog::Catalog;
@@ -22,14 +22,15 @@
 use crate::intent::{Error, Intent};
 use crate::object::{self, Kind, Named};
 
-/// Largest configuration in bytes of JSON, as the platform's values are limited.
+/// Maximum size of a configuration in bytes of JSON. Values in the key-value service are
+/// limited in size.
 pub const MAX_BYTES: usize = 1 << 20;
 
-/// What a plan does to one object.
+/// The change that a plan makes to one object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verb {
-    /// It is made.
+    /// It is created.
     Create,
     /// It is changed.
     Change,
@@ -51,37 +52,37 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// What is done.
+    /// The kind of change.
     pub verb: Verb,
     /// Kind of the object.
     pub kind: Kind,
     /// Its name.
     pub name: String,
-    /// Effects, one a line, for people.
+    /// Effects, one per line, for display.
     pub effects: Vec<String>,
 }
 
-/// A plan, made on a revision.
+/// A plan for a change of one revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Names the plan; minted when it is made.
+    /// Id of the plan, generated when it is made.
     pub id: id::Plan,
-    /// The revision it was made on.
+    /// The revision that it changes.
     pub base: Revision,
-    /// What it does.
+    /// Its steps.
     pub steps: Vec<Step>,
-    /// The configuration after it.
+    /// The resulting configuration.
     pub after: Catalog,
-    /// The intent it was made from, so that a stale plan can be made anew.
+    /// The intent from which it was made, so that a stale plan can be recreated.
     pub intent: Intent,
 }
 
 impl Plan {
-    /// Makes a plan; nothing changes by it.
+    /// Makes a plan. This does not change anything.
     ///
     /// # Errors
-    /// The intent contradicts itself, or the configuration would break a rule
+    /// The intent contradicts itself, or the resulting configuration would violate a rule
     /// or be too large.
     pub fn make(base: &Catalog, intent: Intent, id: id::Plan) -> Result<Self, Error> {
         let mut after = intent.apply(base)?;
@@ -104,7 +105,7 @@
     }
 }
 
-/// Steps that lead from one configuration to another, with their effects.
+/// The steps from one configuration to another, with their effects.
 #[must_use]
 pub fn difference(from: &Catalog, to: &Catalog) -> Vec<Step> {
     let change = Change { from, to };
@@ -133,7 +134,7 @@
     steps
 }
 
-/// Walks two sorted lists side by side.
+/// Adds the steps from one sorted list of objects to another.
 fn compare<T: Named + PartialEq>(
     from: &[T],
     to: &[T],
--- a/coltsfoothall/src/rollout.rs
+++ b/coltsfoothall/src/rollout.rs
@@ -1,13 +1,12 @@
-//! The rollout of a model's version and adapters over a service's engines.
+//! The rollout of a model version and its adapters over the engines of a service.
 //!
-//! An order names the state to be in, so it may be sent again at any time.
-//! The weights come from a store with a limited rate, and an engine that
-//! loads another version serves nothing meanwhile. Hence the order of work:
-//! engines without a model first, then adapters on engines that serve, then
-//! engines with an old version, one after another as far as the number that
-//! the load needs is kept. An engine with an old version is drained first and
-//! loads only once it has been idle for as long as its new role takes to
-//! reach every entry instance.
+//! Orders describe the desired state, so they are idempotent and may be sent again at any
+//! time. Weights come from a store with a limited rate, and an engine that loads another
+//! version cannot serve meanwhile. Loads are therefore ordered: engines without a model
+//! first, then adapters on serving engines, then engines with an old version, as long as
+//! the number of engines that the load requires keeps serving. An engine with an old
+//! version is drained first, and it loads only after it has been idle for as long as its
+//! new role takes to reach every entry instance.
 
 use std::time::Duration;
 
@@ -19,23 +18,25 @@
 use crate::share;
 use crate::size::Bytes;
 
-/// Longest backoff between two tries at one engine, as a power of two of the first.
+/// Maximum number of times that the initial backoff between two attempts on one engine
+/// doubles.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// Times of orders.
+/// Timing of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// Part of the weight store.
+    /// Share of the weight store's rate.
     pub share: share::Settings,
-    /// How long a drained engine must be seen idle before it loads.
+    /// How long a drained engine must be reported idle before it loads.
     pub settle: Duration,
-    /// Time from one sending of an order to the next, while it isn't seen obeyed.
+    /// Time after which an order is sent again if the engine has not been reported in the
+    /// desired state.
     pub repeat: Duration,
-    /// Time that a load may take beyond its size over the rate.
+    /// Time that a load may take in addition to its size divided by the rate.
     pub slack: Duration,
-    /// First backoff after a load that timed out.
+    /// Initial backoff after a load has timed out.
     pub backoff: Duration,
-    /// Role of engines that serve.
+    /// Role of serving engines.
     pub role: Role,
 }
 
@@ -53,40 +54,41 @@
 }
 
 quick_error! {
-    /// A rule that an order would have broken; it is held back.
+    /// An invariant that an order would have violated. The order is not sent.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Broken {
-        /// The engine still serves.
+        /// The engine still has open requests.
         Busy(endpoint: id::Endpoint, open: u32) {
-            display("endpoint {endpoint} was to load with {open} requests open")
+            display("endpoint {endpoint} was about to load a model with {open} requests open")
         }
     }
 }
 
-/// How far the engines are.
+/// Progress of a rollout.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Engines that take requests.
+    /// Number of engines that accept requests.
     pub serving: usize,
-    /// Engines that hold all that is wanted.
+    /// Number of engines that have everything that is wanted.
     pub current: usize,
-    /// Loads that run.
+    /// Number of loads in progress.
     pub loading: usize,
-    /// Engines on the way to a load.
+    /// Number of engines that are draining before a load.
     pub draining: usize,
-    /// Loads that timed out, since the start.
+    /// Number of loads that have timed out since the rollout was created.
     pub timeouts: u64,
-    /// Whether one engine more is needed for the version change to go on.
+    /// Whether an additional engine is needed to continue the version change.
     pub surge: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
-    /// Nothing is asked of the engine.
-    Rest,
-    /// It is to take nothing new; since when it has been seen so and idle.
+    /// No change is in progress.
+    Idle,
+    /// The engine is draining. Holds the time since which it has been reported as draining
+    /// and idle.
     Drain(Option<Time>),
-    /// It loads; until when.
+    /// The engine is loading. Holds the time at which the load times out.
     Load(Time),
 }
 
@@ -94,14 +96,14 @@
 struct Task {
     endpoint: id::Endpoint,
     step: Step,
-    /// The model that the last load was for; what is wanted may have changed since.
+    /// The model of the last load. The wanted model may have changed since.
     goal: Option<Loaded>,
     sent_at: Option<Time>,
     failures: u32,
     retry_at: Time,
 }
 
-/// The rollout of what is wanted over a service's engines.
+/// A rollout over the engines of one service.
 #[derive(Debug, Clone)]
 pub struct Rollout {
     settings: Settings,
@@ -112,7 +114,8 @@
 }
 
 impl Rollout {
-    /// A rollout that knows of no loads yet; those under way are taken on as they are seen.
+    /// Creates a rollout without loads. Loads that are already in progress are adopted when
+    /// they are reported.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -124,59 +127,59 @@
         }
     }
 
-    /// How far the engines were at the last step.
+    /// Progress at the last tick.
     #[must_use]
     pub fn progress(&self) -> Progress {
         self.progress
     }
 
-    /// The first order that had to be held back.
+    /// The first order that was withheld because it would have violated an invariant.
     #[must_use]
     pub fn broken(&self) -> Option<&Broken> {
         self.broken.as_ref()
     }
 
-    /// The orders to send now. `engines` is sorted by endpoint.
+    /// Returns the orders to send now. `engines` must be sorted by endpoint.
     pub fn tick(&mut self, now: Time, wanted: &Wanted, engines: &[Engine]) -> Vec<Order> {
-        self.follow(now, wanted, engines);
+        self.update(now, wanted, engines);
         self.keep_serving(wanted, engines);
         self.begin_loads(now, wanted, engines);
         self.begin_drains(now, wanted, engines);
-        self.measure(wanted, engines);
+        self.update_progress(wanted, engines);
         self.send(now, wanted, engines)
     }
 
     fn task(&mut self, endpoint: &id::Endpoint) -> &mut Task {
         let found = self.tasks.binary_search_by(|t| t.endpoint.cmp(endpoint));
-        let at = found.unwrap_or_else(|at| {
+        let index = found.unwrap_or_else(|index| {
             let task = Task {
                 endpoint: endpoint.clone(),
-                step: Step::Rest,
+                step: Step::Idle,
                 goal: None,
                 sent_at: None,
                 failures: 0,
                 retry_at: Time::START,
             };
-            self.tasks.insert(at, task);
-            at
+            self.tasks.insert(index, task);
+            index
         });
-        &mut self.tasks[at]
+        &mut self.tasks[index]
     }
 
     fn step_of(&self, endpoint: &id::Endpoint) -> Step {
         let found = self.tasks.binary_search_by(|t| t.endpoint.cmp(endpoint));
-        found.map_or(Step::Rest, |at| self.tasks[at].step)
+        found.map_or(Step::Idle, |index| self.tasks[index].step)
     }
 
-    /// Brings the tasks up to date with what the engines say.
-    fn follow(&mut self, now: Time, wanted: &Wanted, engines: &[Engine]) {
+    /// Updates the tasks from the reported state of the engines.
+    fn update(&mut self, now: Time, wanted: &Wanted, engines: &[Engine]) {
         self.tasks
             .retain(|task| find(engines, &task.endpoint).is_some_and(|e| !e.leaving));
         for engine in engines.iter().filter(|engine| !engine.leaving) {
             let step = self.step_of(&engine.endpoint);
             let next = self.next(now, wanted, engine, step);
-            let late = matches!(step, Step::Load(until) if until <= now);
-            let failed = late && !engine.is_current(wanted);
+            let timed_out = matches!(step, Step::Load(until) if until <= now);
+            let failed = timed_out && !engine.is_current(wanted);
             let backoff = self.settings.backoff;
             self.progress.timeouts += u64::from(failed);
             let task = self.task(&engine.endpoint);
@@ -195,22 +198,23 @@
     fn next(&mut self, now: Time, wanted: &Wanted, engine: &Engine, step: Step) -> Step {
         let idle = engine.role == Role::Drain && engine.open == 0;
         match step {
-            Step::Load(_) if engine.is_current(wanted) => Step::Rest,
-            Step::Load(until) if until <= now => Step::Rest,
-            // It may serve the former wish by now, so it is drained before it loads again.
+            Step::Load(_) if engine.is_current(wanted) => Step::Idle,
+            Step::Load(until) if until <= now => Step::Idle,
+            // It may already serve the model that was wanted before, so it is drained
+            // before it loads again.
             Step::Load(_) if engine.loading.is_none() && self.is_stale(wanted, engine) => {
-                Step::Rest
+                Step::Idle
             }
             Step::Load(until) => Step::Load(until),
-            Step::Drain(_) if engine.runs(wanted) => Step::Rest,
+            Step::Drain(_) if engine.runs(wanted) => Step::Idle,
             Step::Drain(since) => Step::Drain(idle.then_some(since.unwrap_or(now))),
-            Step::Rest if engine.loading.is_some() && self.is_due(now, engine) => {
+            Step::Idle if engine.loading.is_some() && self.is_due(now, engine) => {
                 self.adopt(now, wanted, engine)
             }
-            Step::Rest if engine.role == Role::Drain && !engine.runs(wanted) => {
+            Step::Idle if engine.role == Role::Drain && !engine.runs(wanted) => {
                 Step::Drain(idle.then_some(now))
             }
-            Step::Rest => Step::Rest,
+            Step::Idle => Step::Idle,
         }
     }
 
@@ -218,14 +222,14 @@
         self.task(&engine.endpoint).retry_at <= now
     }
 
-    /// Whether another model was wanted when its load began.
+    /// Whether a different model was wanted when its load began.
     fn is_stale(&mut self, wanted: &Wanted, engine: &Engine) -> bool {
         let goal = &self.task(&engine.endpoint).goal;
         goal.as_ref()
             .is_some_and(|goal| *goal != wanted.model.loaded)
     }
 
-    /// Takes on a load that a former steward ordered.
+    /// Adopts a load that a previous steward ordered.
     fn adopt(&mut self, now: Time, wanted: &Wanted, engine: &Engine) -> Step {
         let size = engine.missing(wanted);
         let is_model = |loading: &Loaded| loading.name == wanted.model.loaded.name;
@@ -240,7 +244,7 @@
         now + share.load_time(size) * max_loads + self.settings.slack
     }
 
-    /// Takes engines back from draining where the load needs them after all.
+    /// Stops draining engines if the load requires them after all.
     fn keep_serving(&mut self, wanted: &Wanted, engines: &[Engine]) {
         let returning = engines.iter().filter(|engine| self.returns(engine)).count();
         let mut short = wanted
@@ -250,26 +254,29 @@
             let draining = matches!(self.step_of(&engine.endpoint), Step::Drain(_));
             if short > 0 && draining && !engine.leaving {
                 let task = self.task(&engine.endpoint);
-                task.step = Step::Rest;
+                task.step = Step::Idle;
                 task.sent_at = None;
                 short -= 1;
             }
         }
     }
 
-    /// Whether the engine is ordered to serve again.
+    /// Whether the engine is about to be ordered to serve again.
     fn returns(&self, engine: &Engine) -> bool {
-        let rests = self.step_of(&engine.endpoint) == Step::Rest;
-        rests && !engine.leaving && engine.model.is_some() && engine.role == Role::Drain
+        let is_idle = self.step_of(&engine.endpoint) == Step::Idle;
+        is_idle && !engine.leaving && engine.model.is_some() && engine.role == Role::Drain
     }
 
-    /// Engines that take requests and will go on doing so.
+    /// Number of engines that accept requests and will continue to do so.
     fn serving(&self, engines: &[Engine]) -> usize {
-        let goes_on = |e: &Engine| match self.step_of(&e.endpoint) {
-            Step::Rest | Step::Load(_) => true,
+        let continues = |e: &Engine| match self.step_of(&e.endpoint) {
+            Step::Idle | Step::Load(_) => true,
             Step::Drain(_) => false,
         };
-        engines.iter().filter(|e| e.serves() && goes_on(e)).count()
+        engines
+            .iter()
+            .filter(|e| e.serves() && continues(e))
+            .count()
     }
 
     fn begin_loads(&mut self, now: Time, wanted: &Wanted, engines: &[Engine]) {
@@ -280,9 +287,9 @@
             .collect();
         ready.sort_by_key(|(urgency, _engine)| *urgency);
         let limit = self.settings.share.max_loads;
-        let mut room = limit.saturating_sub(self.loads());
+        let mut free_loads = limit.saturating_sub(self.loads());
         for (_urgency, engine) in ready {
-            if room == 0 || !self.bucket.is_free(now) {
+            if free_loads == 0 || !self.bucket.is_free(now) {
                 return;
             }
             let size = engine.missing(wanted);
@@ -292,7 +299,7 @@
             task.step = Step::Load(until);
             task.goal = Some(wanted.model.loaded.clone());
             task.sent_at = None;
-            room -= 1;
+            free_loads -= 1;
         }
     }
 
@@ -301,7 +308,7 @@
         let task = self.task(&engine.endpoint);
         let due = task.retry_at <= now && !engine.is_current(wanted);
         match task.step {
-            Step::Rest => due && (engine.model.is_none() || engine.runs(wanted)),
+            Step::Idle => due && (engine.model.is_none() || engine.runs(wanted)),
             Step::Drain(Some(since)) => due && since + settle <= now,
             Step::Drain(None) | Step::Load(_) => false,
         }
@@ -317,11 +324,11 @@
         self.tasks.iter().filter(drains).count()
     }
 
-    /// Drains engines with an old version, as many as may load at once and as can be spared.
+    /// Drains engines with an old version: as many as may load at once and can be spared.
     fn begin_drains(&mut self, now: Time, wanted: &Wanted, engines: &[Engine]) {
         let spare = self.serving(engines).saturating_sub(wanted.needed);
         let under_way = self.loads() + self.drains();
-        let mut room = self
+        let mut free_loads = self
             .settings
             .share
             .max_loads
@@ -334,15 +341,15 @@
         old.sort_by_key(|engine| engine.open);
         for engine in old {
             let task = self.task(&engine.endpoint);
-            if room > 0 && task.step == Step::Rest && task.retry_at <= now {
+            if free_loads > 0 && task.step == Step::Idle && task.retry_at <= now {
                 task.step = Step::Drain(None);
                 task.sent_at = None;
-                room -= 1;
+                free_loads -= 1;
             }
         }
     }
 
-    fn measure(&mut self, wanted: &Wanted, engines: &[Engine]) {
+    fn update_progress(&mut self, wanted: &Wanted, engines: &[Engine]) {
         let serving = self.serving(engines);
         let old = |e: &Engine| !e.leaving && e.model.is_some() && !e.runs(wanted);
         let under_way = self.loads() + self.drains();
@@ -356,7 +363,7 @@
         };
     }
 
-    /// Orders that aren't seen obeyed, each at most once in `repeat`.
+    /// Returns the orders that have not taken effect, each at most once per `repeat`.
     fn send(&mut self, now: Time, wanted: &Wanted, engines: &[Engine]) -> Vec<Order> {
         let mut orders = Vec::new();
         for engine in engines.iter().filter(|engine| !engine.leaving) {
@@ -378,8 +385,8 @@
         let role = self.settings.role;
         let order = match self.step_of(&engine.endpoint) {
             Step::Load(_) => Order::load(wanted, engine, role),
-            Step::Drain(_) => Order::stay(engine, Role::Drain)?,
-            Step::Rest => Order::stay(engine, role)?,
+            Step::Drain(_) => Order::change_role(engine, Role::Drain)?,
+            Step::Idle => Order::change_role(engine, role)?,
         };
         let changes = engine.model.as_ref().is_some_and(|m| *m != order.model);
         if changes && engine.loading.is_none() && engine.open > 0 {
@@ -387,16 +394,16 @@
             self.broken.get_or_insert(broken);
             return None;
         }
-        let obeyed = order.role == engine.role
+        let in_effect = order.role == engine.role
             && engine.model.as_ref() == Some(&order.model)
             && engine.adapters == order.adapters;
         let task = self.task(&engine.endpoint);
         let unsent = matches!(task.step, Step::Load(_)) && task.sent_at.is_none();
-        (!obeyed && (engine.loading.is_none() || unsent)).then_some(order)
+        (!in_effect && (engine.loading.is_none() || unsent)).then_some(order)
     }
 }
 
 fn find<'a>(engines: &'a [Engine], endpoint: &id::Endpoint) -> Option<&'a Engine> {
-    let at = engines.binary_search_by(|engine| engine.endpoint.cmp(endpoint));
-    at.ok().map(|at| &engines[at])
+    let index = engines.binary_search_by(|engine| engine.endpoint.cmp(endpoint));
+    index.ok().map(|index| &engines[index])
 }
--- a/coltsfoothall/src/rule.rs
+++ b/coltsfoothall/src/rule.rs
@@ -1,4 +1,4 @@
-//! Rules that every catalog keeps, whoever wrote it.
+//! Validation rules that every catalog satisfies, whoever wrote it.
 
 use quick_error::quick_error;
 
@@ -6,50 +6,50 @@
 use crate::id;
 use crate::object::{self, Named, Object};
 
-/// Most endpoints that a service may ask for; it stops a slip of the pen from buying a fleet.
+/// Maximum number of endpoints of one service, so that a typing error cannot buy a fleet.
 pub const MAX_ENDPOINTS: u32 = 100_000;
-/// Largest share; it keeps sums of shares well inside their type.
+/// Maximum share of a workspace, so that sums of shares cannot overflow.
 pub const MAX_SHARE: u32 = 1_000_000;
-/// Longest bearer token in bytes; it bounds the head of a request.
-pub const MAX_TOKEN: usize = 256;
+/// Maximum length of a bearer token in bytes; it bounds the size of request headers.
+pub const MAX_TOKEN_BYTES: usize = 256;
 
 quick_error! {
-    /// A rule that a catalog breaks, with the object and its field.
+    /// A rule violation in a catalog, with the object and its field.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// Two objects have one name, or the list is not sorted.
+        /// Two objects have the same name, or the list is not sorted.
         Order(object: Object) {
-            display("{object}: field name: stands twice, or out of order")
+            display("{object}: field name: duplicate or out of order")
         }
-        /// A field names an object that is not there.
+        /// A field refers to an object that does not exist.
         Dangling(object: Object, field: &'static str, target: Object) {
             display("{object}: field {field}: there is no {target}")
         }
-        /// A value is stated twice in one field.
+        /// A field contains the same value duplicate.
         Repeated(object: Object, field: &'static str, value: String) {
             display("{object}: field {field}: {value} is stated twice")
         }
-        /// A number that cannot be meant.
-        Number(object: Object, field: &'static str, why: String) {
-            display("{object}: field {field}: {why}")
+        /// A number is out of range.
+        Number(object: Object, field: &'static str, reason: String) {
+            display("{object}: field {field}: {reason}")
         }
-        /// A text that cannot be taken; tokens are never shown.
-        Text(object: Object, field: &'static str, why: &'static str) {
-            display("{object}: field {field}: {why}")
+        /// A text is not valid. Tokens are never shown.
+        Text(object: Object, field: &'static str, reason: &'static str) {
+            display("{object}: field {field}: {reason}")
         }
-        /// Two workspaces have one token.
+        /// Two workspaces have a token in common.
         Shared(object: Object, other: id::Workspace) {
             display("{object}: field tokens: workspace {other} has one of these tokens")
         }
-        /// The service's model is not the one that the adapter goes on.
+        /// The adapter extends a different model than the service's.
         Mismatch(object: Object, adapter: id::Adapter, model: id::Model) {
-            display("{object}: field adapters: adapter {adapter} goes on model {model}")
+            display("{object}: field adapters: adapter {adapter} is for model {model}")
         }
     }
 }
 
 impl Error {
-    /// The object that breaks the rule.
+    /// The object that violates the rule.
     #[must_use]
     pub fn object(&self) -> &Object {
         match self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The field that breaks the rule.
+    /// The field that violates the rule.
     #[must_use]
     pub fn field(&self) -> &'static str {
         match self {
@@ -79,10 +79,10 @@
 }
 
 impl Catalog {
-    /// Checks every rule that can be checked on the catalog alone.
+    /// Checks all rules that can be checked on the catalog alone.
     ///
     /// # Errors
-    /// The first rule that is broken, with the object and its field.
+    /// The first rule that is violated, with the object and its field.
     pub fn check(&self) -> Result<(), Error> {
         sorted(&self.services)?;
         sorted(&self.workspaces)?;
@@ -105,20 +105,22 @@
     }
 }
 
-/// Names an object of the catalog.
+/// A reference to an object of the catalog.
 pub(crate) fn object<T: Named>(item: &T) -> Object {
     Object::new(T::KIND, item.name())
 }
 
 fn sorted<T: Named>(list: &[T]) -> Result<(), Error> {
-    let wrong = list.windows(2).find(|two| two[0].name() >= two[1].name());
+    let wrong = list
+        .windows(2)
+        .find(|pair| pair[0].name() >= pair[1].name());
     match wrong {
-        Some(two) => Err(Error::Order(object(&two[1]))),
+        Some(pair) => Err(Error::Order(object(&pair[1]))),
         None => Ok(()),
     }
 }
 
-/// Finds a value that stands twice; fields are short, so pairs are compared.
+/// Finds a value that occurs duplicate. Fields are short, so all pairs are compared.
 fn repeated<T: PartialEq>(list: &[T]) -> Option<&T> {
     let mut rest = list.iter().enumerate();
     rest.find_map(|(at, item)| list[..at].contains(item).then_some(item))
@@ -139,17 +141,21 @@
 fn check_service(catalog: &Catalog, service: &Service) -> Result<(), Error> {
     let at = object(service);
     if service.max != 0 && service.min > service.max {
-        let why = format!("{} is more than max {}", service.min, service.max);
-        return Err(Error::Number(at, "min", why));
+        let reason = format!("{} is more than max {}", service.min, service.max);
+        return Err(Error::Number(at, "min", reason));
     }
     for (field, count) in [("min", service.min), ("max", service.max)] {
         if count > MAX_ENDPOINTS {
-            let why = format!("{count} is more than {MAX_ENDPOINTS}");
-            return Err(Error::Number(at, field, why));
+            let reason = format!("{count} is more than {MAX_ENDPOINTS}");
+            return Err(Error::Number(at, field, reason));
         }
     }
     if service.target.first.0 == 0 {
-        return Err(Error::Number(at, "target.first", "0 cannot be kept".into()));
+        return Err(Error::Number(
+            at,
+            "target.first",
+            "must be greater than 0".into(),
+        ));
     }
     match &service.kind {
         Kind::Model { model, adapters } => {
@@ -166,8 +172,8 @@
     model: &id::Model,
     adapters: &[id::Adapter],
 ) -> Result<(), Error> {
-    if let Some(twice) = repeated(adapters) {
-        return Err(Error::Repeated(at, "adapters", twice.to_string()));
+    if let Some(duplicate) = repeated(adapters) {
+        return Err(Error::Repeated(at, "adapters", duplicate.to_string()));
     }
     for name in adapters {
         let Some(adapter) = object::find(&catalog.adapters, name.as_str()) else {
@@ -183,10 +189,14 @@
 
 fn check_prefixes(at: Object, prefixes: &[String]) -> Result<(), Error> {
     if prefixes.iter().any(|prefix| !prefix.starts_with('/')) {
-        return Err(Error::Text(at, "non_idempotent", "a path begins with /"));
+        return Err(Error::Text(
+            at,
+            "non_idempotent",
+            "a path must begin with /",
+        ));
     }
     match repeated(prefixes) {
-        Some(twice) => Err(Error::Repeated(at, "non_idempotent", twice.clone())),
+        Some(duplicate) => Err(Error::Repeated(at, "non_idempotent", duplicate.clone())),
         None => Ok(()),
     }
 }
@@ -198,23 +208,23 @@
         let target = Object::new(object::Kind::Service, name);
         return Err(Error::Dangling(at, "service", target));
     };
-    if let Some(twice) = repeated(&placement.domains) {
-        return Err(Error::Repeated(at, "domains", twice.to_string()));
+    if let Some(duplicate) = repeated(&placement.domains) {
+        return Err(Error::Repeated(at, "domains", duplicate.to_string()));
     }
-    if let Some(twice) = repeated(&placement.classes) {
-        return Err(Error::Repeated(at, "classes", twice.to_string()));
+    if let Some(duplicate) = repeated(&placement.classes) {
+        return Err(Error::Repeated(at, "classes", duplicate.to_string()));
     }
-    let most = if service.max == 0 {
+    let max_endpoints = if service.max == 0 {
         MAX_ENDPOINTS
     } else {
         service.max
     };
-    if placement.on_demand > most {
-        let why = format!(
-            "{} is more than the {most} of the service",
+    if placement.on_demand > max_endpoints {
+        let reason = format!(
+            "{} is more than the {max_endpoints} of the service",
             placement.on_demand
         );
-        return Err(Error::Number(at, "on_demand", why));
+        return Err(Error::Number(at, "on_demand", reason));
     }
     Ok(())
 }
@@ -222,16 +232,20 @@
 fn check_workspace(workspace: &Workspace) -> Result<(), Error> {
     let at = object(workspace);
     if workspace.share == 0 || workspace.share > MAX_SHARE {
-        let why = format!("{} is not within 1 to {MAX_SHARE}", workspace.share);
-        return Err(Error::Number(at, "share", why));
+        let reason = format!("{} is not within 1 to {MAX_SHARE}", workspace.share);
+        return Err(Error::Number(at, "share", reason));
     }
     if workspace.tokens.is_empty() {
-        return Err(Error::Text(at, "tokens", "at least one is needed"));
+        return Err(Error::Text(at, "tokens", "at least one token is required"));
     }
     if workspace.tokens.iter().any(String::is_empty) {
         return Err(Error::Text(at, "tokens", "a token is empty"));
     }
-    if workspace.tokens.iter().any(|token| token.len() > MAX_TOKEN) {
+    if workspace
+        .tokens
+        .iter()
+        .any(|token| token.len() > MAX_TOKEN_BYTES)
+    {
         return Err(Error::Text(at, "tokens", "a token is over 256 bytes"));
     }
     let graphic = |token: &String| token.bytes().all(|byte| byte.is_ascii_graphic());
@@ -239,28 +253,28 @@
         return Err(Error::Text(
             at,
             "tokens",
-            "a token has a blank or a character beyond ASCII",
+            "a token contains a blank, a control character or a non-ASCII character",
         ));
     }
     Ok(())
 }
 
-/// No token belongs to two workspaces, or stands twice in one.
+/// Checks that no token belongs to two workspaces or occurs twice in one.
 fn check_tokens(workspaces: &[Workspace]) -> Result<(), Error> {
     let owners = workspaces
         .iter()
         .flat_map(|owner| owner.tokens.iter().map(move |token| (token, owner)));
     let mut owners: Vec<(&String, &Workspace)> = owners.collect();
     owners.sort_by(|a, b| a.0.cmp(b.0).then_with(|| a.1.name.cmp(&b.1.name)));
-    let Some(two) = owners.windows(2).find(|two| two[0].0 == two[1].0) else {
+    let Some(pair) = owners.windows(2).find(|pair| pair[0].0 == pair[1].0) else {
         return Ok(());
     };
-    let (first, second) = (two[0].1, two[1].1);
+    let (first, second) = (pair[0].1, pair[1].1);
     if first.name == second.name {
         return Err(Error::Text(
             object(second),
             "tokens",
-            "a token stands twice",
+            "a token is listed twice",
         ));
     }
     Err(Error::Shared(object(second), first.name.clone()))
--- a/coltsfoothall/src/share.rs
+++ b/coltsfoothall/src/share.rs
@@ -1,18 +1,19 @@
-//! A token bucket for the weight store's rate.
+//! A token bucket for the rate of the weight store.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 use crate::size::Bytes;
 
-/// How much of the weight store one steward may use.
+/// The share of the weight store's rate that one steward may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// Bytes a second of the whole store; 0 means no limit.
+    /// Total rate of the store in bytes per second; 0 means no limit.
     pub rate: Bytes,
-    /// Services that share the rate, each with its own steward and an equal part.
+    /// Number of services that share the rate. Each has its own steward and an equal share.
     pub services: u64,
-    /// Most loads of one service at once; it stops loads from slowing each other into timeouts.
+    /// Maximum number of concurrent loads of one service, so that loads do not slow each
+    /// other down until they time out.
     pub max_loads: usize,
 }
 
@@ -27,7 +28,7 @@
 }
 
 impl Settings {
-    /// Bytes a second of one service; 0 means no limit.
+    /// Rate of one service in bytes per second; 0 means no limit.
     #[must_use]
     pub fn rate_per_service(&self) -> u64 {
         match self.rate.0 {
@@ -36,12 +37,12 @@
         }
     }
 
-    /// Time that a load takes at one service's part of the rate.
+    /// Time that a load takes at the rate of one service.
     #[must_use]
     pub fn load_time(&self, bytes: Bytes) -> Duration {
         match self.rate_per_service() {
             0 => Duration::ZERO,
-            part => micros(bytes, part),
+            rate => micros(bytes, rate),
         }
     }
 }
@@ -51,22 +52,24 @@
     Duration::from_micros(u64::try_from(span).unwrap_or(u64::MAX))
 }
 
-/// A token bucket that holds no burst: a load may begin once those before it are paid for.
+/// A token bucket without a burst allowance: a load may begin once the debt of the previous
+/// loads is paid off.
 ///
-/// A load is larger than any sensible burst, so it begins at once and the debt delays the next.
+/// A load is larger than any reasonable burst, so it begins immediately and its debt delays
+/// the next load.
 #[derive(Debug, Clone)]
 pub struct Bucket {
     settings: Settings,
-    paid_at: Time,
+    debt_free_at: Time,
 }
 
 impl Bucket {
-    /// A bucket without debt.
+    /// Creates a bucket without debt.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
-            paid_at: Time::START,
+            debt_free_at: Time::START,
         }
     }
 
@@ -79,11 +82,11 @@
     /// Whether a load may begin.
     #[must_use]
     pub fn is_free(&self, now: Time) -> bool {
-        self.paid_at <= now
+        self.debt_free_at <= now
     }
 
-    /// Charges for a load that begins now.
+    /// Adds the debt of a load that begins now.
     pub fn charge(&mut self, now: Time, bytes: Bytes) {
-        self.paid_at = self.paid_at.max(now) + self.settings.load_time(bytes);
+        self.debt_free_at = self.debt_free_at.max(now) + self.settings.load_time(bytes);
     }
 }
--- a/coltsfoothall/src/steward.rs
+++ b/coltsfoothall/src/steward.rs
@@ -1,25 +1,24 @@
-//! The steward of a service: the one entry instance that may order.
+//! The steward of a service: the only entry instance that may send orders to its endpoints.
 //!
-//! The platform's lease picks the steward and each grant brings a higher
-//! fencing number (the store's revision at the write that took the key, so
-//! that it rises even when a lapsed lease has removed the key). Two rules keep
-//! a superseded steward from undoing its successor's orders:
+//! The steward is elected by a lease in the key-value service. Each grant has a higher
+//! fencing number: the store's revision at the write that acquired the key, so the number
+//! increases even if the key was removed because its lease expired. Two rules prevent a
+//! superseded steward from undoing its successor's orders:
 //!
-//! * A steward orders only until `asked_at + ttl - margin` on its own clock.
-//!   The margin holds the longest flight of an order and the drift of clocks,
-//!   so its last order lands before the lease can lapse.
-//! * At endpoints that ignore the number, a new steward first waits a whole
-//!   lease and the longest flight from when it heard of its grant. The old
-//!   lease may have ended early (released, or dropped by a restarted store),
-//!   so the time left on it isn't known. Endpoints that check the number
-//!   refuse the old orders themselves and need no wait.
+//! * A steward sends orders only until `asked_at + ttl - margin` on its own clock. The
+//!   margin covers the longest time an order can be in flight and clock drift, so its last
+//!   order takes effect before the lease can expire.
+//! * If the endpoints ignore the fencing number, a new steward first waits for one lease
+//!   TTL plus the longest flight time, starting when it receives its grant. The old lease
+//!   may have ended early (released, or lost in a restart of the store), so its remaining
+//!   time is unknown. Endpoints that check the number reject outdated orders themselves, so
+//!   no wait is needed.
 //!
-//! [`Steward::permit`] must be asked again just before the bytes are written.
-//! A process may still be suspended between that check and the write. Margin
-//! and wait together cover a suspension there of
-//! `margin + wait - ttl - flight`, less the drift: one second by default, at
-//! clocks that drift apart by 4 in 100. Only an endpoint that checks the
-//! number is safe from a longer one.
+//! [`Steward::permit`] must be checked again immediately before the bytes are written. The
+//! process may still be suspended between that check and the write. Margin and wait
+//! together tolerate a suspension of `margin + wait - ttl - flight` minus the clock drift:
+//! one second by default, with clocks that drift apart by 4 %. Only endpoints that check
+//! the number are protected against longer suspensions.
 
 use std::time::Duration;
 
@@ -30,28 +29,29 @@
 use crate::clock::Time;
 use crate::id;
 
-/// Fencing number: higher with each grant.
+/// Fencing number; it increases with each grant.
 pub type Fence = u64;
 
-/// Number of a lease at the platform's service.
+/// Id of a lease in the key-value service.
 pub type Lease = u64;
 
-/// Times of a steward's lease.
+/// Timing of a steward's lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// Time to live of the lease; the same on all entry instances.
+    /// Time to live of the lease. It must be the same on all entry instances.
     pub ttl: Duration,
-    /// Longest time from the check before an order to its effect.
+    /// Maximum time from the permit check for an order to its effect.
     pub flight: Duration,
-    /// Time before the lease's end at which orders stop; flight and drift of clocks.
+    /// Time before the end of the lease at which orders stop: flight time plus clock drift.
     pub margin: Duration,
-    /// Time that a new steward waits at endpoints that ignore the number.
+    /// Time for which a new steward waits if the endpoints ignore the fencing number.
     pub wait: Duration,
-    /// Time from one renewal to the next.
+    /// Time between two renewals.
     pub renew: Duration,
-    /// Time from one look at the key to the next, for a candidate.
+    /// Time between two reads of the key by a candidate.
     pub poll: Duration,
-    /// Entry instances that stand for steward; it stops calls from growing with the fleet.
+    /// Number of entry instances that compete for the lease, so that the number of calls
+    /// does not grow with the fleet.
     pub candidates: usize,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl Settings {
-    /// Settings that follow from the lease and the longest flight.
+    /// Derives the settings from the lease TTL and the maximum flight time.
     #[must_use]
     pub fn with(ttl: Duration, flight: Duration) -> Self {
         Self {
@@ -77,16 +77,16 @@
     }
 }
 
-/// What a steward hears.
+/// An input to a steward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// This instance's rank among the live members, see [`rank`].
+    /// The rank of this instance among the live members has changed; see [`rank`].
     Rank(Option<usize>),
-    /// The key was read; the lease and the fencing number that it stands under.
+    /// The key was read. Holds its lease and fencing number if the key exists.
     Seen(Option<(Lease, Fence)>),
-    /// The key was taken.
+    /// The key was acquired.
     Granted {
         /// Fencing number.
         fence: Fence,
@@ -94,7 +94,7 @@
         lease: Lease,
         /// Time to live, as granted.
         ttl: Duration,
-        /// When the lease (not the key) was asked for.
+        /// When the lease (not the key) was requested.
         asked_at: Time,
     },
     /// The lease was renewed.
@@ -103,66 +103,69 @@
         lease: Lease,
         /// Time to live, as renewed.
         ttl: Duration,
-        /// When the renewal was asked for.
+        /// When the renewal was requested.
         asked_at: Time,
     },
-    /// The service said that the lease has lapsed, or that the key is another's.
+    /// The key-value service reported that the lease has expired, or that another instance
+    /// has the key.
     Lost,
-    /// The service can't be reached; nothing was done.
+    /// The key-value service is unavailable; the call had no effect.
     StoreDown,
-    /// The answer to taking the key was lost.
+    /// The answer to acquiring the key was lost.
     StoreUnknown {
-        /// The lease that the key was to be taken under.
+        /// The lease under which the key was to be acquired.
         lease: Lease,
-        /// When the lease was asked for.
+        /// When the lease was requested.
         asked_at: Time,
     },
-    /// This entry instance stops.
+    /// This entry instance is shutting down.
     Stop,
 }
 
-/// What a steward wants from the platform's service.
+/// A request to the key-value service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Read the key.
     Read,
-    /// Ask for a lease and take the key under it, if absent.
+    /// Request a lease and acquire the key under it, if the key is absent.
     Acquire,
     /// Renew the lease.
     Renew(Lease),
-    /// Give the lease back.
+    /// Release the lease.
     Release(Lease),
 }
 
 quick_error! {
-    /// An invariant that the platform's service broke.
+    /// An invariant that the key-value service has violated.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Broken {
-        /// A grant came with a number that isn't higher.
+        /// A grant did not have a higher fencing number.
         Fence(had: Fence, got: Fence) {
-            display("grant has fencing number {got}, but {had} was seen before")
+            display("grant has fencing number {got}, which is not higher than the previous {had}")
         }
     }
 }
 
-/// Leave to order.
+/// Permission to send orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Permit {
-    /// Fencing number to put into the order.
+    /// Fencing number to include in the order.
     pub fence: Fence,
-    /// An order is neither sent nor sent again from here on.
+    /// Time from which no order may be sent or sent again.
     pub until: Time,
 }
 
-/// This instance's place in the rendezvous order of the live members.
+/// The rank of this instance in the rendezvous hash order of the live members.
 #[must_use]
 pub fn rank(service: &id::Service, me: &id::Instance, members: &[id::Instance]) -> Option<usize> {
     let seed = xxh3_64_with_seed(service.as_str().as_bytes(), 0);
     let score = |name: &id::Instance| xxh3_64_with_seed(name.as_str().as_bytes(), seed);
-    let mine = (score(me), me);
+    let own_score = (score(me), me);
     members.contains(me).then(|| {
-        let ahead = members.iter().filter(|other| (score(other), *other) > mine);
-        ahead.count()
+        let higher = members
+            .iter()
+            .filter(|other| (score(other), *other) > own_score);
+        higher.count()
     })
 }
 
@@ -178,25 +181,25 @@
 #[derive(Debug, Clone, Copy)]
 enum State {
     Idle { retry_at: Time },
-    Asking { since: Time },
+    Waiting { since: Time },
     Held(Held),
     Stopped,
 }
 
-/// Lease and fencing number of one service on one entry instance.
+/// The lease state of one service on one entry instance.
 #[derive(Debug, Clone)]
 pub struct Steward {
     settings: Settings,
     fencing: Fencing,
     rank: Option<usize>,
     state: State,
-    unsettled: Option<(Lease, Time)>,
-    newest: Fence,
+    unconfirmed: Option<(Lease, Time)>,
+    highest_fence: Fence,
     broken: Option<Broken>,
 }
 
 impl Steward {
-    /// A steward that holds nothing.
+    /// Creates a steward without a lease.
     #[must_use]
     pub fn new(settings: Settings, fencing: Fencing) -> Self {
         Self {
@@ -206,39 +209,39 @@
             state: State::Idle {
                 retry_at: Time::START,
             },
-            unsettled: None,
-            newest: 0,
+            unconfirmed: None,
+            highest_fence: 0,
             broken: None,
         }
     }
 
-    /// The fencing number to order with, while ordering is allowed.
+    /// The permission to send orders, as long as the lease allows it.
     #[must_use]
     pub fn permit(&self, now: Time) -> Option<Permit> {
         let State::Held(held) = self.state else {
             return None;
         };
         let until = held.ends_at - self.settings.margin;
-        let open = held.first_order_at <= now && now < until;
-        open.then_some(Permit {
+        let permitted = held.first_order_at <= now && now < until;
+        permitted.then_some(Permit {
             fence: held.fence,
             until,
         })
     }
 
-    /// Whether an order may be sent.
+    /// Whether orders may be sent.
     #[must_use]
     pub fn may_order(&self, now: Time) -> bool {
         self.permit(now).is_some()
     }
 
-    /// The first invariant that was seen broken.
+    /// The first invariant violation that was detected.
     #[must_use]
     pub fn broken(&self) -> Option<&Broken> {
         self.broken.as_ref()
     }
 
-    /// Takes one input.
+    /// Handles one input.
     pub fn handle(&mut self, now: Time, input: Input) -> Option<Action> {
         match input {
             Input::Tick => self.tick(now),
@@ -264,7 +267,7 @@
             Input::Lost => self.idle(now),
             Input::StoreDown => self.down(now),
             Input::StoreUnknown { lease, asked_at } => {
-                self.unsettled = Some((lease, asked_at));
+                self.unconfirmed = Some((lease, asked_at));
                 self.ask(now, Action::Read)
             }
             Input::Stop => self.stop(),
@@ -276,14 +279,14 @@
             State::Idle { retry_at } if retry_at <= now && self.is_candidate() => {
                 self.ask(now, Action::Read)
             }
-            State::Asking { since } if since + self.settings.ttl <= now => self.idle(now),
+            State::Waiting { since } if since + self.settings.ttl <= now => self.idle(now),
             State::Held(held) if held.ends_at <= now => self.idle(now),
             State::Held(held) if held.renew_at <= now => {
                 let renew_at = now + self.settings.renew;
                 self.state = State::Held(Held { renew_at, ..held });
                 Some(Action::Renew(held.lease))
             }
-            State::Idle { .. } | State::Asking { .. } | State::Held(_) | State::Stopped => None,
+            State::Idle { .. } | State::Waiting { .. } | State::Held(_) | State::Stopped => None,
         }
     }
 
@@ -293,8 +296,8 @@
     }
 
     fn ask(&mut self, now: Time, action: Action) -> Option<Action> {
-        if matches!(self.state, State::Idle { .. } | State::Asking { .. }) {
-            self.state = State::Asking { since: now };
+        if matches!(self.state, State::Idle { .. } | State::Waiting { .. }) {
+            self.state = State::Waiting { since: now };
             return Some(action);
         }
         None
@@ -311,16 +314,16 @@
     fn down(&mut self, now: Time) -> Option<Action> {
         match self.state {
             State::Held(_) | State::Stopped => None,
-            State::Idle { .. } | State::Asking { .. } => self.idle(now),
+            State::Idle { .. } | State::Waiting { .. } => self.idle(now),
         }
     }
 
     fn seen(&mut self, now: Time, seen: Option<(Lease, Fence)>) -> Option<Action> {
-        if !matches!(self.state, State::Asking { .. }) {
+        if !matches!(self.state, State::Waiting { .. }) {
             return None;
         }
-        let unsettled = self.unsettled.take();
-        match (seen, unsettled) {
+        let unconfirmed = self.unconfirmed.take();
+        match (seen, unconfirmed) {
             (None, _) if self.is_candidate() => self.ask(now, Action::Acquire),
             (Some((lease, fence)), Some((mine, asked_at))) if lease == mine => {
                 self.granted(now, (lease, fence), asked_at + self.settings.ttl)
@@ -329,20 +332,22 @@
         }
     }
 
-    /// Takes a grant on, unless it is too late for any order or breaks the rise of the number.
+    /// Accepts a grant, unless it comes too late for any order or its fencing number is not
+    /// higher than the previous one.
     fn granted(&mut self, now: Time, grant: (Lease, Fence), ends_at: Time) -> Option<Action> {
         let (lease, fence) = grant;
         let late = ends_at <= now + self.settings.margin;
-        let rises = fence > self.newest;
-        if !rises && !late {
-            self.broken.get_or_insert(Broken::Fence(self.newest, fence));
+        let increases = fence > self.highest_fence;
+        if !increases && !late {
+            self.broken
+                .get_or_insert(Broken::Fence(self.highest_fence, fence));
         }
-        if late || !rises || matches!(self.state, State::Stopped) {
+        if late || !increases || matches!(self.state, State::Stopped) {
             self.idle(now);
             return Some(Action::Release(lease));
         }
-        self.newest = fence;
-        self.unsettled = None;
+        self.highest_fence = fence;
+        self.unconfirmed = None;
         let wait = match self.fencing {
             Fencing::Checked => Duration::ZERO,
             Fencing::Ignored => self.settings.wait,
@@ -369,7 +374,7 @@
         let state = std::mem::replace(&mut self.state, State::Stopped);
         match state {
             State::Held(held) => Some(Action::Release(held.lease)),
-            State::Idle { .. } | State::Asking { .. } | State::Stopped => None,
+            State::Idle { .. } | State::Waiting { .. } | State::Stopped => None,
         }
     }
 }
--- a/coltsfoothall/tests/adoption.rs
+++ b/coltsfoothall/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! Which revision is in force; it only rises.
+//! The configuration revision in force on an instance never decreases.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,7 +36,7 @@
     let (offered, current) = (Revision(3), Revision(5));
     assert_eq!(outcome, Outcome::Older { offered, current });
     assert_eq!((config.revision(), config.older()), (Revision(5), 1));
-    // A late read does not vouch for what is in force.
+    // A stale read does not confirm the revision in force.
     assert_eq!(config.age(at(3)), Some(Duration::from_secs(2)));
 }
 
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn few_kept() {
+fn previous_bounded() {
     let mut config = Config::new();
     for revision in 1..=20 {
         config.offer(&Source::Store, catalog(revision, "a"), at(revision));
@@ -133,27 +133,27 @@
         let mut newest = 0;
         for step in 0..300 {
             let now = at(step);
-            let who = rng.random_range(0..configs.len());
-            let before = configs[who].revision();
+            let index = rng.random_range(0..configs.len());
+            let before = configs[index].revision();
             if rng.random_bool(0.4) {
-                // The store, with late reads.
+                // A read from the key-value service, possibly stale.
                 newest += u64::from(rng.random_bool(0.3));
                 let revision = newest.saturating_sub(rng.random_range(0..4));
                 let value = catalog(revision, &format!("p{revision}"));
-                configs[who].offer(&Source::Store, value, now);
+                configs[index].offer(&Source::Store, value, now);
             } else {
                 let from = rng.random_range(0..configs.len());
-                let (heard, age) = (configs[from].revision(), configs[from].age(now));
+                let (reported, age) = (configs[from].revision(), configs[from].age(now));
                 let id = format!("e{from}").parse().unwrap();
                 let source = Source::Peer { id, age };
                 let value = configs[from].current().cloned();
-                if configs[who].merge_revision(&source, heard, now) == Need::Fetch {
-                    configs[who].offer(&source, value.unwrap(), now);
-                    assert!(configs[who].revision() >= heard, "seed {seed}");
+                if configs[index].merge_revision(&source, reported, now) == Need::Fetch {
+                    configs[index].offer(&source, value.unwrap(), now);
+                    assert!(configs[index].revision() >= reported, "seed {seed}");
                 }
             }
-            assert!(configs[who].revision() >= before, "seed {seed}");
-            assert_eq!(configs[who].forks(), 0, "seed {seed}");
+            assert!(configs[index].revision() >= before, "seed {seed}");
+            assert_eq!(configs[index].forks(), 0, "seed {seed}");
         }
     }
 }
--- a/coltsfoothall/tests/balance.rs
+++ b/coltsfoothall/tests/balance.rs
@@ -1,5 +1,6 @@
-//! Slots of a fleet whose members come one after another: each gets its share soon,
-//! over slow and lost messages, and then nothing changes any more.
+//! Slot balancing in a fleet whose members join one after another. With max_delay_ms and
+//! lost messages each member must get its share soon, and after that nothing may change any
+//! more.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -16,21 +17,22 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// Between two looks of an instance at its slots, in ms.
-const LOOK: u64 = 200;
-/// Between two heartbeats, in ms; a peer that knows a newer table is asked for it.
-const BEAT: u64 = 250;
-/// Time after its start in which an instance judges nobody, in ms.
-const SETTLE: u64 = 5000;
-/// Until the others take a silent instance for dead, in ms.
-const SUSPECT: u64 = 1500;
-/// Longest wait for a call, in ms.
-const CALL: u64 = 2000;
-/// Time in which the slots have to settle once all members know each other, in ms. The
-/// calls of an idle system are counted in spans of 10 s, and they may come down in the third.
-const CALM: u64 = 20_000;
+/// Time between two ticks in which an instance checks its slots.
+const TICK_INTERVAL_MS: u64 = 200;
+/// Time between two heartbeats; a peer that reports a newer table is asked for it.
+const HEARTBEAT_INTERVAL_MS: u64 = 250;
+/// Time after its start in which an instance does not act on the silence of others.
+const SETTLE_MS: u64 = 5000;
+/// Silence after which the others consider an instance dead.
+const SUSPECT_TIMEOUT_MS: u64 = 1500;
+/// Timeout of a call.
+const CALL_TIMEOUT_MS: u64 = 2000;
+/// Time within which the slots must settle once all members know each other. The calls of
+/// an idle system are counted in periods of 10 s, and they may still decrease until the
+/// third.
+const MAX_SETTLE_TIME_MS: u64 = 20_000;
 
-/// A part of a round of duties.
+/// A step of a round of duties.
 #[derive(Debug)]
 enum Step {
     Do(Duty),
@@ -43,14 +45,14 @@
     ledger: Ledger,
     table: Table,
     start: u64,
-    /// When the others know of it.
+    /// When the others have learned of it.
     known: u64,
-    /// While it stands still.
+    /// When its process is suspended.
     frozen: std::ops::Range<u64>,
-    look: u64,
-    beat: u64,
+    next_tick: u64,
+    next_heartbeat: u64,
     round: VecDeque<Step>,
-    /// When the next part of the round is done.
+    /// When the next step of the round is due.
     due: u64,
     base: Table,
     changed: Vec<Table>,
@@ -64,13 +66,14 @@
     nodes: Vec<Node>,
     service: Table,
     writes: u32,
-    /// Most ms that a call takes.
-    slow: u64,
-    lossy: f64,
+    /// Maximum duration of a call in ms.
+    max_delay_ms: u64,
+    loss_rate: f64,
 }
 
 impl Fleet {
-    /// `first` of `count` members are in the first table, the others come later.
+    /// Creates a fleet of `count` members. The first `first` members are in the initial
+    /// table, the others join later.
     fn new(seed: u64, count: usize, first: usize) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let all: Vec<_> = (0..count).map(candidate).collect();
@@ -95,8 +98,8 @@
                 start,
                 known: start + rng.random_range(10..1000),
                 frozen: freeze..freeze + lasts,
-                look: start,
-                beat: start,
+                next_tick: start,
+                next_heartbeat: start,
                 round: VecDeque::new(),
                 due: 0,
                 base: Table::default(),
@@ -107,8 +110,8 @@
         };
         let nodes = all.into_iter().enumerate().map(node).collect();
         Self {
-            slow: [4, 20, 60][rng.random_range(0..3)],
-            lossy: [0.0, 0.01, 0.05][rng.random_range(0..3)],
+            max_delay_ms: [4, 20, 60][rng.random_range(0..3)],
+            loss_rate: [0.0, 0.01, 0.05][rng.random_range(0..3)],
             rng,
             now: 0,
             nodes,
@@ -121,7 +124,7 @@
         Time::START + Duration::from_millis(self.now)
     }
 
-    /// Moves on by a millisecond.
+    /// Advances by one millisecond.
     fn step(&mut self) {
         self.now += 1;
         for at in 0..self.nodes.len() {
@@ -129,25 +132,26 @@
             if node.start > self.now || node.frozen.contains(&self.now) {
                 continue;
             }
-            if node.beat <= self.now {
-                self.beat(at);
+            if node.next_heartbeat <= self.now {
+                self.heartbeat(at);
             }
             if !self.nodes[at].round.is_empty() {
                 self.advance(at);
-            } else if self.nodes[at].look <= self.now {
-                self.look(at);
+            } else if self.nodes[at].next_tick <= self.now {
+                self.tick(at);
             }
         }
     }
 
-    /// Those that `at` takes for alive, sorted by name.
+    /// The members that `at` considers alive, sorted by name.
     fn live(&self, at: usize) -> Vec<Candidate> {
-        let heard = |other: &Node| {
+        let is_alive = |other: &Node| {
             let silent = other.frozen.contains(&self.now);
-            other.known <= self.now && !(silent && self.now >= other.frozen.start + SUSPECT)
+            other.known <= self.now
+                && !(silent && self.now >= other.frozen.start + SUSPECT_TIMEOUT_MS)
         };
         let nodes = self.nodes.iter().enumerate();
-        let live = nodes.filter(|(other, node)| *other == at || heard(node));
+        let live = nodes.filter(|(other, node)| *other == at || is_alive(node));
         live.map(|(_, node)| node.me.clone()).collect()
     }
 
@@ -161,16 +165,16 @@
             missing: &[],
             leaving: false,
             service: true,
-            settled: self.now >= node.start + SETTLE,
+            settled: self.now >= node.start + SETTLE_MS,
         })
     }
 
-    fn look(&mut self, at: usize) {
+    fn tick(&mut self, at: usize) {
         let duties = self.duties(at);
-        let lag = self.rng.random_range(1..=self.slow);
+        let lag = self.rng.random_range(1..=self.max_delay_ms);
         let now = self.now;
         let node = &mut self.nodes[at];
-        node.look = now + LOOK;
+        node.next_tick = now + TICK_INTERVAL_MS;
         if duties.is_empty() && !node.read && !node.ledger.proposing() {
             return;
         }
@@ -194,13 +198,13 @@
         }
     }
 
-    /// Time of a call, which may be lost.
+    /// Simulates a call, which may be lost.
     fn call(&mut self, at: usize) -> bool {
-        let lost = self.rng.random_bool(self.lossy / 10.0);
+        let lost = self.rng.random_bool(self.loss_rate / 10.0);
         let took = if lost {
-            CALL
+            CALL_TIMEOUT_MS
         } else {
-            self.rng.random_range(1..=self.slow)
+            self.rng.random_range(1..=self.max_delay_ms)
         };
         self.nodes[at].due = self.now + took;
         !lost
@@ -255,13 +259,13 @@
         }
     }
 
-    fn place(&self, name: &Instance) -> usize {
+    fn index_of(&self, name: &Instance) -> usize {
         let mut nodes = self.nodes.iter();
         nodes.position(|node| node.me.instance == *name).unwrap()
     }
 
     fn copy(&mut self, at: usize, slot: Slot, to: &Instance) {
-        let peer = self.place(to);
+        let peer = self.index_of(to);
         if self.nodes[at].silent.contains(to) {
             return;
         }
@@ -279,7 +283,7 @@
     }
 
     fn cede(&mut self, at: usize, slot: Slot, epoch: coltsfoothall::key::Epoch, to: &Instance) {
-        let peer = self.place(to);
+        let peer = self.index_of(to);
         if !self.call(at) || self.nodes[peer].frozen.contains(&self.now) {
             return;
         }
@@ -287,14 +291,14 @@
         let held =
             ledger.keeps(slot, epoch) && (ledger.seal(slot).is_some() || ledger.serving(slot));
         self.nodes[peer].read = true;
-        if !held && self.now >= self.nodes[at].start + SETTLE {
+        if !held && self.now >= self.nodes[at].start + SETTLE_MS {
             let node = &self.nodes[at];
             let table = node.base.claim(slot, epoch, &node.me.instance);
             self.propose(at, slot, table);
         }
     }
 
-    /// The table is read; what was proposed on it is written if it is still the same.
+    /// Reads the table. Proposed changes are written if the table has not changed.
     fn read(&mut self, at: usize) {
         self.call(at);
         let node = &self.nodes[at];
@@ -322,7 +326,7 @@
         let node = &mut self.nodes[at];
         node.changed.clear();
         node.silent.clear();
-        // A round that did something is followed by another that reads.
+        // A round with changes is followed by another one that reads the table.
         node.read = busy && !node.base.entries.is_empty() && node.base != node.table;
     }
 
@@ -335,37 +339,38 @@
         }
     }
 
-    /// Somebody's newer table is fetched.
-    fn beat(&mut self, at: usize) {
-        let late = self.rng.random_range(0..self.slow);
-        self.nodes[at].beat = self.now + BEAT + late;
+    /// Fetches the table of a random peer if it is newer.
+    fn heartbeat(&mut self, at: usize) {
+        let late = self.rng.random_range(0..self.max_delay_ms);
+        self.nodes[at].next_heartbeat = self.now + HEARTBEAT_INTERVAL_MS + late;
         let from = self.rng.random_range(0..self.nodes.len());
         let peer = &self.nodes[from];
-        let heard = peer.known <= self.now && !peer.frozen.contains(&self.now);
-        if heard && peer.table.version > self.nodes[at].table.version {
+        let reachable = peer.known <= self.now && !peer.frozen.contains(&self.now);
+        if reachable && peer.table.version > self.nodes[at].table.version {
             let table = peer.table.clone();
             self.observe(at, table);
         }
     }
 
-    /// Whether each member has its share and nobody has anything to do.
-    fn calm(&self) -> bool {
+    /// Whether each slot has a backup and no member has any duty left.
+    fn is_settled(&self) -> bool {
         let newest = |node: &Node| node.table.version == self.service.version;
         let idle = |at: usize| newest(&self.nodes[at]) && self.duties(at).is_empty();
         let whole = self.service.iter().all(|(_, entry)| entry.backup.is_some());
         whole && (0..self.nodes.len()).all(idle)
     }
 
-    /// Time until the slots are calm after all members know each other, in ms.
+    /// Runs until the slots have settled. Returns the time in ms since all members knew
+    /// each other.
     fn settle(&mut self) -> u64 {
-        let joined = |node: &Node| node.known.max(node.start + SETTLE).max(node.frozen.end);
+        let joined = |node: &Node| node.known.max(node.start + SETTLE_MS).max(node.frozen.end);
         let begin = self.nodes.iter().map(joined).max().unwrap();
-        while self.now < begin || !self.now.is_multiple_of(LOOK) || !self.calm() {
+        while self.now < begin || !self.now.is_multiple_of(TICK_INTERVAL_MS) || !self.is_settled() {
             self.step();
             let spent = self.now.saturating_sub(begin);
             assert!(
-                spent <= CALM,
-                "not calm after {spent} ms: {:?}",
+                spent <= MAX_SETTLE_TIME_MS,
+                "not settled after {spent} ms: {:?}",
                 self.loads()
             );
         }
@@ -386,13 +391,14 @@
     }
 }
 
-/// Runs fleets until they are calm, and for another while in which nothing may be written.
-fn play(seeds: std::ops::Range<u64>) {
-    let (mut worst, mut red) = (0, Vec::new());
+/// Runs fleets until they have settled, and then for another 10 s in which nothing may be
+/// written.
+fn run(seeds: std::ops::Range<u64>) {
+    let (mut worst, mut failed) = (0, Vec::new());
     for seed in seeds {
         let count = [3, 6, 9][seed as usize % 3];
         let first = 1 + seed as usize / 3 % count;
-        let run = std::panic::catch_unwind(|| {
+        let result = std::panic::catch_unwind(|| {
             let mut fleet = Fleet::new(seed, count, first);
             let took = fleet.settle();
             let before = fleet.writes;
@@ -400,24 +406,24 @@
             assert_eq!(
                 fleet.writes,
                 before,
-                "written while calm: {:?}",
+                "written after settling: {:?}",
                 fleet.loads()
             );
             took
         });
-        match run {
+        match result {
             Ok(took) => worst = worst.max(took),
-            Err(_) => red.push((seed, count, first)),
+            Err(_) => failed.push((seed, count, first)),
         }
     }
-    println!("calm after {worst} ms at most");
+    println!("settled after {worst} ms at most");
     assert!(
-        red.is_empty(),
-        "seeds, members, members in the first table: {red:?}"
+        failed.is_empty(),
+        "seeds, members, members in the first table: {failed:?}"
     );
 }
 
 #[test]
 fn shares_soon() {
-    play(0..30);
+    run(0..30);
 }
--- a/coltsfoothall/tests/choice.rs
+++ b/coltsfoothall/tests/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint.
+//! Selection of an endpoint.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     Time::START + Duration::from_millis(millis)
 }
 
-struct Want {
+struct Request {
     service: id::Service,
     domain: id::Domain,
     blocks: Vec<Block>,
@@ -42,8 +42,8 @@
     isolated: bool,
 }
 
-fn want(blocks: std::ops::Range<u64>) -> Want {
-    Want {
+fn request(blocks: std::ops::Range<u64>) -> Request {
+    Request {
         service: "reader".parse().expect("a valid name"),
         domain: "smichov".parse().expect("a valid name"),
         blocks: blocks.map(Block).collect(),
@@ -52,7 +52,7 @@
     }
 }
 
-impl Want {
+impl Request {
     fn query(&self) -> Query<'_> {
         Query {
             service: &self.service,
@@ -68,21 +68,21 @@
     }
 }
 
-fn send(router: &mut Router, now: Time, want: &Want) -> Run {
+fn send(router: &mut Router, now: Time, request: &Request) -> Run {
     let pick = router
-        .choose(now, &want.query())
+        .choose(now, &request.query())
         .expect("an endpoint may serve");
-    router.record_start(now, &pick.endpoint, &want.query())
+    router.record_start(now, &pick.endpoint, &request.query())
 }
 
 #[test]
 fn prefix_stays() {
     let mut router = router(18, Settings::default());
-    let mut first = send(&mut router, at(0), &want(0..40));
+    let mut first = send(&mut router, at(0), &request(0..40));
     router.record_first_token(at(100), &mut first, Some(Tokens(0)));
     let endpoint = first.endpoint.clone();
     router.record_end(at(200), first);
-    let pick = router.choose(at(300), &want(0..44).query()).unwrap();
+    let pick = router.choose(at(300), &request(0..44).query()).unwrap();
     assert_eq!(pick.endpoint, endpoint);
     assert_eq!(pick.cached, Tokens(40 * 256));
 }
@@ -91,7 +91,7 @@
 fn load_spreads() {
     let mut router = router(9, Settings::default());
     let runs: Vec<Run> = (0..90)
-        .map(|n| send(&mut router, at(n), &want(n * 100..n * 100 + 4)))
+        .map(|n| send(&mut router, at(n), &request(n * 100..n * 100 + 4)))
         .collect();
     for n in 0..9 {
         let name: id::Endpoint = format!("e{n:04}").parse().unwrap();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn homes_agree() {
+fn hash_targets_agree() {
     for key in 0..20 {
         let pick = |seed| {
             let settings = Settings {
@@ -112,7 +112,9 @@
                 ..Settings::default()
             };
             let mut router = router(450, settings);
-            router.choose(at(0), &want(key..key + 9).query()).unwrap()
+            router
+                .choose(at(0), &request(key..key + 9).query())
+                .unwrap()
         };
         assert_eq!(pick(1).endpoint, pick(2).endpoint);
     }
@@ -126,41 +128,41 @@
     let again = (0..2).map(|n| endpoint("reader", &format!("e{n:04}"), "smichov"));
     router.set_endpoints(again.collect());
     for n in 0..50 {
-        let run = send(&mut router, at(n), &want(n..n + 3));
+        let run = send(&mut router, at(n), &request(n..n + 3));
         assert_eq!(run.endpoint.as_str(), "e0001");
     }
     router.mark_leaving(&"e0001".parse().unwrap());
-    assert!(router.choose(at(60), &want(0..3).query()).is_none());
+    assert!(router.choose(at(60), &request(0..3).query()).is_none());
 }
 
 #[test]
 fn suspect_last() {
     let mut router = router(2, Settings::default());
     router.mark_suspect(&"e0000".parse().unwrap(), at(1_000));
-    let pick = router.choose(at(0), &want(0..3).query()).unwrap();
+    let pick = router.choose(at(0), &request(0..3).query()).unwrap();
     assert_eq!(pick.endpoint.as_str(), "e0001");
     router.mark_leaving(&"e0001".parse().unwrap());
-    let pick = router.choose(at(0), &want(0..3).query()).unwrap();
+    let pick = router.choose(at(0), &request(0..3).query()).unwrap();
     assert_eq!(pick.endpoint.as_str(), "e0000");
 }
 
 #[test]
 fn excluded_never() {
     let mut router = router(2, Settings::default());
-    let mut want = want(0..3);
-    want.exclude = vec!["e0000".parse().unwrap(), "e0001".parse().unwrap()];
-    assert!(router.choose(at(0), &want.query()).is_none());
+    let mut request = request(0..3);
+    request.exclude = vec!["e0000".parse().unwrap(), "e0001".parse().unwrap()];
+    assert!(router.choose(at(0), &request.query()).is_none());
 }
 
 #[test]
-fn alone_means_alone() {
+fn isolated_request() {
     let mut router = router(2, Settings::default());
-    let beside = send(&mut router, at(0), &want(0..3));
-    let mut exclusive = want(0..3);
+    let beside = send(&mut router, at(0), &request(0..3));
+    let mut exclusive = request(0..3);
     exclusive.isolated = true;
     let run = send(&mut router, at(1), &exclusive);
     assert_ne!(run.endpoint, beside.endpoint);
-    let next = send(&mut router, at(2), &want(0..3));
+    let next = send(&mut router, at(2), &request(0..3));
     assert_eq!(next.endpoint, beside.endpoint);
     assert!(router.choose(at(3), &exclusive.query()).is_none());
     router.record_end(at(4), run);
@@ -170,7 +172,7 @@
 }
 
 #[test]
-fn no_herd() {
+fn no_herding() {
     let mut routers: Vec<Router> = (0..8)
         .map(|seed| {
             let settings = Settings {
@@ -190,13 +192,13 @@
             router.record_report(at(0), &format!("e{n:04}").parse().unwrap(), &busy);
         }
     }
-    let mut there = 0;
+    let mut to_idle = 0;
     for n in 0..200 {
         let router = &mut routers[n as usize % 8];
-        let run = send(router, at(1), &want(n * 100..n * 100 + 4));
-        there += usize::from(run.endpoint == idle);
+        let run = send(router, at(1), &request(n * 100..n * 100 + 4));
+        to_idle += usize::from(run.endpoint == idle);
     }
-    assert!(there <= 40, "{there} of 200 went to one idle endpoint");
+    assert!(to_idle <= 40, "{to_idle} of 200 went to one idle endpoint");
 }
 
 proptest! {
@@ -204,7 +206,7 @@
     fn picks_may_serve(
         leaving in proptest::collection::vec(any::<bool>(), 12),
         suspect in proptest::collection::vec(any::<bool>(), 12),
-        asks in proptest::collection::vec((0u64..50, any::<bool>()), 1..60),
+        requests in proptest::collection::vec((0u64..50, any::<bool>()), 1..60),
     ) {
         let mut router = router(12, Settings::default());
         for n in 0..12 {
@@ -217,16 +219,16 @@
             }
         }
         let good = |n: usize| !leaving[n] && !suspect[n];
-        for (first, ends) in asks {
-            let want = want(first..first + 5);
-            let Some(pick) = router.choose(at(0), &want.query()) else {
+        for (first, ends) in requests {
+            let request = request(first..first + 5);
+            let Some(pick) = router.choose(at(0), &request.query()) else {
                 prop_assert!(leaving.iter().all(|leaving| *leaving));
                 continue;
             };
             let n: usize = pick.endpoint.as_str()[1..].parse().unwrap();
             prop_assert!(!leaving[n]);
             prop_assert!(good(n) || (0..12).all(|n| !good(n)));
-            let run = router.record_start(at(0), &pick.endpoint, &want.query());
+            let run = router.record_start(at(0), &pick.endpoint, &request.query());
             if ends {
                 router.record_end(at(0), run);
             }
--- a/coltsfoothall/tests/confirm.rs
+++ b/coltsfoothall/tests/confirm.rs
@@ -1,4 +1,4 @@
-//! Confirmations: races, lost answers, late writes and outages.
+//! Confirmations with races, lost answers, late writes and outages.
 
 use std::sync::Arc;
 
@@ -8,13 +8,13 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// A key with every value that it ever had.
+/// A key with its complete history of values.
 #[derive(Debug, Default)]
 struct Store {
     values: Vec<Arc<Catalog>>,
     late: Vec<(u64, Arc<Catalog>, u64)>,
-    /// Attempts whose swap took effect.
-    landed: Vec<u64>,
+    /// Attempts whose swap has taken effect.
+    applied: Vec<u64>,
 }
 
 impl Store {
@@ -35,11 +35,11 @@
         fits
     }
 
-    /// A swap that comes late takes effect if it still fits.
-    fn land(&mut self, version: u64, value: Arc<Catalog>, attempt: u64) -> bool {
+    /// A delayed swap takes effect if the version still matches.
+    fn apply_late(&mut self, version: u64, value: Arc<Catalog>, attempt: u64) -> bool {
         let fits = self.swap(version, value);
         if fits {
-            self.landed.push(attempt);
+            self.applied.push(attempt);
         }
         fits
     }
@@ -49,11 +49,11 @@
     }
 
     fn holds(&self, plan: &Plan) -> Vec<Revision> {
-        let ours = self
+        let written = self
             .values
             .iter()
             .filter(|value| value.plan.as_ref() == Some(&plan.id));
-        ours.map(|value| value.revision).collect()
+        written.map(|value| value.revision).collect()
     }
 }
 
@@ -76,7 +76,7 @@
     Event::Found { version, catalog }
 }
 
-/// Runs one confirmation with no faults.
+/// Runs one confirmation without faults.
 fn settle(store: &mut Store, attempt: &mut Attempt) -> Verdict {
     let mut action = attempt.start();
     loop {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn calm_accepted() {
+fn uncontended_accepted() {
     let mut store = Store::default();
     let one = plan(&Catalog::default(), "one", 1);
     assert_eq!(
@@ -123,7 +123,7 @@
     };
     assert_eq!((current, since), (Revision(1), Some(Revision(0))));
     assert_eq!(changed[0].name, "one");
-    // The first stays accepted after others overwrote it.
+    // The first plan stays accepted after others have overwritten it.
     let three = plan(&store.newest(), "three", 1);
     settle(&mut store, &mut attempt(&three));
     assert_eq!(
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn known_here() {
+fn known_locally() {
     let one = plan(&Catalog::default(), "one", 1);
     let held = Arc::new(one.after.clone());
     let mut ours = Attempt::new(one, held, None);
@@ -200,7 +200,7 @@
 
 #[test]
 fn reset_mended() {
-    // The service lost revision 2, which is in force here.
+    // The key-value service lost revision 2, which is in force on this instance.
     let one = plan(&Catalog::default(), "one", 1);
     let two = plan(&one.after, "two", 1);
     let three = plan(&two.after, "three", 1);
@@ -256,7 +256,7 @@
     ));
 }
 
-/// An operator with a plan, who confirms until it is settled.
+/// An operator who confirms a plan until its outcome is known.
 struct Operator {
     plan: Plan,
     attempt: Attempt,
@@ -279,14 +279,14 @@
     }
 }
 
-/// A confirmation at an instance that may lag behind the store.
+/// A confirmation on an instance that may lag behind the store.
 fn begin(plan: &Plan, rng: &mut Pcg64, store: &Store) -> Attempt {
     let at = rng.random_range(0..=store.values.len());
     let held = at.checked_sub(1).map(|at| Arc::clone(&store.values[at]));
     Attempt::new(plan.clone(), held.unwrap_or_default(), None)
 }
 
-/// What the faulty store does with an action.
+/// Performs an action on the store with random faults.
 fn faulty(store: &mut Store, operator: &mut Operator, rng: &mut Pcg64) -> Event {
     let fault = rng.random_range(0..10);
     match operator.action.clone() {
@@ -301,7 +301,7 @@
                 store.late.push((version, value, operator.number));
                 return Event::Lost;
             }
-            let fits = store.land(version, value, operator.number);
+            let fits = store.apply_late(version, value, operator.number);
             match (fault, fits) {
                 (2 | 3, _) => Event::Lost,
                 (_, true) => Event::Swapped,
@@ -319,7 +319,7 @@
         Verdict::Untried { .. } => assert!(!operator.lost, "seed {seed}: untried but lost"),
         Verdict::Unsettled { .. } => assert!(operator.lost, "seed {seed}: nothing was lost"),
         Verdict::Refused { message } => panic!("seed {seed}: {message}"),
-        // The run is shorter than the history.
+        // The run is shorter than the history, so no plan expires.
         Verdict::Expired { .. } => panic!("seed {seed}: expired"),
     }
 }
@@ -343,8 +343,8 @@
         };
         let mut operators = [next(&mut rng, &store, None), next(&mut rng, &store, None)];
         for _ in 0..200 {
-            let who = rng.random_range(0..operators.len());
-            let operator = &mut operators[who];
+            let index = rng.random_range(0..operators.len());
+            let operator = &mut operators[index];
             if let Action::Settle(verdict) = operator.action.clone() {
                 check(&verdict, operator, &store, seed);
                 let again = match verdict {
@@ -366,25 +366,27 @@
                         Some(operator.plan.clone())
                     }
                 };
-                // What is not known is confirmed again, perhaps at another instance.
-                operators[who] = next(&mut rng, &store, again.as_ref());
+                // A confirmation without a definite outcome is repeated, perhaps on another
+                // instance.
+                operators[index] = next(&mut rng, &store, again.as_ref());
                 continue;
             }
             let event = faulty(&mut store, operator, &mut rng);
             operator.action = operator.attempt.step(event);
             if rng.random_bool(0.2) && !store.late.is_empty() {
                 let (version, value, attempt) = store.late.remove(0);
-                store.land(version, value, attempt);
+                store.apply_late(version, value, attempt);
             }
         }
         for (version, value, attempt) in std::mem::take(&mut store.late) {
-            store.land(version, value, attempt);
+            store.apply_late(version, value, attempt);
         }
         let wrote = untried
             .iter()
-            .find(|attempt| store.landed.contains(attempt));
+            .find(|attempt| store.applied.contains(attempt));
         assert_eq!(wrote, None, "seed {seed}: an untried confirmation wrote");
-        // One winner for each base, no revision back, no second effect, stale for good.
+        // Each base has one winner, revisions never decrease, no plan is applied twice, and
+        // stale plans stay stale.
         let revisions: Vec<u64> = store.values.iter().map(|value| value.revision.0).collect();
         let rising: Vec<u64> = (1..=store.values.len() as u64).collect();
         assert_eq!(revisions, rising, "seed {seed}");
@@ -401,7 +403,7 @@
             "seed {seed}"
         );
     }
-    // The run meets every case, or it proves little.
+    // The run must cover every case to be meaningful.
     assert!(
         accepted > 400 && stale > 400 && unsettled > 400,
         "{accepted} accepted, {stale} stale, {unsettled} unsettled"
--- a/coltsfoothall/tests/fleet.rs
+++ b/coltsfoothall/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Cheapest sets against brute force and against plain rules.
+//! Compares plans with brute force and with simple strategies.
 
 use coltsfoothall::catalog::Placement;
 use coltsfoothall::fleet::{Capacity, Demand, Kind, Lend, Loss, Offer, Plan, plan};
@@ -36,7 +36,8 @@
     }
 }
 
-/// Load that is left after the worst domain, for counts in the order of the offers.
+/// Load that remains after the loss of the worst domain, for counts in the order of the
+/// offers.
 fn carried(demand: &Demand, offers: &[Offer], counts: &[u32]) -> u64 {
     let load = |(offer, count): (&Offer, &u32)| {
         let capacity = demand
@@ -63,25 +64,25 @@
         .sum()
 }
 
-/// The least cost over all counts of at most `most` an offer.
-fn brute(demand: &Demand, offers: &[Offer], placement: &Placement, most: u32) -> Option<u64> {
+/// The minimum cost over all counts of at max_count `max_count` per offer.
+fn brute(demand: &Demand, offers: &[Offer], placement: &Placement, max_count: u32) -> Option<u64> {
     let mut counts = vec![0; offers.len()];
     let mut best = None;
     loop {
         let count: u32 = counts.iter().sum();
         let rows = || offers.iter().zip(&counts);
-        let lasting = rows()
+        let on_demand = rows()
             .filter(|(o, _)| o.kind.lend == Lend::OnDemand)
             .map(|(_, n)| n);
         let met = count >= demand.min
             && (demand.max == 0 || count <= demand.max)
-            && lasting.sum::<u32>() >= placement.on_demand
+            && on_demand.sum::<u32>() >= placement.on_demand
             && carried(demand, offers, &counts) >= demand.load;
         if met {
             let cost = cost(offers, &counts);
             best = Some(best.map_or(cost, |best: u64| best.min(cost)));
         }
-        let Some(at) = counts.iter().position(|n| *n < most) else {
+        let Some(at) = counts.iter().position(|n| *n < max_count) else {
             return best;
         };
         counts[..at].fill(0);
@@ -140,7 +141,8 @@
     }
 }
 
-/// Prices by domain and class, reclaimable at about a third of on demand.
+/// Offers for each domain and class, with reclaimable instances at about a third of the
+/// on-demand price.
 fn market(domains: usize, prices: &[u64]) -> Vec<Offer> {
     let mut offers = Vec::new();
     for domain in 0..domains {
@@ -154,7 +156,8 @@
     offers
 }
 
-/// As many of the cheapest class everywhere as carry the load with one domain fewer.
+/// Cost of spreading the cheapest class evenly such that the load is carried with one
+/// domain fewer.
 fn spread(demand: &Demand, offers: &[Offer], domains: u64) -> u64 {
     let per = |class: &Capacity| {
         let there = |o: &&Offer| o.kind.class == class.class && o.kind.lend == Lend::Reclaimable;
@@ -173,9 +176,9 @@
         .expect("the test sets it up")
 }
 
-/// The load on demand at the lowest price, with nothing to spare.
-fn lasting(demand: &Demand, offers: &[Offer]) -> u64 {
-    let lasting = offers.iter().filter(|o| o.kind.lend == Lend::OnDemand);
+/// Cost of carrying the load with the cheapest on-demand instances and no spare.
+fn on_demand(demand: &Demand, offers: &[Offer]) -> u64 {
+    let on_demand = offers.iter().filter(|o| o.kind.lend == Lend::OnDemand);
     let all = |o: &Offer| {
         let capacity = demand
             .capacities
@@ -184,10 +187,11 @@
             .expect("the test sets it up");
         demand.load.div_ceil(capacity.load) * o.price.0
     };
-    lasting.map(all).min().expect("the test sets it up")
+    on_demand.map(all).min().expect("the test sets it up")
 }
 
-/// No set costs less: instances may be bought in part, the loss of a domain being at most `lost`.
+/// Lower bound on the cost if a domain loses at max_count `lost`: the relaxed problem, in
+/// which fractions of instances may be bought.
 fn relaxed(demand: &Demand, offers: &[Offer], domains: usize, lost: u64) -> f64 {
     let load = |o: &Offer| {
         let capacity = demand
@@ -199,18 +203,18 @@
     };
     let mut rows: Vec<&Offer> = offers.iter().collect();
     rows.sort_by(|a, b| (a.price.0 as f64 / load(a)).total_cmp(&(b.price.0 as f64 / load(b))));
-    let mut room = vec![lost as f64; domains];
+    let mut allowance = vec![lost as f64; domains];
     let (mut missing, mut cost) = ((demand.load + lost) as f64, 0.0);
     for row in rows {
         let domain: usize = row.kind.domain.as_str()["domain-".len()..]
             .parse()
             .expect("a name");
         let bought = match row.kind.lend {
-            Lend::Reclaimable => missing.min(room[domain]),
+            Lend::Reclaimable => missing.min(allowance[domain]),
             Lend::OnDemand => missing,
         };
         if row.kind.lend == Lend::Reclaimable {
-            room[domain] -= bought;
+            allowance[domain] -= bought;
         }
         missing -= bought;
         cost += bought * row.price.0 as f64 / load(row);
@@ -227,18 +231,18 @@
     };
     let found = plan(&demand, &offers, &anywhere());
     check(&found, &demand);
-    let (spread, lasting) = (
+    let (spread, on_demand) = (
         spread(&demand, &offers, domains as u64),
-        lasting(&demand, &offers),
+        on_demand(&demand, &offers),
     );
     let bounds = (0..=load).map(|lost| relaxed(&demand, &offers, domains, lost));
     let bound = bounds.min_by(f64::total_cmp).expect("the test sets it up");
     println!(
-        "{name}: {} instances cost {}; spread evenly with a domain to spare {spread}; on demand {lasting}; none below {bound:.0}; proved {}",
+        "{name}: {} instances cost {}; spread evenly with a domain to spare {spread}; on demand {on_demand}; none below {bound:.0}; proved {}",
         found.count, found.cost, found.exact
     );
     assert_eq!(found.shortfall, 0);
-    assert!(found.cost.0 <= spread && found.cost.0 < lasting);
+    assert!(found.cost.0 <= spread && found.cost.0 < on_demand);
     found
 }
 
@@ -287,7 +291,7 @@
     assert_eq!(
         plan(&demand, &offers, &anywhere()).shortfall,
         0,
-        "on demand survives a reclaim"
+        "on-demand instances survive a reclaim"
     );
 }
 
@@ -309,11 +313,11 @@
         ..Demand::default()
     };
     let found = plan(&demand, &offers, &placement);
-    let lasting = found
+    let on_demand = found
         .allocations
         .iter()
         .filter(|h| h.offer.kind.lend == Lend::OnDemand);
-    assert!(lasting.map(|allocation| allocation.count).sum::<u32>() >= 2);
+    assert!(on_demand.map(|allocation| allocation.count).sum::<u32>() >= 2);
     for allocation in &found.allocations {
         assert!(placement.domains.contains(&allocation.offer.kind.domain));
         assert!(placement.classes.contains(&allocation.offer.kind.class));
@@ -321,6 +325,6 @@
     let demand = Demand { max: 2, ..demand };
     assert!(
         plan(&demand, &offers, &placement).shortfall > 0,
-        "two can't carry it"
+        "two instances cannot carry the load"
     );
 }
--- a/coltsfoothall/tests/index.rs
+++ b/coltsfoothall/tests/index.rs
@@ -1,4 +1,4 @@
-//! Beliefs about prefix caches.
+//! The estimated contents of prefix caches.
 
 use coltsfoothall::index::{CacheId, Change, Event, Index, Match, Settings};
 use coltsfoothall::prefix::Block;
@@ -33,8 +33,10 @@
     index.record_use(short, &blocks(0..4));
     index.record_use(long, &blocks(0..9));
     let found = best(&index, &blocks(0..12));
-    let depths: Vec<(CacheId, usize)> =
-        found.iter().map(|have| (have.cache, have.blocks)).collect();
+    let depths: Vec<(CacheId, usize)> = found
+        .iter()
+        .map(|found| (found.cache, found.blocks))
+        .collect();
     assert_eq!(depths, [(long, 9), (short, 4)]);
 }
 
@@ -48,7 +50,7 @@
     assert_eq!(
         index.record_events(cache, &events),
         (cache, 0),
-        "a repeat is harmless"
+        "repeated events are ignored"
     );
 }
 
@@ -82,14 +84,18 @@
 }
 
 #[test]
-fn capacity_lapses() {
+fn capacity_expires() {
     let mut index = Index::new(Settings::default());
     let cache = index.add_cache();
     index.resize(cache, Tokens(100 * 256));
     index.record_use(cache, &blocks(0..50));
     index.record_use(cache, &blocks(1_000..1_060));
     assert_eq!(estimate(&index, cache, 1_000..1_060), 60);
-    assert_eq!(estimate(&index, cache, 0..9), 0, "the oldest have lapsed");
+    assert_eq!(
+        estimate(&index, cache, 0..9),
+        0,
+        "the oldest entries have expired"
+    );
     assert_eq!(estimate(&index, cache, 11..50), 39);
 }
 
@@ -103,7 +109,11 @@
     index.record_use(cache, &blocks(100..150));
     let old = index.estimate(cache, &blocks(10..20));
     index.record_miss(cache, old);
-    assert_eq!(estimate(&index, cache, 0..10), 0, "older ones fall with it");
+    assert_eq!(
+        estimate(&index, cache, 0..10),
+        0,
+        "older entries are invalidated too"
+    );
     assert_eq!(estimate(&index, cache, 100..150), 50);
     let young = index.estimate(cache, &blocks(100..150));
     index.record_miss(cache, young);
@@ -123,5 +133,9 @@
         index.record_use(cache, &[Block(n)]);
         assert!(index.len() <= 16 * 32);
     }
-    assert_eq!(estimate(&index, cache, 4_990..5_000), 10, "the newest stay");
+    assert_eq!(
+        estimate(&index, cache, 4_990..5_000),
+        10,
+        "the newest entries are kept"
+    );
 }
--- a/coltsfoothall/tests/limit.rs
+++ b/coltsfoothall/tests/limit.rs
@@ -1,4 +1,4 @@
-//! Shares, limits and queues at the gate.
+//! Shares, limits and queues of admission control.
 
 use std::time::Duration;
 
@@ -37,10 +37,10 @@
     [workspace("large", 1), workspace("small", 1)]
 }
 
-fn gate(room: u64) -> Gate {
+fn gate(budget: u64) -> Gate {
     let mut gate = Gate::new(Settings::default());
     gate.set_workspaces(&workspaces());
-    gate.set_budget(&"reader".parse().expect("a valid name"), Tokens(room));
+    gate.set_budget(&"reader".parse().expect("a valid name"), Tokens(budget));
     gate
 }
 
@@ -73,8 +73,8 @@
     outcomes.iter().filter_map(number).collect()
 }
 
-/// A gate with room for four requests, all of which one workspace took, and
-/// the four.
+/// A gate with a budget for four requests, and the four requests, all of one workspace,
+/// that use it up.
 fn full(workspace: &str) -> (Gate, Vec<Number>) {
     let mut gate = Gate::new(Settings {
         greed: 10_000,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn flood_leaves_room() {
+fn flood_leaves_budget() {
     let mut gate = gate(20_000);
     let flood = ticket("large", Class::Interactive, 600_000);
     let open = (0..100).filter_map(|_| admitted(gate.offer(at(0), &flood)));
@@ -120,7 +120,10 @@
     short.cost = Tokens(10);
     queued(gate.offer(at(1), &short));
     gate.record_prefill(at(2), open[0]);
-    assert!(gate.poll(at(2)).is_empty(), "a short one passed a long one");
+    assert!(
+        gate.poll(at(2)).is_empty(),
+        "a short request overtook a long one"
+    );
     gate.record_end(at(3), open[0]);
     gate.record_end(at(3), open[1]);
     assert_eq!(ready(&gate.poll(at(3)))[0], long);
@@ -180,7 +183,7 @@
     assert!(gate.poll(at(1_000)).is_empty());
     let outcomes = gate.poll(at(8_000));
     let given_up = matches!(outcomes[..], [Outcome::Refused(number, _)] if number == late);
-    assert!(given_up, "told before its deadline: {outcomes:?}");
+    assert!(given_up, "refused before its deadline: {outcomes:?}");
 }
 
 #[test]
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn no_room() {
+fn no_budget() {
     let mut gate = gate(0);
     let offer = gate.offer(at(0), &ticket("small", Class::Batch, 600_000));
     assert_eq!(refused(offer).cause, Cause::NoEndpoint);
@@ -240,7 +243,7 @@
                             Outcome::Refused(number, _) => (number, false),
                         };
                         prop_assert!(waiting.contains(&number), "{number:?} did not wait");
-                        waiting.retain(|have| *have != number);
+                        waiting.retain(|other| *other != number);
                         if goes {
                             open.push(number);
                         }
--- a/coltsfoothall/tests/load.rs
+++ b/coltsfoothall/tests/load.rs
@@ -1,4 +1,4 @@
-//! What is believed of an endpoint's load.
+//! The estimated load of an endpoint.
 
 use std::time::Duration;
 
@@ -21,12 +21,12 @@
     Settings::default()
 }
 
-fn view(mean: f64, hold: u64) -> View {
+fn view(mean: f64, duration: u64) -> View {
     let mean = Work {
         open: mean,
         prefill: 0.0,
     };
-    View::new(mean, Duration::from_millis(hold), &settings())
+    View::new(mean, Duration::from_millis(duration), &settings())
 }
 
 #[test]
--- a/coltsfoothall/tests/member.rs
+++ b/coltsfoothall/tests/member.rs
@@ -1,4 +1,4 @@
-//! Members, their news and the addresses for callers.
+//! Membership, updates between members and the addresses for callers.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -40,8 +40,9 @@
     Time::START + Duration::from_millis(ms)
 }
 
-/// Runs heartbeats for some seconds; returns the members that died by mistake.
-fn beat(
+/// Runs heartbeats for some seconds and returns the number of members falsely declared
+/// dead.
+fn run_heartbeats(
     tables: &mut [Table],
     watches: &mut [Watch],
     from: u64,
@@ -87,14 +88,14 @@
     for count in [9, 60, 330] {
         let mut tables = fleet(count);
         let mut watches = watches(count, 3);
-        let died = beat(&mut tables, &mut watches, 1, 21, None);
-        let most = tables
+        let died = run_heartbeats(&mut tables, &mut watches, 1, 21, None);
+        let max_rate = tables
             .iter()
             .map(|table| table.sent().0 / 20)
             .max()
             .unwrap();
-        println!("{count} members: {most} B/s a node, {died} false deaths");
-        assert!(most < 8000, "{count} members: {most} B/s");
+        println!("{count} members: {max_rate} B/s a node, {died} false deaths");
+        assert!(max_rate < 8000, "{count} members: {max_rate} B/s");
         assert_eq!(died, 0);
     }
 }
@@ -103,8 +104,11 @@
 fn lost_member() {
     let mut tables = fleet(9);
     let mut watches = watches(9, 5);
-    assert_eq!(beat(&mut tables, &mut watches, 1, 20, None), 0);
-    assert_eq!(beat(&mut tables, &mut watches, 20, 30, Some(3)), 0);
+    assert_eq!(run_heartbeats(&mut tables, &mut watches, 1, 20, None), 0);
+    assert_eq!(
+        run_heartbeats(&mut tables, &mut watches, 20, 30, Some(3)),
+        0
+    );
     let name = digest(3, 1).instance;
     assert!(
         (0..9)
@@ -117,8 +121,11 @@
 fn big_fleet() {
     let mut tables = fleet(330);
     let mut watches = watches(330, 3);
-    assert_eq!(beat(&mut tables, &mut watches, 1, 10, None), 0);
-    assert_eq!(beat(&mut tables, &mut watches, 10, 25, Some(3)), 0);
+    assert_eq!(run_heartbeats(&mut tables, &mut watches, 1, 10, None), 0);
+    assert_eq!(
+        run_heartbeats(&mut tables, &mut watches, 10, 25, Some(3)),
+        0
+    );
     let name = digest(3, 1).instance;
     let knows = |at: &usize| *at != 3 && tables[*at].get(&name).is_some();
     assert_eq!((0..330).filter(knows).count(), 0);
@@ -133,13 +140,13 @@
         incarnation: 1,
         version: 1,
     };
-    let news = Heartbeat {
+    let update = Heartbeat {
         deaths: vec![death.clone()],
         ..Heartbeat::default()
     };
-    let events = tables[5].merge(second(0), news);
+    let events = tables[5].merge(second(0), update);
     assert_eq!(events, [Event::Died(death.instance.clone())]);
-    beat(&mut tables, &mut watches, 1, 12, None);
+    run_heartbeats(&mut tables, &mut watches, 1, 12, None);
     assert!(
         (0..9)
             .filter(|at| *at != 3)
@@ -150,7 +157,7 @@
 #[test]
 fn newest_wins() {
     let mut table = Table::new(digest(0, 1), Settings::default());
-    let say = |table: &mut Table, digest: Digest| {
+    let merge = |table: &mut Table, digest: Digest| {
         table.merge(
             Time::START,
             Heartbeat {
@@ -160,9 +167,9 @@
         )
     };
     let joined = vec![Event::Joined(digest(1, 2).instance)];
-    assert_eq!(say(&mut table, digest(1, 2)), joined);
+    assert_eq!(merge(&mut table, digest(1, 2)), joined);
     assert_eq!(
-        say(
+        merge(
             &mut table,
             Digest {
                 version: 9,
@@ -178,10 +185,10 @@
         ..digest(1, 2)
     };
     assert_eq!(
-        say(&mut table, left),
+        merge(&mut table, left),
         [Event::Leaving(digest(1, 2).instance)]
     );
-    assert_eq!(say(&mut table, digest(1, 3)), joined);
+    assert_eq!(merge(&mut table, digest(1, 3)), joined);
 }
 
 #[test]
@@ -212,5 +219,9 @@
     let watch = Watch::new(Time::START, stall::Settings::default());
     table.expire(Time::START, &watch);
     let later = table.addresses(second(3000));
-    assert_eq!(later.addresses.len(), 1, "only itself was heard lately");
+    assert_eq!(
+        later.addresses.len(),
+        1,
+        "only the instance itself is recent"
+    );
 }
--- a/coltsfoothall/tests/order.rs
+++ b/coltsfoothall/tests/order.rs
@@ -1,4 +1,4 @@
-//! Rollouts over engines that lose orders, get stuck and are taken away.
+//! Rollouts over engines that lose orders, get stuck or are reclaimed.
 
 use std::time::Duration;
 
@@ -55,12 +55,12 @@
     (0..count).map(engine).collect()
 }
 
-/// Engines that obey, at the end of a load's time, unless stuck.
+/// Engines that follow orders after the time of a load, unless they are stuck.
 struct Fleet {
     engines: Vec<Engine>,
     loads: Vec<(usize, u64, Order)>,
     stuck: Vec<usize>,
-    begun: Vec<u64>,
+    load_starts: Vec<u64>,
     rng: Pcg64Mcg,
     second: u64,
 }
@@ -71,13 +71,13 @@
             engines: engines(count),
             loads: Vec::new(),
             stuck: Vec::new(),
-            begun: Vec::new(),
+            load_starts: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             second: 0,
         }
     }
 
-    fn obey(&mut self, order: Order) {
+    fn apply(&mut self, order: Order) {
         let at = self
             .engines
             .iter()
@@ -102,13 +102,13 @@
             } else {
                 adapter
             };
-            self.begun.push(self.second);
+            self.load_starts.push(self.second);
             self.loads.push((at, self.second + 12, order));
         }
     }
 
-    /// A second of work: loads end, requests come and go.
-    fn pass(&mut self) {
+    /// Simulates one second: loads end, requests start and end.
+    fn advance(&mut self) {
         self.second += 1;
         let (second, stuck) = (self.second, &self.stuck);
         let engines = &mut self.engines;
@@ -141,15 +141,16 @@
             .count()
     }
 
-    /// Runs for so many seconds; answers the fewest that served.
+    /// Runs for the given number of seconds and returns the minimum number of serving
+    /// engines.
     fn run(&mut self, rollout: &mut Rollout, wanted: &Wanted, seconds: u64, lost: f64) -> usize {
         let mut fewest = self.serving();
         for _second in 0..seconds {
-            self.pass();
+            self.advance();
             let now = Time::since_start(Duration::from_secs(self.second));
             for order in rollout.tick(now, wanted, &self.engines) {
                 if !self.rng.random_bool(lost) {
-                    self.obey(order);
+                    self.apply(order);
                 }
             }
             fewest = fewest.min(self.serving());
@@ -166,7 +167,7 @@
     fleet.run(&mut rollout, &wanted(1, 6), 200, 0.0);
     assert_eq!(fleet.current(&wanted(1, 6)), 9);
     let gaps: Vec<u64> = fleet
-        .begun
+        .load_starts
         .windows(2)
         .map(|pair| pair[1] - pair[0])
         .collect();
@@ -232,7 +233,11 @@
         .expect("the test sets it up");
     fleet.engines[(drained + 1) % 5].leaving = true;
     fleet.run(&mut rollout, &wanted(2, 4), 2, 0.0);
-    assert_eq!(fleet.engines[drained].role, Role::Mixed, "not taken back");
+    assert_eq!(
+        fleet.engines[drained].role,
+        Role::Mixed,
+        "the drain was not stopped"
+    );
     assert_eq!(fleet.serving(), 4);
 }
 
--- a/coltsfoothall/tests/plan.rs
+++ b/coltsfoothall/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Intents, the rules of a catalog, and plans with their effects.
+//! Intents, validation rules of a catalog, and plans with their effects.
 
 use coltsfoothall::catalog::{Catalog, MAX_HISTORY, Revision};
 use coltsfoothall::intent::{Error, Intent};
@@ -7,7 +7,7 @@
 use coltsfoothall::rule;
 use proptest::prelude::*;
 
-const WHOLE: &str = "
+const COMPLETE: &str = "
 models: [{name: roster, version: 2}, {name: rights, version: 1}]
 adapters: [{name: legality, model: roster, version: 1}]
 services:
@@ -23,8 +23,8 @@
     Plan::make(base, text.parse()?, "p".parse().expect("a good name"))
 }
 
-fn whole() -> Catalog {
-    make(&Catalog::default(), WHOLE)
+fn complete() -> Catalog {
+    make(&Catalog::default(), COMPLETE)
         .expect("a good intent")
         .after
 }
@@ -37,7 +37,7 @@
 
 #[test]
 fn first_plan() {
-    let plan = make(&Catalog::default(), WHOLE).unwrap();
+    let plan = make(&Catalog::default(), COMPLETE).unwrap();
     assert_eq!(plan.base, Revision(0));
     assert_eq!(plan.after.revision, Revision(1));
     assert_eq!(plan.after.plan, Some(plan.id.clone()));
@@ -49,7 +49,7 @@
 
 #[test]
 fn effects_named() {
-    let base = whole();
+    let base = complete();
     let change = effects(&base, "models: [{name: roster, version: 3}]");
     assert!(change.contains("endpoints of service turni-llm load model roster version 3"));
     assert!(change.contains("version: 3 in place of 2"));
@@ -71,13 +71,13 @@
 
 #[test]
 fn same_again() {
-    let base = whole();
-    assert!(make(&base, WHOLE).unwrap().steps.is_empty());
+    let base = complete();
+    assert!(make(&base, COMPLETE).unwrap().steps.is_empty());
 }
 
 #[test]
 fn every_step_explained() {
-    let base = whole();
+    let base = complete();
     for (from, to) in [(&Catalog::default(), &base), (&base, &Catalog::default())] {
         let steps = difference(from, to);
         assert!(
@@ -89,7 +89,7 @@
 
 #[test]
 fn rules_refused() {
-    let base = whole();
+    let base = complete();
     let cases = [
         (
             "services: [{name: s, kind: {model: {model: none}}}]",
@@ -199,7 +199,7 @@
 
 #[test]
 fn json_too() {
-    let intent: Intent = WHOLE.parse().unwrap();
+    let intent: Intent = COMPLETE.parse().unwrap();
     let json = serde_json::to_string(&intent).unwrap();
     assert_eq!(json.parse::<Intent>().unwrap(), intent);
 }
@@ -237,7 +237,7 @@
 
 #[test]
 fn unsorted_refused() {
-    let mut catalog = whole();
+    let mut catalog = complete();
     catalog.models.reverse();
     let error = catalog.check().unwrap_err();
     assert!(matches!(error, rule::Error::Order(ref object) if object.kind == Kind::Model));
@@ -246,15 +246,15 @@
 proptest! {
     #[test]
     fn any_text(text in "\\PC{0,200}") {
-        // Refused or read; never a panic.
+        // The text is refused or parsed, but never causes a panic.
         if let Ok(intent) = text.parse::<Intent>() {
-            let _plan = Plan::make(&whole(), intent, "p".parse().unwrap());
+            let _plan = Plan::make(&complete(), intent, "p".parse().unwrap());
         }
     }
 
     #[test]
     fn steps_complete(versions in proptest::collection::vec((0..6_u8, 1..4_u32), 0..6)) {
-        let base = whole();
+        let base = complete();
         let mut rows: Vec<(u8, u32)> = versions;
         rows.sort_unstable();
         rows.dedup_by_key(|row| row.0);
--- a/coltsfoothall/tests/start.rs
+++ b/coltsfoothall/tests/start.rs
@@ -1,4 +1,4 @@
-//! Starts and stops under reclaims, refusals, lost answers and lagging lists.
+//! Starts and stops with reclaims, refusals, lost answers and lagging lists.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 
 const DOMAINS: usize = 4;
-const EACH: u32 = 9;
+const PER_DOMAIN: u32 = 9;
 const LAG: u64 = 10;
 
 fn kind(domain: usize, lend: Lend) -> Kind {
@@ -23,7 +23,7 @@
     }
 }
 
-fn wanted(domains: usize, each: u32) -> Wanted {
+fn wanted(domains: usize, per_domain: u32) -> Wanted {
     let offer = |domain, lend| {
         let price = if lend == Lend::OnDemand {
             300
@@ -41,11 +41,11 @@
         .map(|offer| Allocation {
             offer,
             load: 1,
-            count: each,
+            count: per_domain,
         })
         .collect();
-    let lasting = (0..DOMAINS).map(|domain| offer(domain, Lend::OnDemand));
-    let offers = cheap.chain(lasting).collect();
+    let on_demand = (0..DOMAINS).map(|domain| offer(domain, Lend::OnDemand));
+    let offers = cheap.chain(on_demand).collect();
     Wanted {
         allocations,
         offers,
@@ -56,18 +56,19 @@
     }
 }
 
-struct Booked {
+struct Booking {
     token: String,
     machine: Machine,
     at: u64,
     gone_at: u64,
 }
 
-/// A cloud that refuses, loses answers, and lists what it had `LAG` seconds ago.
+/// A cloud that refuses starts, loses answers, and returns lists that are `LAG` seconds
+/// old.
 struct Cloud {
     rng: Pcg64Mcg,
     second: u64,
-    booked: Vec<Booked>,
+    bookings: Vec<Booking>,
     lists: Vec<Vec<Machine>>,
     refusing: Vec<Kind>,
     lost: f64,
@@ -80,7 +81,7 @@
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
             second: 0,
-            booked: Vec::new(),
+            bookings: Vec::new(),
             lists: Vec::new(),
             refusing: Vec::new(),
             lost: 0.0,
@@ -90,8 +91,8 @@
     }
 
     fn start(&mut self, token: &str, kind: Kind) -> Option<id::Instance> {
-        if let Some(booked) = self.booked.iter().find(|booked| booked.token == token) {
-            return Some(booked.machine.id.clone());
+        if let Some(booking) = self.bookings.iter().find(|booking| booking.token == token) {
+            return Some(booking.machine.id.clone());
         }
         if self.refusing.contains(&kind) {
             self.refused += 1;
@@ -105,7 +106,7 @@
             phase: Phase::Starting,
         };
         let (token, at) = (token.into(), self.second);
-        self.booked.push(Booked {
+        self.bookings.push(Booking {
             token,
             machine,
             at,
@@ -114,7 +115,7 @@
         Some(id)
     }
 
-    /// Answers one action, unless the answer is lost.
+    /// Performs one action and returns the answer, which may be lost.
     fn act(&mut self, action: Action) -> Option<Input> {
         match action {
             Action::Start { token, kind } => {
@@ -129,48 +130,50 @@
             }
             Action::Stop(id) => {
                 let gone_at = self.second + 5;
-                let booked = self
-                    .booked
+                let booking = self
+                    .bookings
                     .iter_mut()
                     .find(|b| b.machine.id == id)
                     .expect("the test sets it up");
-                booked.gone_at = booked.gone_at.min(gone_at);
-                booked.machine.phase = Phase::Leaving;
+                booking.gone_at = booking.gone_at.min(gone_at);
+                booking.machine.phase = Phase::Leaving;
                 None
             }
         }
     }
 
-    /// A domain's reclaimable instances get notice; they are gone half a minute later.
+    /// Sends notices to the reclaimable instances of a domain, which terminate half a
+    /// minute later.
     fn reclaim(&mut self, domain: usize) -> Vec<Input> {
         let gone_at = self.second + 30;
         let lost = kind(domain, Lend::Reclaimable);
         let mut notices = Vec::new();
-        let stays = |b: &&mut Booked| b.machine.phase != Phase::Leaving && b.machine.kind == lost;
-        for booked in self.booked.iter_mut().filter(stays) {
-            booked.gone_at = booked.gone_at.min(gone_at);
-            booked.machine.phase = Phase::Leaving;
-            notices.push(Input::Notice(booked.machine.id.clone()));
+        let stays = |b: &&mut Booking| b.machine.phase != Phase::Leaving && b.machine.kind == lost;
+        for booking in self.bookings.iter_mut().filter(stays) {
+            booking.gone_at = booking.gone_at.min(gone_at);
+            booking.machine.phase = Phase::Leaving;
+            notices.push(Input::Notice(booking.machine.id.clone()));
         }
         notices
     }
 
-    /// Runs a queue for so many seconds; answers the fewest instances that served.
+    /// Runs a queue for the given number of seconds and returns the minimum number of
+    /// serving instances.
     fn run(&mut self, queue: &mut Queue, seconds: u64) -> usize {
         let mut fewest = usize::MAX;
         for _second in 0..seconds {
             self.second += 1;
             let second = self.second;
-            self.booked.retain(|booked| second < booked.gone_at);
-            for booked in self.booked.iter_mut().filter(|b| b.at + 20 <= second) {
-                if booked.machine.phase == Phase::Starting {
-                    booked.machine.phase = Phase::Live;
+            self.bookings.retain(|booking| second < booking.gone_at);
+            for booking in self.bookings.iter_mut().filter(|b| b.at + 20 <= second) {
+                if booking.machine.phase == Phase::Starting {
+                    booking.machine.phase = Phase::Live;
                 }
             }
             let list = self
-                .booked
+                .bookings
                 .iter()
-                .map(|booked| booked.machine.clone())
+                .map(|booking| booking.machine.clone())
                 .collect();
             self.lists.push(list);
             let now = Time::since_start(Duration::from_secs(second));
@@ -187,14 +190,14 @@
     }
 
     fn serving(&self) -> usize {
-        self.booked
+        self.bookings
             .iter()
             .filter(|b| b.machine.phase != Phase::Starting)
             .count()
     }
 
     fn staying(&self) -> usize {
-        self.booked
+        self.bookings
             .iter()
             .filter(|b| b.machine.phase != Phase::Leaving)
             .count()
@@ -209,11 +212,11 @@
         "rights-reader".parse().expect("a name"),
         fence,
     );
-    queue.handle(now, Input::Wanted(wanted(DOMAINS, EACH)));
+    queue.handle(now, Input::Wanted(wanted(DOMAINS, PER_DOMAIN)));
     queue
 }
 
-const NEEDED: usize = DOMAINS * EACH as usize;
+const NEEDED: usize = DOMAINS * PER_DOMAIN as usize;
 
 #[test]
 fn lost_answers() {
@@ -231,7 +234,8 @@
     }
 }
 
-/// Three waves close together, each with a change of stewards; answers the instances reclaimed.
+/// Three waves of reclaims in close succession, each with a change of steward. Returns the
+/// number of reclaimed instances.
 fn waves(cloud: &mut Cloud, settings: Settings, refuses: bool) -> (Queue, usize) {
     let mut steward = queue(0, settings, 1);
     cloud.run(&mut steward, 90);
@@ -245,12 +249,12 @@
         }
         let notices = cloud.reclaim(domain);
         reclaimed += notices.len();
-        let alone = cloud.rng.random_range(1..20);
-        tell(cloud, &mut steward, &notices);
-        cloud.run(&mut steward, alone);
-        // The next steward hears the notices that are still open.
+        let overlap = cloud.rng.random_range(1..20);
+        send_notices(cloud, &mut steward, &notices);
+        cloud.run(&mut steward, overlap);
+        // The next steward receives the notices that are still pending.
         steward = queue(cloud.second, settings, wave + 2);
-        tell(cloud, &mut steward, &notices);
+        send_notices(cloud, &mut steward, &notices);
         let length = cloud.rng.random_range(5..80);
         cloud.run(&mut steward, length);
     }
@@ -258,7 +262,7 @@
     (steward, reclaimed)
 }
 
-fn tell(cloud: &Cloud, queue: &mut Queue, notices: &[Input]) {
+fn send_notices(cloud: &Cloud, queue: &mut Queue, notices: &[Input]) {
     let now = Time::since_start(Duration::from_secs(cloud.second));
     for notice in notices {
         assert_eq!(queue.handle(now, notice.clone()), []);
@@ -299,14 +303,15 @@
         let (mut steward, reclaimed) = waves(&mut cloud, Settings::default(), true);
         assert!(
             cloud.staying() >= NEEDED,
-            "seed {seed}: {} held",
+            "seed {seed}: {} instances remain",
             cloud.staying()
         );
         cloud.refusing.clear();
         cloud.run(&mut steward, 1200);
-        // Load of a refused kind is bought elsewhere, and once again at home: a domain a wave
-        // that was reclaimed, and perhaps the next one if it was reclaimed in the wave before.
-        let bound = NEEDED + reclaimed + 2 * EACH as usize * 3;
+        // Load of a refused kind is first bought as a substitute and then once more as the
+        // original kind. In each wave this concerns the reclaimed domain, and possibly the
+        // next one if it was reclaimed in the previous wave.
+        let bound = NEEDED + reclaimed + 2 * PER_DOMAIN as usize * 3;
         assert!(
             cloud.starts <= bound,
             "seed {seed}: {} starts, {bound} allowed",
@@ -330,7 +335,7 @@
     }
     let fewest = cloud.run(&mut steward, 60);
     assert_eq!(fewest, NEEDED, "replacements came after the reclaim");
-    assert_eq!(cloud.starts, NEEDED + EACH as usize);
+    assert_eq!(cloud.starts, NEEDED + PER_DOMAIN as usize);
 }
 
 #[test]
@@ -344,7 +349,7 @@
         assert_eq!(
             steward.handle(now, Input::Tick),
             [],
-            "an empty list was believed"
+            "an empty list was trusted"
         );
     }
 }
@@ -354,11 +359,11 @@
     let mut cloud = Cloud::new(1);
     let mut steward = queue(0, Settings::default(), 1);
     cloud.run(&mut steward, 90);
-    cloud.booked.truncate(NEEDED - 3);
+    cloud.bookings.truncate(NEEDED - 3);
     cloud.run(&mut steward, 20);
     assert_eq!(
         cloud.starts, NEEDED,
-        "three absent instances were given up at once"
+        "three absent instances were replaced immediately"
     );
     cloud.run(&mut steward, 60);
     assert_eq!((cloud.starts, cloud.staying()), (NEEDED + 3, NEEDED));
@@ -405,11 +410,11 @@
         .collect();
     let mut steward = queue(0, Settings::default(), 1);
     cloud.run(&mut steward, 120);
-    let lasting = |cloud: &Cloud| {
-        let lasting = |b: &&Booked| b.machine.kind.lend == Lend::OnDemand;
-        cloud.booked.iter().filter(lasting).count()
+    let on_demand = |cloud: &Cloud| {
+        let on_demand = |b: &&Booking| b.machine.kind.lend == Lend::OnDemand;
+        cloud.bookings.iter().filter(on_demand).count()
     };
-    assert_eq!(lasting(&cloud), NEEDED);
+    assert_eq!(on_demand(&cloud), NEEDED);
     println!(
         "{} refusals in two minutes of four refused kinds",
         cloud.refused
@@ -417,5 +422,5 @@
     cloud.refusing.clear();
     let fewest = cloud.run(&mut steward, 1200);
     assert!(fewest >= NEEDED, "only {fewest} served during the exchange");
-    assert_eq!((lasting(&cloud), cloud.staying()), (0, NEEDED));
+    assert_eq!((on_demand(&cloud), cloud.staying()), (0, NEEDED));
 }
--- a/coltsfoothall/tests/steward.rs
+++ b/coltsfoothall/tests/steward.rs
@@ -1,4 +1,4 @@
-//! Stewards under pauses, outages, lost answers, drifting clocks and late orders.
+//! Stewards with pauses, outages, lost answers, clock drift and late orders.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 const STEP: u64 = 20_000;
 const SECOND: u64 = 1_000_000;
 const FLIGHT: u64 = SECOND;
-/// Longest suspension between the check before an order and its first byte.
+/// Maximum suspension between the permit check for an order and its first byte.
 const GAP: u64 = SECOND;
 const SEEDS: u64 = 150;
 
-/// A message on its way; times are true microseconds.
+/// A message in flight.
 enum Message {
     Call(usize, Action, Time),
     Put(usize, u64, Time),
@@ -27,8 +27,8 @@
 struct Node {
     steward: Steward,
     rate: f64,
-    asleep_until: u64,
-    cut_until: u64,
+    paused_until: u64,
+    disconnected_until: u64,
     inbox: Vec<Input>,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// The platform's service, one key.
+/// The key-value service with one key.
 #[derive(Default)]
 struct Store {
     leases: Vec<(u64, u64)>,
@@ -53,7 +53,7 @@
     settings: Settings,
     nodes: Vec<Node>,
     store: Store,
-    flying: Vec<(u64, Message)>,
+    in_flight: Vec<(u64, Message)>,
     fencing: Fencing,
     applied: Vec<u64>,
     refused: usize,
@@ -69,8 +69,8 @@
             Node {
                 steward,
                 rate,
-                asleep_until: 0,
-                cut_until: 0,
+                paused_until: 0,
+                disconnected_until: 0,
                 inbox: Vec::new(),
             }
         };
@@ -80,29 +80,29 @@
             settings,
             nodes,
             store: Store::default(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             fencing,
             applied: Vec::new(),
             refused: 0,
         }
     }
 
-    fn chance(&mut self, part: f64) -> bool {
-        self.rng.random_bool(part)
+    fn chance(&mut self, probability: f64) -> bool {
+        self.rng.random_bool(probability)
     }
 
     fn delay(&mut self) -> u64 {
-        let most = if self.chance(0.05) {
+        let max = if self.chance(0.05) {
             3 * SECOND
         } else {
             SECOND / 20
         };
-        self.rng.random_range(1000..most)
+        self.rng.random_range(1000..max)
     }
 
-    fn fly(&mut self, now: u64, message: Message) {
+    fn send(&mut self, now: u64, message: Message) {
         let at = now + self.delay();
-        self.flying.push((at, message));
+        self.in_flight.push((at, message));
     }
 
     fn step(&mut self, now: u64) {
@@ -114,8 +114,11 @@
             .store
             .key
             .filter(|key| leases.iter().any(|l| l.0 == key.0));
-        let (due, rest) = self.flying.drain(..).partition(|(at, _message)| *at <= now);
-        self.flying = rest;
+        let (due, rest) = self
+            .in_flight
+            .drain(..)
+            .partition(|(at, _message)| *at <= now);
+        self.in_flight = rest;
         let mut due: Vec<(u64, Message)> = due;
         due.sort_by_key(|(at, _message)| *at);
         for (_at, message) in due {
@@ -128,9 +131,9 @@
 
     fn faults(&mut self, now: u64) {
         for index in 0..self.nodes.len() {
-            if self.nodes[index].asleep_until < u64::MAX && self.chance(0.001) {
-                let nap = self.rng.random_range(SECOND / 10..15 * SECOND);
-                self.nodes[index].asleep_until = now + nap;
+            if self.nodes[index].paused_until < u64::MAX && self.chance(0.001) {
+                let pause = self.rng.random_range(SECOND / 10..15 * SECOND);
+                self.nodes[index].paused_until = now + pause;
             }
         }
         if self.chance(0.0005) {
@@ -141,12 +144,14 @@
         }
     }
 
-    /// A restart that loses the leases, after which some nodes can't connect for a while.
+    /// Restarts the store, which loses its leases; some nodes cannot connect for a while
+    /// afterwards.
     fn restart(&mut self, now: u64) {
         self.store.leases.clear();
         for index in 0..self.nodes.len() {
             if self.chance(0.5) {
-                self.nodes[index].cut_until = now + self.rng.random_range(SECOND..10 * SECOND);
+                self.nodes[index].disconnected_until =
+                    now + self.rng.random_range(SECOND..10 * SECOND);
             }
         }
     }
@@ -156,7 +161,7 @@
         match message {
             Message::Order(fence) => self.order(fence),
             Message::Answer(index, input) => self.nodes[index].inbox.push(input),
-            Message::Call(index, _, _) if down || now < self.nodes[index].cut_until => {
+            Message::Call(index, _, _) if down || now < self.nodes[index].disconnected_until => {
                 self.answer(now, index, Input::StoreDown)
             }
             Message::Put(index, lease, asked_at) => self.put(now, index, lease, asked_at, down),
@@ -168,7 +173,7 @@
                 self.store.revision += 1;
                 let lease = self.store.revision;
                 self.store.leases.push((lease, now + ttl));
-                self.fly(now, Message::Put(index, lease, asked_at));
+                self.send(now, Message::Put(index, lease, asked_at));
             }
             Message::Call(index, Action::Renew(lease), asked_at) => {
                 let found = self.store.leases.iter_mut().find(|l| l.0 == lease);
@@ -219,17 +224,17 @@
         } else {
             input
         };
-        self.fly(now, Message::Answer(index, input));
+        self.send(now, Message::Answer(index, input));
     }
 
     fn answer(&mut self, now: u64, index: usize, input: Input) {
         let lost = self.chance(0.1);
         let input = if lost { Input::StoreDown } else { input };
-        self.fly(now, Message::Answer(index, input));
+        self.send(now, Message::Answer(index, input));
     }
 
     fn run(&mut self, now: u64, index: usize) {
-        if now < self.nodes[index].asleep_until {
+        if now < self.nodes[index].paused_until {
             return;
         }
         let local = self.nodes[index].now(now);
@@ -240,22 +245,22 @@
         }
         for input in inputs {
             if let Some(action) = self.nodes[index].steward.handle(local, input) {
-                self.fly(now, Message::Call(index, action, local));
+                self.send(now, Message::Call(index, action, local));
             }
         }
         let permit = self.nodes[index].steward.permit(local);
         if let Some(permit) = permit.filter(|_permit| now.is_multiple_of(SECOND / 10)) {
             let gap = if self.chance(0.5) { GAP } else { 1 };
             let flight = self.rng.random_range(1000..FLIGHT) + self.rng.random_range(0..gap);
-            self.flying
+            self.in_flight
                 .push((now + flight, Message::Order(permit.fence)));
         }
     }
 
-    /// A planned stop; a fresh process takes the place.
+    /// A planned stop; a new process replaces the old one.
     fn replace(&mut self, now: u64, index: usize, local: Time) {
         let old = &mut self.nodes[index];
-        old.asleep_until = u64::MAX;
+        old.paused_until = u64::MAX;
         let action = old.steward.handle(local, Input::Stop);
         assert!(!old.steward.may_order(local), "a stopped steward orders");
         let mut steward = Steward::new(self.settings, self.fencing);
@@ -264,12 +269,12 @@
         self.nodes.push(Node {
             steward,
             rate,
-            asleep_until: 0,
-            cut_until: 0,
+            paused_until: 0,
+            disconnected_until: 0,
             inbox,
         });
         if let Some(action) = action {
-            self.fly(now, Message::Call(index, action, local));
+            self.send(now, Message::Call(index, action, local));
         }
     }
 
@@ -282,7 +287,8 @@
     }
 }
 
-/// Runs one seed; answers grants seen in effect, orders refused, and whether order was kept.
+/// Runs one seed. Returns the number of stewards whose orders took effect, the number of
+/// refused orders, and whether orders took effect in the order of their fencing numbers.
 fn run(seed: u64, settings: Settings, fencing: Fencing) -> (usize, usize, bool) {
     let mut world = World::new(seed, settings, fencing);
     for now in (0..180 * SECOND).step_by(STEP as usize) {
@@ -291,13 +297,13 @@
     for node in &world.nodes {
         assert_eq!(node.steward.broken(), None, "seed {seed}");
     }
-    let kept = world.applied.is_sorted();
+    let ordered = world.applied.is_sorted();
     world.applied.dedup();
-    (world.applied.len(), world.refused, kept)
+    (world.applied.len(), world.refused, ordered)
 }
 
-/// Successors that look often, which leaves the least time between two stewards.
-fn eager() -> Settings {
+/// Settings with frequent polling, which minimizes the time between two stewards.
+fn frequent_polling() -> Settings {
     let poll = Duration::from_millis(100);
     Settings {
         poll,
@@ -308,10 +314,10 @@
 fn runs(settings: Settings, fencing: Fencing) -> (usize, usize, Vec<u64>) {
     let mut total = (0, 0, Vec::new());
     for seed in 0..SEEDS {
-        let (grants, refused, kept) = run(seed, settings, fencing);
+        let (grants, refused, ordered) = run(seed, settings, fencing);
         total.0 += grants;
         total.1 += refused;
-        if !kept {
+        if !ordered {
             total.2.push(seed);
         }
     }
@@ -320,7 +326,7 @@
 
 #[test]
 fn numbers_ignored() {
-    let (grants, _refused, failed) = runs(eager(), Fencing::Ignored);
+    let (grants, _refused, failed) = runs(frequent_polling(), Fencing::Ignored);
     println!("ignored: {grants} stewards ordered in {SEEDS} runs");
     assert_eq!(
         failed,
@@ -335,7 +341,7 @@
 
 #[test]
 fn numbers_checked() {
-    let (grants, refused, failed) = runs(eager(), Fencing::Checked);
+    let (grants, refused, failed) = runs(frequent_polling(), Fencing::Checked);
     println!("checked: {grants} stewards ordered in {SEEDS} runs, {refused} orders refused");
     assert_eq!(
         failed,
@@ -349,10 +355,11 @@
     assert!(refused > 0, "no order came late, so nothing was tried");
 }
 
-/// The closest two stewards: the lease is dropped just after its renewal and taken at once, the
-/// old clock is slow and the new one fast. Answers when the last old order lands, and when the
-/// first new one leaves.
-fn closest(settings: Settings) -> (Duration, Duration) {
+/// The shortest possible time between two stewards: the lease is lost just after its
+/// renewal and acquired again immediately, the old steward's clock is slow and the new
+/// one's is fast. Returns when the last order of the old steward takes effect, and when the
+/// first order of the new one is sent.
+fn shortest_gap(settings: Settings) -> (Duration, Duration) {
     let ttl = settings.ttl;
     let grant = |fence| Input::Granted {
         fence,
@@ -376,7 +383,7 @@
     let mut first = None;
     for millis in 0..20_000 {
         let now = local(millis, 1.02);
-        // The successor's lease is renewed, the old steward's can't be.
+        // The successor renews its lease; the old steward cannot.
         new.handle(
             now,
             Input::Renewed {
@@ -397,10 +404,10 @@
 
 #[test]
 fn margin_needed() {
-    let (last, first) = closest(Settings::default());
-    println!("last old order lands at {last:?}, first new one leaves at {first:?}");
+    let (last, first) = shortest_gap(Settings::default());
+    println!("last old order takes effect at {last:?}, first new one is sent at {first:?}");
     assert!(last < first, "{last:?} isn't before {first:?}");
-    let (last, first) = closest(Settings {
+    let (last, first) = shortest_gap(Settings {
         margin: Duration::ZERO,
         ..Settings::default()
     });
@@ -408,7 +415,7 @@
         last > first,
         "without the margin {last:?} is before {first:?}"
     );
-    let (last, first) = closest(Settings {
+    let (last, first) = shortest_gap(Settings {
         wait: Duration::ZERO,
         ..Settings::default()
     });
@@ -422,14 +429,15 @@
 fn no_wait() {
     let settings = Settings {
         wait: Duration::ZERO,
-        ..eager()
+        ..frequent_polling()
     };
     let (_grants, _refused, failed) = runs(settings, Fencing::Ignored);
     println!("without the wait seeds {failed:?} fail");
     assert!(!failed.is_empty(), "the wait isn't needed");
 }
 
-/// Calls a second at the service for one steward's lease among so many members.
+/// Calls per second to the key-value service for the lease of one steward among `nodes`
+/// members.
 fn calls(nodes: usize) -> f64 {
     let service: id::Service = "rights-reader".parse().expect("a name");
     let name = |n: usize| format!("entry-{n}").parse().expect("a name");
