--- a/coltsfoothall/benches/choice.rs
+++ b/coltsfoothall/benches/choice.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// A prompt of a document, with a question of two blocks at the end.
+/// A prompt made of a document followed by a question of two blocks.
 fn prompt(number: u64) -> Vec<Block> {
     let document = number.wrapping_mul(0x9E37_79B9_7F4A_7C15) % DOCUMENTS;
     let hash = |n: u64| Block(n.wrapping_mul(0xD6E8_FEB8_6659_FD93).rotate_left(29));
--- a/coltsfoothall/src/adoption.rs
+++ b/coltsfoothall/src/adoption.rs
@@ -38,12 +38,12 @@
 pub enum Outcome {
     /// It is now in force.
     Adopted {
-        /// The revision before.
+        /// The previous revision.
         from: Revision,
-        /// The revision now.
+        /// The new revision.
         to: Revision,
     },
-    /// It is in force already.
+    /// It is already in force.
     Same,
     /// It is older than the configuration in force and was refused.
     Older {
@@ -69,7 +69,7 @@
     Fetch,
     /// Send the local configuration: the peer's is older.
     Send,
-    /// Nothing.
+    /// No action is required.
     None,
 }
 
@@ -94,7 +94,7 @@
     },
 }
 
-/// The configuration in force on one instance.
+/// The configuration state of one instance.
 #[derive(Debug, Default)]
 pub struct Config {
     current: Option<Arc<Catalog>>,
@@ -106,7 +106,7 @@
 }
 
 impl Config {
-    /// No configuration yet.
+    /// Creates an instance state without a configuration.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
--- a/coltsfoothall/src/choice.rs
+++ b/coltsfoothall/src/choice.rs
@@ -306,7 +306,8 @@
         self.index.len()
     }
 
-    /// Fills the list of candidates.
+    /// Collects the candidates. Suspect endpoints are used only if no other endpoint can
+    /// serve.
     fn collect_candidates(&mut self, now: Time, query: &Query<'_>) {
         self.candidates.clear();
         self.add_candidates(now, query, false);
--- a/coltsfoothall/src/confirm.rs
+++ b/coltsfoothall/src/confirm.rs
@@ -86,7 +86,7 @@
     Swap {
         /// Version that the key must have; 0 if it must be absent.
         version: u64,
-        /// The value.
+        /// The value to write.
         value: Arc<Catalog>,
     },
     /// Report the outcome to the operator.
@@ -159,7 +159,8 @@
             }
             (stage, event) => {
                 // This is a bug in the caller; the outcome of the plan is unknown.
-                let message = format!("{event:?} came while {stage:?}; this is a bug");
+                let message =
+                    format!("unexpected event {event:?} in stage {stage:?}; this is a bug");
                 self.settle(Verdict::Unsettled { message })
             }
         }
--- a/coltsfoothall/src/effect.rs
+++ b/coltsfoothall/src/effect.rs
@@ -1,5 +1,8 @@
 //! Descriptions of the effects of a configuration change, one per line. Bearer tokens are
 //! never shown.
+//!
+//! The texts are part of a plan. A plan is recomputed and compared when it is confirmed, so
+//! changing a text invalidates the plans that were made by an older version.
 
 use std::fmt::Display;
 
@@ -226,7 +229,7 @@
     }
 }
 
-/// What a service does afterwards.
+/// Adds what a service provides afterwards.
 fn gained(change: Change<'_>, new: &Service, lines: &mut Vec<String>) {
     match &new.kind {
         Kind::Model { model, adapters } => {
--- a/coltsfoothall/src/instances.rs
+++ b/coltsfoothall/src/instances.rs
@@ -73,7 +73,7 @@
     at: Time,
 }
 
-/// All instances, sorted by name.
+/// The known instances, sorted by name, and early notices.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Set {
     pub(crate) known: Vec<Known>,
@@ -173,9 +173,9 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Count {
     pub(crate) kind: Kind,
-    /// Running, starting or requested.
+    /// Instances that are running, starting or requested.
     pub(crate) total: u32,
-    /// Serving.
+    /// Instances that are serving.
     pub(crate) live: u32,
 }
 
--- a/coltsfoothall/src/limit.rs
+++ b/coltsfoothall/src/limit.rs
@@ -88,7 +88,7 @@
 /// A refusal, with the details for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub cause: Cause,
     /// Whether the request exceeded a limit of its own workspace.
     pub limited: bool,
@@ -101,7 +101,7 @@
 pub enum Decision {
     /// It starts now.
     Admit(Number),
-    /// It waits for [`Gate::poll`].
+    /// It waits; [`Gate::poll`] returns its outcome.
     Queue(Number),
     /// It is refused.
     Refuse(Refusal),
--- a/coltsfoothall/src/load.rs
+++ b/coltsfoothall/src/load.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// This work times a factor.
+    /// This work multiplied by a factor.
     #[must_use]
     pub fn times(self, factor: f64) -> Self {
         Self {
--- a/coltsfoothall/src/object.rs
+++ b/coltsfoothall/src/object.rs
@@ -18,7 +18,7 @@
     Model,
     /// An adapter.
     Adapter,
-    /// The placement preferences of a service, named as the service.
+    /// The placement preferences of a service; they have the name of the service.
     Placement,
 }
 
--- a/coltsfoothall/src/prefix.rs
+++ b/coltsfoothall/src/prefix.rs
@@ -6,7 +6,7 @@
 use crate::id;
 use crate::size::Tokens;
 
-/// Bytes of prompt in one block.
+/// Number of prompt bytes in one block.
 pub const BLOCK_BYTES: usize = 1024;
 /// Bytes of prompt that count as one token, until an engine reports the actual number.
 pub const BYTES_PER_TOKEN: usize = 4;
--- a/coltsfoothall/src/queue.rs
+++ b/coltsfoothall/src/queue.rs
@@ -20,7 +20,7 @@
 /// Time in which a service is assumed to serve its whole budget before its rate has been
 /// measured.
 const INITIAL_SERVICE_TIME: Duration = Duration::from_secs(2);
-/// Limits how many times sis_lower than the initial estimate a service is assumed to be.
+/// Limits how many times slower than the initial estimate a service is assumed to be.
 const MAX_SLOWDOWN: f64 = 16.0;
 /// When a request starts, it counts as at most the budget divided by this number, so that a
 /// long prompt does not wait for an idle service.
--- a/coltsfoothall/src/start.rs
+++ b/coltsfoothall/src/start.rs
@@ -85,7 +85,7 @@
 /// An input to the queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// Time has passed.
+    /// A timer tick.
     Tick,
     /// The wanted instances.
     Wanted(Wanted),
@@ -274,7 +274,7 @@
     }
 
     /// The kind with the lowest price per unit of load that is not backing off. Ties are
-    /// broken in favour of the kind with the fewest instances.
+    /// broken in favor of the kind with the fewest instances.
     fn substitute(&self, now: Time, tally: &Tally) -> Option<Kind> {
         let free = |offer: &&Offer| self.is_free(now, &offer.kind);
         let cost = |offer: &Offer| {
--- a/coltsfoothall/src/steward.rs
+++ b/coltsfoothall/src/steward.rs
@@ -80,7 +80,7 @@
 /// An input to a steward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Input {
-    /// Time has passed.
+    /// A timer tick.
     Tick,
     /// The rank of this instance among the live members has changed; see [`rank`].
     Rank(Option<usize>),
