--- a/coltsfoothall-forward/src/border.rs
+++ b/coltsfoothall-forward/src/adapter.rs
@@ -260,6 +260,6 @@
 }
 
 /// All that a platform's adapter provides.
-pub trait Border: Dialect + Store + Cloud {}
+pub trait Adapter: Dialect + Store + Cloud {}
 
-impl<T: Dialect + Store + Cloud> Border for T {}
+impl<T: Dialect + Store + Cloud> Adapter for T {}
--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -17,7 +17,7 @@
 use http::{Request, Response, Uri};
 use hyper::body::Incoming;
 
-use crate::border::{Call, Reply, Sending};
+use crate::adapter::{Call, Reply, Sending};
 use crate::kept::{Fault, Link, Payload};
 use crate::state::State;
 
@@ -240,7 +240,7 @@
         match link.send(request).await {
             Ok(response) => {
                 let status = response.status().as_u16();
-                let reply = state.border.reply(status, response.headers());
+                let reply = state.adapter.reply(status, response.headers());
                 if reply.id.is_some() && reply.id != job.call.id {
                     let fault = Fault::Broken("the answer belongs to another request".into());
                     return Err((fault, share));
@@ -268,7 +268,7 @@
     whole: &Rc<Cell<bool>>,
 ) -> Request<Payload> {
     let left = Time::since(job.due, state.now());
-    let headers = state.border.forward(
+    let headers = state.adapter.forward(
         &job.head.headers,
         &Sending {
             endpoint: &pick.endpoint,
--- a/coltsfoothall-forward/src/calls.rs
+++ b/coltsfoothall-forward/src/calls.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::fmt;
 
-use crate::border::Realm;
+use crate::adapter::Realm;
 
 /// A kind of call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -12,7 +12,7 @@
 use rand::seq::IteratorRandom;
 
 use crate::ask::{PACKED, ask};
-use crate::border::{Listing, Realm};
+use crate::adapter::{Listing, Realm};
 use crate::follower::{self, Follower, News};
 use crate::outgoing::{self, Outgoing};
 use crate::pack;
@@ -48,7 +48,7 @@
 /// Takes over the newest version of a listing that can be read, and returns it.
 fn take(state: &State, listing: &Listing) -> Option<u64> {
     let values = listing.items.iter().rev();
-    let values = values.filter(|item| state.border.is_configuration(&item.name));
+    let values = values.filter(|item| state.adapter.is_configuration(&item.name));
     let mut values = values.filter_map(|item| item.value.as_ref());
     values.find_map(|raw| state.adopt(raw, "store"))
 }
--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -10,7 +10,7 @@
 use coltsfoothall::forward::usage::{Count, Snapshot};
 use coltsfoothall_shell::event;
 
-use crate::border::{Actor, Error, Realm, Write};
+use crate::adapter::{Actor, Error, Realm, Write};
 use crate::calls::Call;
 use crate::orders::Buyer;
 use crate::registrations;
@@ -51,7 +51,7 @@
         let outcome = match lease {
             Some(lease) => {
                 state.calls.count(Call::Renew);
-                state.border.renew(lease).await
+                state.adapter.renew(lease).await
             }
             None => match enter(&state).await {
                 Ok(taken) => {
@@ -81,7 +81,7 @@
         pause(&state, wait).await;
     }
     if let Some(lease) = lease
-        && let Err(error) = state.border.end(lease).await
+        && let Err(error) = state.adapter.end(lease).await
     {
         event::STORE_FAILED.emit(format_args!("step=withdraw reason={error:?}"));
     }
@@ -108,7 +108,7 @@
 
 async fn enter(state: &State) -> Result<Lease, Error> {
     state.calls.count(Call::Lease);
-    let lease = state.border.lease(TERM).await?;
+    let lease = state.adapter.lease(TERM).await?;
     let profile = serde_json::to_vec(&state.profile())
         .map_err(|error| Error::Format("register", error.to_string()))?;
     let name = format!("live/{MEMBER}{}", state.name);
@@ -117,7 +117,7 @@
         ..Write::default()
     };
     state.calls.count(Call::Write);
-    state.border.write(write).await?;
+    state.adapter.write(write).await?;
     Ok(lease)
 }
 
@@ -192,7 +192,7 @@
     let term = state.settings().bounds.lease.duration();
     let asked = time::boot();
     state.calls.count(Call::Lease);
-    let lease = match state.border.lease(term).await {
+    let lease = match state.adapter.lease(term).await {
         Ok(lease) => lease,
         Err(error) => {
             event::STORE_FAILED.emit(format_args!("step=lease reason={error:?}"));
@@ -206,7 +206,7 @@
         deletes: Vec::new(),
     };
     state.calls.count(Call::Write);
-    match state.border.write(write).await {
+    match state.adapter.write(write).await {
         Ok(created) => {
             state.leader.borrow_mut().claimed(asked, lease, created);
             let fence = Fence::from(created);
@@ -216,7 +216,7 @@
             event::LEADER.emit(format_args!("state=not_holder reason={error:?}"));
             // Whatever became of the write, without its lease the key cannot stand.
             state.calls.count(Call::Lease);
-            if let Err(error) = state.border.end(lease).await {
+            if let Err(error) = state.adapter.end(lease).await {
                 event::STORE_FAILED.emit(format_args!("step=end_lease reason={error:?}"));
             }
         }
@@ -226,7 +226,7 @@
 async fn renew(state: &State, lease: Lease) {
     let asked = time::boot();
     state.calls.count(Call::Renew);
-    match state.border.renew(lease).await {
+    match state.adapter.renew(lease).await {
         Ok(()) => state.leader.borrow_mut().renewed(asked, lease),
         Err(Error::Missing(_)) => {
             state.leader.borrow_mut().lost();
@@ -241,7 +241,7 @@
 async fn release(state: &State, lease: Lease) {
     state.leader.borrow_mut().lost();
     state.calls.count(Call::Lease);
-    match state.border.end(lease).await {
+    match state.adapter.end(lease).await {
         Ok(()) => event::LEADER.emit(format_args!("state=released lease={lease}")),
         Err(error) => event::STORE_FAILED.emit(format_args!("step=release reason={error:?}")),
     }
@@ -262,7 +262,7 @@
     async fn keep_counts(&mut self, state: &State) -> Result<(), Error> {
         if !self.informed {
             state.calls.count(Call::List(Realm::Notes));
-            let listing = state.border.list(Realm::Notes).await?;
+            let listing = state.adapter.list(Realm::Notes).await?;
             let item = listing.items.iter().find(|item| item.name == COUNTS);
             if let Some(value) = item.and_then(|item| item.value.as_ref()) {
                 let snapshot: Snapshot = rmp_serde::from_slice(value)
@@ -288,7 +288,7 @@
             ..Write::default()
         };
         state.calls.count(Call::Write);
-        state.border.write(write).await.map(drop)
+        state.adapter.write(write).await.map(drop)
     }
 
     async fn report(&mut self, state: &State) {
@@ -344,7 +344,7 @@
             instance: &state.name,
             fence,
         };
-        state.border.usage(actor, window, &counts).await?;
+        state.adapter.usage(actor, window, &counts).await?;
         let runs: u64 = counts.iter().map(|count| count.runs).sum();
         event::USAGE.emit(format_args!("window={window} runs={runs} fence={fence}"));
         Ok(())
@@ -362,11 +362,11 @@
         deletes: vec![format!("notes/usage/{}", window.saturating_sub(NOTES))],
     };
     state.calls.count(Call::Write);
-    match state.border.write(write).await {
+    match state.adapter.write(write).await {
         Ok(_revision) => Ok(counts),
         Err(Error::Conflict(_)) => {
             state.calls.count(Call::List(Realm::Notes));
-            let listing = state.border.list(Realm::Notes).await?;
+            let listing = state.adapter.list(Realm::Notes).await?;
             let item = listing.items.iter().find(|item| item.name == name);
             let value = item.and_then(|item| item.value.as_ref());
             let value = value.ok_or(Error::Missing("note"))?;
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -9,7 +9,7 @@
 use coltsfoothall::turn;
 use coltsfoothall_shell::event;
 
-use crate::border::{Error, Listing, Realm};
+use crate::adapter::{Error, Listing, Realm};
 use crate::calls::Call;
 use crate::state::State;
 
@@ -88,11 +88,11 @@
             match self.after {
                 None => {
                     state.calls.count(Call::List(realm));
-                    state.border.list(realm).await
+                    state.adapter.list(realm).await
                 }
                 Some(after) => {
                     state.calls.count(Call::Watch(realm));
-                    state.border.watch(realm, after).await
+                    state.adapter.watch(realm, after).await
                 }
             }
         };
--- a/coltsfoothall-forward/src/lib.rs
+++ b/coltsfoothall-forward/src/lib.rs
@@ -1,7 +1,7 @@
 //! An entry instance that forwards each request from its own memory alone.
 //!
 //! What outlasts it lies in a store outside; what callers and endpoints say is read and
-//! written by a [`border::Border`], so that nothing here knows the names on the wire.
+//! written by a [`adapter::Adapter`], so that nothing here knows the names on the wire.
 //!
 //! Data flows one way: [`listen`] accepts, [`intake`] reads and admits a request,
 //! [`dispatch`] sends it, each [`attempt`] to an endpoint that the decision library chose, and
@@ -11,7 +11,7 @@
 pub mod adoption;
 pub mod ask;
 pub mod attempt;
-pub mod border;
+pub mod adapter;
 pub mod calls;
 pub mod configuration;
 pub mod connection;
--- a/coltsfoothall-forward/src/orders.rs
+++ b/coltsfoothall-forward/src/orders.rs
@@ -6,7 +6,7 @@
 use coltsfoothall::id;
 use coltsfoothall_shell::event;
 
-use crate::border::{Actor, Error};
+use crate::adapter::{Actor, Error};
 use crate::state::State;
 
 /// Name of the duty in the settings.
@@ -55,7 +55,7 @@
                 instance: &state.name,
                 fence,
             };
-            let outcome = state.border.order(actor, &service.name, &order).await;
+            let outcome = state.adapter.order(actor, &service.name, &order).await;
             log(service, &order, load, &outcome);
             match outcome {
                 Ok(()) => line.book.taken(&order),
--- a/coltsfoothall-forward/src/passed.rs
+++ b/coltsfoothall-forward/src/passed.rs
@@ -6,7 +6,7 @@
 use coltsfoothall::size::Millis;
 use serde::{Deserialize, Serialize};
 
-use crate::border::Item;
+use crate::adapter::Item;
 
 /// Most removed registrations remembered; one that is forgotten was removed long ago.
 const REMOVED: usize = 4096;
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -14,7 +14,7 @@
 use coltsfoothall_wire::client::Client;
 
 use crate::ask::{self, ENDPOINTS};
-use crate::border::{Item, Listing, Realm};
+use crate::adapter::{Item, Listing, Realm};
 use crate::follower::{self, Follower, News};
 use crate::pack;
 use crate::passed::{After, Change, Part, Row};
@@ -253,7 +253,7 @@
 
 /// Takes over a registration; what it says, if it can be read.
 fn register(state: &State, item: &Item, source: &str) -> Option<Entry> {
-    match state.border.entry(item) {
+    match state.adapter.entry(item) {
         Ok(entry) => {
             let event = state
                 .roster
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -18,7 +18,7 @@
 use tokio::task::LocalSet;
 
 use crate::ask::{CONFIGURATION, ENDPOINTS, PACKED};
-use crate::border::Border;
+use crate::adapter::Adapter;
 use crate::connection::Connection;
 use crate::intake::Front;
 use crate::listen::{self, Connections, Handler, Limits};
@@ -63,12 +63,12 @@
 ///
 /// # Errors
 /// An address cannot be bound, or signals cannot be listened to.
-pub async fn run(file: PathBuf, settings: Settings, border: Rc<dyn Border>) -> Result<(), Error> {
+pub async fn run(file: PathBuf, settings: Settings, adapter: Rc<dyn Adapter>) -> Result<(), Error> {
     let local = LocalSet::new();
-    local.run_until(live(file, settings, border)).await
+    local.run_until(live(file, settings, adapter)).await
 }
 
-async fn live(file: PathBuf, settings: Settings, border: Rc<dyn Border>) -> Result<(), Error> {
+async fn live(file: PathBuf, settings: Settings, adapter: Rc<dyn Adapter>) -> Result<(), Error> {
     let name: id::Instance = settings
         .instance
         .clone()
@@ -81,7 +81,7 @@
         settings,
         name,
         domain,
-        border,
+        adapter,
         stopping.clone(),
         board,
     ));
@@ -194,15 +194,15 @@
 }
 
 fn respond(state: &State, path: &str, query: Option<&str>) -> Response<Outgoing> {
-    let border = &state.border;
-    if border.is_ready(path) {
+    let adapter = &state.adapter;
+    if adapter.is_ready(path) {
         return plain(if state.is_ready() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         });
     }
-    if let Some(domain) = border.asks_addresses(path, query) {
+    if let Some(domain) = adapter.asks_addresses(path, query) {
         let own = state
             .is_ready()
             .then(|| (state.front(), state.domain.as_str()));
@@ -211,7 +211,7 @@
             return plain(StatusCode::SERVICE_UNAVAILABLE);
         }
         let keep = state.settings().bounds.addresses.duration();
-        return json(Outgoing::whole(border.addresses(&fronts, keep)));
+        return json(Outgoing::whole(adapter.addresses(&fronts, keep)));
     }
     if path == METRICS {
         state.gauge();
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -29,7 +29,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::adoption::Adoption;
-use crate::border::Border;
+use crate::adapter::Adapter;
 use crate::calls::Calls;
 use crate::health::Health;
 use crate::kept::Pool;
@@ -81,7 +81,7 @@
     /// Its failure domain.
     pub domain: id::Domain,
     /// The platform.
-    pub border: Rc<dyn Border>,
+    pub adapter: Rc<dyn Adapter>,
     /// The runtime's clock.
     pub clock: Clock,
     /// Number of this boot, drawn at random.
@@ -154,7 +154,7 @@
         settings: Settings,
         name: id::Instance,
         domain: id::Domain,
-        border: Rc<dyn Border>,
+        adapter: Rc<dyn Adapter>,
         stopping: CancellationToken,
         board: Board,
     ) -> Self {
@@ -195,7 +195,7 @@
             settings: RefCell::new(Rc::new(settings)),
             name,
             domain,
-            border,
+            adapter,
             boot,
             stopping,
             stop: Cell::new(None),
@@ -451,7 +451,7 @@
 
     /// Learns the era of the store's answers.
     pub fn look_at_era(&self) {
-        if let Some(era) = self.border.era() {
+        if let Some(era) = self.adapter.era() {
             self.learn_era(era);
         }
     }
--- a/coltsfoothall-forward/src/watch.rs
+++ b/coltsfoothall-forward/src/watch.rs
@@ -9,7 +9,7 @@
 use coltsfoothall_wire::client::Client;
 use rand::seq::IteratorRandom;
 
-use crate::border::{Item, Listing, Realm};
+use crate::adapter::{Item, Listing, Realm};
 use crate::follower::{self, AWAY, Follower, News};
 use crate::passed::After;
 use crate::registrations;
