--- a/coltsfoothall-forward/src/adapter.rs
+++ b/coltsfoothall-forward/src/adapter.rs
@@ -119,7 +119,7 @@
 
 /// A part of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Realm {
+pub enum Keyspace {
     /// The operators' configuration and orders.
     Configuration,
     /// Endpoints' registrations.
@@ -187,9 +187,9 @@
 /// The store.
 pub trait Store {
     /// Reads a whole realm.
-    fn list(&self, realm: Realm) -> LocalBoxFuture<'_, Result<Listing, Error>>;
+    fn list(&self, keyspace: Keyspace) -> LocalBoxFuture<'_, Result<Listing, Error>>;
     /// Waits for changes of a realm after a place.
-    fn watch(&self, realm: Realm, after: Place) -> LocalBoxFuture<'_, Result<Listing, Error>>;
+    fn watch(&self, keyspace: Keyspace, after: Place) -> LocalBoxFuture<'_, Result<Listing, Error>>;
     /// Writes to the instances' own realms; returns the place of the change.
     fn write(&self, write: Write) -> LocalBoxFuture<'_, Result<Place, Error>>;
     /// Takes a lease.
--- a/coltsfoothall-forward/src/calls.rs
+++ b/coltsfoothall-forward/src/calls.rs
@@ -3,15 +3,15 @@
 use std::cell::Cell;
 use std::fmt;
 
-use crate::adapter::Realm;
+use crate::adapter::Keyspace;
 
 /// A kind of call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
     /// A whole realm is read.
-    List(Realm),
+    List(Keyspace),
     /// Changes of a realm are waited for.
-    Watch(Realm),
+    Watch(Keyspace),
     /// Values are written.
     Write,
     /// A lease is taken or ended.
@@ -38,8 +38,8 @@
 impl Call {
     fn place(self) -> usize {
         match self {
-            Self::List(realm) => realm_place(realm),
-            Self::Watch(realm) => 4 + realm_place(realm),
+            Self::List(keyspace) => keyspace_index(keyspace),
+            Self::Watch(keyspace) => 4 + keyspace_index(keyspace),
             Self::Write => 8,
             Self::Lease => 9,
             Self::Renew => 10,
@@ -47,12 +47,12 @@
     }
 }
 
-fn realm_place(realm: Realm) -> usize {
-    match realm {
-        Realm::Configuration => 0,
-        Realm::Endpoints => 1,
-        Realm::Live => 2,
-        Realm::Notes => 3,
+fn keyspace_index(keyspace: Keyspace) -> usize {
+    match keyspace {
+        Keyspace::Configuration => 0,
+        Keyspace::Endpoints => 1,
+        Keyspace::Live => 2,
+        Keyspace::Notes => 3,
     }
 }
 
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -12,7 +12,7 @@
 use rand::seq::IteratorRandom;
 
 use crate::ask::{PACKED, ask};
-use crate::adapter::{Listing, Realm};
+use crate::adapter::{Listing, Keyspace};
 use crate::follower::{self, Follower, News};
 use crate::outgoing::{self, Outgoing};
 use crate::pack;
@@ -24,7 +24,7 @@
 
 /// Follows the configuration at the store for as long as the process runs.
 pub async fn follow(state: Rc<State>) {
-    let mut follower = Follower::new(Realm::Configuration, None);
+    let mut follower = Follower::new(Keyspace::Configuration, None);
     let mut backlog = Backlog::default();
     loop {
         if backlog.grew(state.newest_version()) {
@@ -41,7 +41,7 @@
         }
         upgrades::take(&state, &listing, whole).await;
         // Changes come in groups; one call brings them all.
-        tokio::time::sleep(follower::rest(&state, Realm::Configuration)).await;
+        tokio::time::sleep(follower::rest(&state, Keyspace::Configuration)).await;
     }
 }
 
--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -10,7 +10,7 @@
 use coltsfoothall::forward::usage::{Count, Snapshot};
 use coltsfoothall_shell::event;
 
-use crate::adapter::{Actor, Error, Realm, Write};
+use crate::adapter::{Actor, Error, Keyspace, Write};
 use crate::calls::Call;
 use crate::orders::Buyer;
 use crate::registrations;
@@ -261,8 +261,8 @@
     /// that they outlast the loss of all instances at once.
     async fn keep_counts(&mut self, state: &State) -> Result<(), Error> {
         if !self.informed {
-            state.calls.count(Call::List(Realm::Notes));
-            let listing = state.adapter.list(Realm::Notes).await?;
+            state.calls.count(Call::List(Keyspace::Notes));
+            let listing = state.adapter.list(Keyspace::Notes).await?;
             let item = listing.items.iter().find(|item| item.name == COUNTS);
             if let Some(value) = item.and_then(|item| item.value.as_ref()) {
                 let snapshot: Snapshot = rmp_serde::from_slice(value)
@@ -365,8 +365,8 @@
     match state.adapter.write(write).await {
         Ok(_revision) => Ok(counts),
         Err(Error::Conflict(_)) => {
-            state.calls.count(Call::List(Realm::Notes));
-            let listing = state.adapter.list(Realm::Notes).await?;
+            state.calls.count(Call::List(Keyspace::Notes));
+            let listing = state.adapter.list(Keyspace::Notes).await?;
             let item = listing.items.iter().find(|item| item.name == name);
             let value = item.and_then(|item| item.value.as_ref());
             let value = value.ok_or(Error::Missing("note"))?;
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -9,7 +9,7 @@
 use coltsfoothall::turn;
 use coltsfoothall_shell::event;
 
-use crate::adapter::{Error, Listing, Realm};
+use crate::adapter::{Error, Listing, Keyspace};
 use crate::calls::Call;
 use crate::state::State;
 
@@ -45,7 +45,7 @@
 /// Where following one part of the store stands.
 #[derive(Debug)]
 pub struct Follower {
-    realm: Realm,
+    keyspace: Keyspace,
     /// When the first call was made that got no answer since the last one that did.
     lost: Option<Time>,
     /// The last change that is known; none before a whole list was read.
@@ -56,9 +56,9 @@
 impl Follower {
     /// One that goes on from a place up to which all is known; none if nothing is.
     #[must_use]
-    pub fn new(realm: Realm, after: Option<Place>) -> Self {
+    pub fn new(keyspace: Keyspace, after: Option<Place>) -> Self {
         Self {
-            realm,
+            keyspace,
             lost: None,
             after,
             pause: PAUSE,
@@ -78,21 +78,21 @@
 
     /// Makes one call; what it brings, if it brings anything.
     pub async fn step(&mut self, state: &State) -> Option<News> {
-        let realm = self.realm;
+        let keyspace = self.keyspace;
         let asked = state.now();
         let replaced = |after: &mut Place| Some(after.era) < state.era();
         if self.after.take_if(replaced).is_some() {
-            event::STORE.emit(format_args!("realm={realm:?} state=history_replaced"));
+            event::STORE.emit(format_args!("realm={keyspace:?} state=history_replaced"));
         }
         let call = async {
             match self.after {
                 None => {
-                    state.calls.count(Call::List(realm));
-                    state.adapter.list(realm).await
+                    state.calls.count(Call::List(keyspace));
+                    state.adapter.list(keyspace).await
                 }
                 Some(after) => {
-                    state.calls.count(Call::Watch(realm));
-                    state.adapter.watch(realm, after).await
+                    state.calls.count(Call::Watch(keyspace));
+                    state.adapter.watch(keyspace, after).await
                 }
             }
         };
@@ -111,21 +111,21 @@
             }
             Ok(listing) => return Some(self.take(state, asked, listing)),
             Err(Error::Dropped(_)) => {
-                event::STORE.emit(format_args!("realm={realm:?} state=history_dropped"));
+                event::STORE.emit(format_args!("realm={keyspace:?} state=history_dropped"));
                 self.after = None;
             }
             Err(error) => {
                 if self.lost.is_none() {
                     self.lost = Some(asked);
-                    event::STORE.emit(format_args!("realm={realm:?} state=lost reason={error:?}"));
+                    event::STORE.emit(format_args!("realm={keyspace:?} state=lost reason={error:?}"));
                 }
-                match realm {
-                    Realm::Configuration => state.adoption.store_lost.set(true),
-                    Realm::Endpoints => {
+                match keyspace {
+                    Keyspace::Configuration => state.adoption.store_lost.set(true),
+                    Keyspace::Endpoints => {
                         state.fresh.set(None);
                         state.unread.set(true);
                     }
-                    Realm::Live | Realm::Notes => {}
+                    Keyspace::Live | Keyspace::Notes => {}
                 }
                 state.health.pause(self.pause).await;
                 self.pause = (self.pause * 2).min(LONGEST_PAUSE);
@@ -135,22 +135,22 @@
     }
 
     fn take(&mut self, state: &State, asked: Time, listing: Listing) -> News {
-        let realm = self.realm;
+        let keyspace = self.keyspace;
         let whole = self.after.is_none();
         self.pause = PAUSE;
         if let Some(since) = self.lost.take() {
             let away = asked.since(since);
             event::STORE.emit(format_args!(
-                "realm={realm:?} state=back away_ms={}",
+                "realm={keyspace:?} state=back away_ms={}",
                 away.as_millis()
             ));
             if away > AWAY {
                 state.store_returned();
             }
         }
-        match realm {
-            Realm::Configuration => state.adoption.store_lost.set(false),
-            Realm::Endpoints => {
+        match keyspace {
+            Keyspace::Configuration => state.adoption.store_lost.set(false),
+            Keyspace::Endpoints => {
                 // Pages of a list are read one after the other; a watch is answered at once
                 // when there is a change.
                 state
@@ -158,7 +158,7 @@
                     .set(Some(if whole { asked } else { state.now() }));
                 state.unread.set(false);
             }
-            Realm::Live | Realm::Notes => {}
+            Keyspace::Live | Keyspace::Notes => {}
         }
         self.after = Some(listing.place);
         News { listing, whole }
@@ -173,20 +173,20 @@
 
 /// How long an instance rests after a change, longer in a large fleet. What one reads in its
 /// rest the others have told it, and each call is paid for: a fleet of 64 made 5,900 in 76 s.
-pub fn rest(state: &State, realm: Realm) -> Duration {
+pub fn rest(state: &State, keyspace: Keyspace) -> Duration {
     let turns = turn::turns(state.reach().members as usize, TOGETHER) as u32;
-    match realm {
-        Realm::Configuration => CONFIGURATION_REST * turns.min(LONGEST_REST),
+    match keyspace {
+        Keyspace::Configuration => CONFIGURATION_REST * turns.min(LONGEST_REST),
         // Others wait for what this one reads.
-        Realm::Endpoints if !state.reads_alone() => ENDPOINTS_REST,
-        Realm::Endpoints => {
+        Keyspace::Endpoints if !state.reads_alone() => ENDPOINTS_REST,
+        Keyspace::Endpoints => {
             let longest = state.settings().bounds.drain.duration() / RESTED_OF_DRAIN;
             (ENDPOINTS_REST * turns).min(longest.max(ENDPOINTS_REST))
         }
-        Realm::Live => {
+        Keyspace::Live => {
             let rank = state.peers.borrow().rank(state.now());
             rest::Settings::default().of(rank, state.fence().is_some())
         }
-        Realm::Notes => Duration::ZERO,
+        Keyspace::Notes => Duration::ZERO,
     }
 }
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -14,7 +14,7 @@
 use coltsfoothall_wire::client::Client;
 
 use crate::ask::{self, ENDPOINTS};
-use crate::adapter::{Item, Listing, Realm};
+use crate::adapter::{Item, Listing, Keyspace};
 use crate::follower::{self, Follower, News};
 use crate::pack;
 use crate::passed::{After, Change, Part, Row};
@@ -40,7 +40,7 @@
 pub async fn follow(state: Rc<State>) {
     let client = Client::new();
     let mut reading = Reading::default();
-    let mut follower = Follower::new(Realm::Endpoints, None);
+    let mut follower = Follower::new(Keyspace::Endpoints, None);
     let mut heard: Option<Heard> = None;
     loop {
         match (source(&state, &reading), follower.after()) {
@@ -56,7 +56,7 @@
                 if let Some((now, place)) = hear(&state, &client, had, known).await {
                     reading.answered();
                     heard = Some(now);
-                    follower = Follower::new(Realm::Endpoints, Some(place));
+                    follower = Follower::new(Keyspace::Endpoints, Some(place));
                     tokio::time::sleep(budget(&state).pause).await;
                 } else {
                     reading.failed(state.now());
@@ -71,7 +71,7 @@
                 apply(&state, listing, whole);
                 if changed {
                     // Heartbeats change them all the time; one call brings many.
-                    tokio::time::sleep(follower::rest(&state, Realm::Endpoints)).await;
+                    tokio::time::sleep(follower::rest(&state, Keyspace::Endpoints)).await;
                 }
             }
         }
--- a/coltsfoothall-forward/src/watch.rs
+++ b/coltsfoothall-forward/src/watch.rs
@@ -9,7 +9,7 @@
 use coltsfoothall_wire::client::Client;
 use rand::seq::IteratorRandom;
 
-use crate::adapter::{Item, Listing, Realm};
+use crate::adapter::{Item, Listing, Keyspace};
 use crate::follower::{self, AWAY, Follower, News};
 use crate::passed::After;
 use crate::registrations;
@@ -25,7 +25,7 @@
 
 /// Follows who is there for as long as the process runs.
 pub async fn follow(state: Rc<State>) {
-    let mut follower = Follower::new(Realm::Live, None);
+    let mut follower = Follower::new(Keyspace::Live, None);
     loop {
         let Some(News { listing, whole }) = follower.step(&state).await else {
             continue;
@@ -34,7 +34,7 @@
         apply(&state, &listing, whole);
         if changed {
             // Changes come in groups; one call brings them all.
-            tokio::time::sleep(follower::rest(&state, Realm::Live)).await;
+            tokio::time::sleep(follower::rest(&state, Keyspace::Live)).await;
         }
     }
 }
