--- a/coltsfoothall-forward/src/adapter.rs
+++ b/coltsfoothall-forward/src/adapter.rs
@@ -234,7 +234,7 @@
 
 /// Who acts, and under which number.
 #[derive(Debug, Clone, Copy)]
-pub struct Actor<'a> {
+pub struct Leadership<'a> {
     /// The instance.
     pub instance: &'a id::Instance,
     /// Rises with each holder.
@@ -246,14 +246,14 @@
     /// Reports a window's usage.
     fn usage<'a>(
         &'a self,
-        actor: Actor<'a>,
+        leadership: Leadership<'a>,
         window: u64,
         counts: &'a [Count],
     ) -> LocalBoxFuture<'a, Result<(), Error>>;
     /// Orders endpoints of a service.
     fn order<'a>(
         &'a self,
-        actor: Actor<'a>,
+        leadership: Leadership<'a>,
         service: &'a id::Service,
         order: &'a Order,
     ) -> LocalBoxFuture<'a, Result<(), Error>>;
--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -10,7 +10,7 @@
 use coltsfoothall::forward::usage::{Count, Snapshot};
 use coltsfoothall_shell::event;
 
-use crate::adapter::{Actor, Error, Keyspace, Write};
+use crate::adapter::{Leadership, Error, Keyspace, Write};
 use crate::calls::Call;
 use crate::orders::Buyer;
 use crate::registrations;
@@ -340,11 +340,11 @@
             .fence()
             .filter(|now| *now == fence)
             .ok_or(Error::Conflict("report"))?;
-        let actor = Actor {
+        let leadership = Leadership {
             instance: &state.name,
             fence,
         };
-        state.adapter.usage(actor, window, &counts).await?;
+        state.adapter.usage(leadership, window, &counts).await?;
         let runs: u64 = counts.iter().map(|count| count.runs).sum();
         event::USAGE.emit(format_args!("window={window} runs={runs} fence={fence}"));
         Ok(())
--- a/coltsfoothall-forward/src/orders.rs
+++ b/coltsfoothall-forward/src/orders.rs
@@ -6,7 +6,7 @@
 use coltsfoothall::id;
 use coltsfoothall_shell::event;
 
-use crate::adapter::{Actor, Error};
+use crate::adapter::{Leadership, Error};
 use crate::state::State;
 
 /// Name of the duty in the settings.
@@ -51,11 +51,11 @@
             let Some(fence) = state.fence() else {
                 return;
             };
-            let actor = Actor {
+            let leadership = Leadership {
                 instance: &state.name,
                 fence,
             };
-            let outcome = state.adapter.order(actor, &service.name, &order).await;
+            let outcome = state.adapter.order(leadership, &service.name, &order).await;
             log(service, &order, load, &outcome);
             match outcome {
                 Ok(()) => line.book.taken(&order),
