--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -18,7 +18,7 @@
 use hyper::body::Incoming;
 
 use crate::adapter::{Call, Reply, Sending};
-use crate::kept::{Fault, Link, Payload};
+use crate::pool::{Fault, Link, Payload};
 use crate::state::State;
 
 /// A request as it was admitted.
@@ -223,13 +223,13 @@
     let ask = job.ask(&state.domain, exclude, &Versions::Any);
     let share = Share::new(state, pick, &ask, job);
     let whole = Rc::new(Cell::new(false));
-    let mut kept = {
+    let mut pooled = {
         let now = tokio::time::Instant::now();
         state.pool.borrow_mut().take(&pick.endpoint, now)
     };
     loop {
-        let fresh = kept.is_none();
-        let mut link = match kept.take() {
+        let fresh = pooled.is_none();
+        let mut link = match pooled.take() {
             Some(link) => link,
             None => match Link::open(pick.endpoint.clone(), pick.address).await {
                 Ok(link) => link,
--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::attempt::{self, Job, Sent, Share};
-use crate::kept::Fault;
+use crate::pool::Fault;
 use crate::refusal::{Refusal, broken, full};
 use crate::state::State;
 
--- a/coltsfoothall-forward/src/lib.rs
+++ b/coltsfoothall-forward/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod gossip;
 pub mod health;
 pub mod intake;
-pub mod kept;
+pub mod pool;
 pub mod listen;
 pub mod orders;
 pub mod outgoing;
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -32,7 +32,7 @@
 use crate::adapter::Adapter;
 use crate::calls::Calls;
 use crate::health::Health;
-use crate::kept::Pool;
+use crate::pool::Pool;
 use crate::passed::Passed;
 use crate::retries::Retries;
 use crate::settings::Settings;
