--- a/coltsfoothall-forward/src/passed.rs
+++ b/coltsfoothall-forward/src/changelog.rs
@@ -39,7 +39,7 @@
 
 /// What changed after a number.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Part {
+pub struct Page {
     /// The process that counts so.
     pub boot: u64,
     /// The number to go on from.
@@ -65,28 +65,28 @@
 
 /// From where an instance goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum After {
+pub enum Since {
     /// From a number that this process told.
-    Number(u64),
+    Sequence(u64),
     /// From a place in the store's history up to which it has read itself.
-    Place(Place),
+    Position(Place),
 }
 
 /// All registrations, with changes numbered. An endpoint that writes again what stood there
 /// has not changed.
 #[derive(Debug, Default)]
-pub struct Passed {
+pub struct Changelog {
     /// Sorted by name.
     kept: Vec<Kept>,
     number: u64,
     place: Place,
 }
 
-impl Passed {
+impl Changelog {
     /// A registration was read.
     pub fn put(&mut self, item: &Item, entry: &Entry) {
         if entry.leaving {
-            self.left(&item.name, entry.leaves.map(Millis::from), item.place);
+            self.record_leaving(&item.name, entry.leaves.map(Millis::from), item.place);
             return;
         }
         let row = Row {
@@ -108,7 +108,7 @@
 
     /// An endpoint is about to leave, as of then; that it still is when it writes again is no
     /// change.
-    pub fn left(&mut self, name: &str, leaves: Option<Millis>, at: Place) {
+    pub fn record_leaving(&mut self, name: &str, leaves: Option<Millis>, at: Place) {
         let row = Row {
             name: name.to_owned(),
             change: Change::Leaving { leaves },
@@ -135,11 +135,11 @@
             return;
         }
         self.change(found, row, None);
-        self.forget_old();
+        self.evict_removed();
     }
 
     /// All changes at the store up to there are in here.
-    pub fn read_to(&mut self, place: Place) {
+    pub fn advance_to(&mut self, place: Place) {
         self.place = self.place.max(place);
     }
 
@@ -152,11 +152,11 @@
     /// What changed since then, and the number to go on from. After the number 0 it is all that
     /// is there.
     #[must_use]
-    pub fn since(&self, after: After) -> (u64, Vec<Row>) {
+    pub fn since(&self, after: Since) -> (u64, Vec<Row>) {
         let is_news = |kept: &&Kept| match after {
-            After::Number(0) => kept.row.change != Change::Removed,
-            After::Number(number) => kept.number > number,
-            After::Place(place) => kept.changed > place,
+            Since::Sequence(0) => kept.row.change != Change::Removed,
+            Since::Sequence(number) => kept.number > number,
+            Since::Position(place) => kept.changed > place,
         };
         let news = self.kept.iter().filter(is_news);
         (self.number, news.map(|kept| kept.row.clone()).collect())
@@ -178,7 +178,7 @@
         }
     }
 
-    fn forget_old(&mut self) {
+    fn evict_removed(&mut self) {
         let removed = |kept: &&Kept| kept.row.change == Change::Removed;
         if self.kept.iter().filter(removed).count() <= REMOVED {
             return;
--- a/coltsfoothall-forward/src/lib.rs
+++ b/coltsfoothall-forward/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod orders;
 pub mod outgoing;
 pub mod pack;
-pub mod passed;
+pub mod changelog;
 pub mod refusal;
 pub mod registrations;
 pub mod relay;
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -17,7 +17,7 @@
 use crate::adapter::{Item, Listing, Keyspace};
 use crate::follower::{self, Follower, News};
 use crate::pack;
-use crate::passed::{After, Change, Part, Row};
+use crate::changelog::{Since, Change, Page, Row};
 use crate::state::State;
 
 /// Where a change was heard of, as the log names it.
@@ -131,23 +131,23 @@
     let budget = budget(state);
     let asked = state.now();
     let told = tell(state, client, &profile, &had, known);
-    let Ok(Some(part)) = tokio::time::timeout(budget.answer, told).await else {
+    let Ok(Some(page)) = tokio::time::timeout(budget.answer, told).await else {
         lost("no answer", None);
         return None;
     };
     let way = state.now().since(asked);
-    let age = part.age_ms.map(|age| Duration::from_millis(age) + way);
+    let age = page.age_ms.map(|age| Duration::from_millis(age) + way);
     if age.is_none_or(|age| age > budget.oldest) {
         lost("its knowledge is old", age);
         return None;
     }
     let now = Heard {
-        boot: part.boot,
-        next: Some(part.next),
+        boot: page.boot,
+        next: Some(page.next),
         ..had
     };
-    let place = known.max(part.place);
-    take(state, part);
+    let place = known.max(page.place);
+    take(state, page);
     Some((now, place))
 }
 
@@ -158,27 +158,27 @@
     reader: &Profile,
     had: &Heard,
     known: Place,
-) -> Option<Part> {
-    let by_place = After::Place(known);
-    let after = had.next.map_or(by_place, After::Number);
-    let part = ask(state, client, reader, after).await?;
-    if part.boot == had.boot || after == by_place {
-        return Some(part);
+) -> Option<Page> {
+    let by_place = Since::Position(known);
+    let after = had.next.map_or(by_place, Since::Sequence);
+    let page = ask(state, client, reader, after).await?;
+    if page.boot == had.boot || after == by_place {
+        return Some(page);
     }
     ask(state, client, reader, by_place).await
 }
 
 /// Asks another instance for the registrations that changed there since then.
-pub async fn ask(state: &State, client: &Client, peer: &Profile, after: After) -> Option<Part> {
+pub async fn ask(state: &State, client: &Client, peer: &Profile, after: Since) -> Option<Page> {
     let path = match after {
-        After::Number(number) => format!("{ENDPOINTS}?{AFTER}={number}"),
-        After::Place(place) => format!("{ENDPOINTS}?{PLACE}={place}"),
+        Since::Sequence(number) => format!("{ENDPOINTS}?{AFTER}={number}"),
+        Since::Position(place) => format!("{ENDPOINTS}?{PLACE}={place}"),
     };
     let raw = ask::ask(state, client, peer, &path).await?;
     let read = pack::unpack(&raw).map_err(|error| error.to_string());
     let read = read.and_then(|raw| rmp_serde::from_slice(&raw).map_err(|error| error.to_string()));
     match read {
-        Ok(part) => Some(part),
+        Ok(page) => Some(page),
         Err(reason) => {
             event::LINK_FAILED.emit(format_args!("peer={} reason={reason:?}", peer.name));
             None
@@ -187,8 +187,8 @@
 }
 
 /// Takes over what another instance told.
-pub fn take(state: &Rc<State>, part: Part) {
-    for row in part.rows {
+pub fn take(state: &Rc<State>, page: Page) {
+    for row in page.rows {
         let Row {
             name,
             change,
@@ -208,28 +208,28 @@
             Change::Removed => remove(state, &name, place),
         }
     }
-    state.passed.borrow_mut().read_to(part.place);
+    state.changelog.borrow_mut().advance_to(page.place);
 }
 
 /// What this instance tells others of the registrations, compressed.
 pub fn show(state: &State, query: Option<&str>) -> Option<Bytes> {
     let after = match query.and_then(|query| query.split_once('=')) {
-        Some((AFTER, number)) => After::Number(number.parse().ok()?),
-        Some((PLACE, place)) => After::Place(place.parse().ok()?),
+        Some((AFTER, number)) => Since::Sequence(number.parse().ok()?),
+        Some((PLACE, place)) => Since::Position(place.parse().ok()?),
         Some(_) => return None,
-        None => After::Number(0),
+        None => Since::Sequence(0),
     };
-    let passed = state.passed.borrow();
-    let (next, rows) = passed.since(after);
+    let changelog = state.changelog.borrow();
+    let (next, rows) = changelog.since(after);
     let age = state.fresh.get().map(|fresh| state.now().since(fresh));
-    let part = Part {
+    let page = Page {
         boot: state.boot,
         next,
-        place: passed.place(),
+        place: changelog.place(),
         age_ms: age.and_then(|age| u64::try_from(age.as_millis()).ok()),
         rows,
     };
-    rmp_serde::to_vec(&part).ok().map(|raw| pack::pack(&raw))
+    rmp_serde::to_vec(&page).ok().map(|raw| pack::pack(&raw))
 }
 
 /// Takes over registrations from the store; a whole list also shows which ones are gone.
@@ -242,7 +242,7 @@
             entries.extend(register(state, &item, STORE));
         }
     }
-    state.passed.borrow_mut().read_to(listing.place);
+    state.changelog.borrow_mut().advance_to(listing.place);
     if whole {
         let missing = state.roster.borrow().missing(&entries);
         for id in missing {
@@ -264,7 +264,7 @@
                 .upgrades
                 .borrow_mut()
                 .present(&entry.service, entry.version.as_ref());
-            state.passed.borrow_mut().put(item, &entry);
+            state.changelog.borrow_mut().put(item, &entry);
             Some(entry)
         }
         Err(error) => {
@@ -275,7 +275,7 @@
             ));
             // Whoever wrote it, it names no endpoint to use, whatever its id was before.
             if let Ok(id) = item.name.parse() {
-                state.passed.borrow_mut().remove(&item.name, item.place);
+                state.changelog.borrow_mut().remove(&item.name, item.place);
                 forget(state, &id, item.place, source);
             }
             None
@@ -292,7 +292,7 @@
     let within = leaves.map(Millis::duration);
     let event = state.roster.borrow_mut().left(state.now(), &id, at, within);
     state.note(event, at, PEER);
-    state.passed.borrow_mut().left(name, leaves, at);
+    state.changelog.borrow_mut().record_leaving(name, leaves, at);
 }
 
 /// A registration is gone; after the store was away it may only have lapsed.
@@ -301,7 +301,7 @@
         event::STORE_FAILED.emit(format_args!("endpoint={name:?} reason=\"not a name\""));
         return;
     };
-    state.passed.borrow_mut().remove(name, at);
+    state.changelog.borrow_mut().remove(name, at);
     let mercy = state.mercy();
     let state = Rc::clone(state);
     tokio::task::spawn_local(async move {
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -33,7 +33,7 @@
 use crate::calls::Calls;
 use crate::health::Health;
 use crate::pool::Pool;
-use crate::passed::Passed;
+use crate::changelog::Changelog;
 use crate::retries::Retries;
 use crate::settings::Settings;
 use crate::time::{self, Clock};
@@ -109,7 +109,7 @@
     /// The election of who acts for all.
     pub leader: RefCell<Leader>,
     /// Registrations of endpoints as they were read, for instances that lack them.
-    pub passed: RefCell<Passed>,
+    pub changelog: RefCell<Changelog>,
     /// As of when the registrations known here are the store's own; none while it does not
     /// answer, or is not asked.
     pub fresh: Cell<Option<Time>>,
@@ -170,7 +170,7 @@
             )),
             peers: RefCell::new(Peers::new(name.clone(), peer::Settings::default())),
             leader: RefCell::new(Leader::new(settings.bounds.lease.duration())),
-            passed: RefCell::default(),
+            changelog: RefCell::default(),
             fresh: Cell::default(),
             unread: Cell::default(),
             adoption: Adoption::default(),
--- a/coltsfoothall-forward/src/watch.rs
+++ b/coltsfoothall-forward/src/watch.rs
@@ -11,7 +11,7 @@
 
 use crate::adapter::{Item, Listing, Keyspace};
 use crate::follower::{self, AWAY, Follower, News};
-use crate::passed::After;
+use crate::changelog::Since;
 use crate::registrations;
 use crate::state::State;
 use crate::time;
@@ -116,7 +116,7 @@
     let Some(peer) = peer else {
         return;
     };
-    if let Some(part) = registrations::ask(state, client, &peer, After::Number(0)).await {
-        registrations::take(state, part);
+    if let Some(page) = registrations::ask(state, client, &peer, Since::Sequence(0)).await {
+        registrations::take(state, page);
     }
 }
