--- a/coltsfoothall-forward/src/adapter.rs
+++ b/coltsfoothall-forward/src/adapter.rs
@@ -138,7 +138,7 @@
     /// Its value; none if it was removed.
     pub value: Option<Bytes>,
     /// This change.
-    pub place: Place,
+    pub position: Place,
     /// The change that created it; the first place of all if it was removed.
     pub created: Place,
 }
@@ -149,7 +149,7 @@
     /// The values or changes in their order.
     pub items: Vec<Item>,
     /// The last change at the store; those after it are not in here.
-    pub place: Place,
+    pub position: Place,
 }
 
 /// A change of the realms that are the instances' own, made whole or not at all. Names
--- a/coltsfoothall-forward/src/changelog.rs
+++ b/coltsfoothall-forward/src/changelog.rs
@@ -34,7 +34,8 @@
     /// What became of it.
     pub change: Change,
     /// When that was written.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub position: Place,
 }
 
 /// What changed after a number.
@@ -45,7 +46,8 @@
     /// The number to go on from.
     pub next: u64,
     /// The last change at the store that the reader knows of.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub position: Place,
     /// Age in milliseconds of what the reader knows; none if the store does not answer it.
     pub age_ms: Option<u64>,
     /// The changes.
@@ -86,13 +88,13 @@
     /// A registration was read.
     pub fn put(&mut self, item: &Item, entry: &Entry) {
         if entry.leaving {
-            self.record_leaving(&item.name, entry.leaves.map(Millis::from), item.place);
+            self.record_leaving(&item.name, entry.leaves.map(Millis::from), item.position);
             return;
         }
         let row = Row {
             name: item.name.clone(),
             change: Change::Registered(item.value.clone().unwrap_or_default()),
-            place: item.place,
+            position: item.position,
         };
         let says = Entry {
             place: Place::default(),
@@ -112,12 +114,12 @@
         let row = Row {
             name: name.to_owned(),
             change: Change::Leaving { leaves },
-            place: at,
+            position: at,
         };
         match self.find(name) {
-            Ok(place) if self.kept[place].row.place > at => {}
+            Ok(place) if self.kept[place].row.position > at => {}
             Ok(place) if matches!(self.kept[place].row.change, Change::Leaving { .. }) => {
-                self.kept[place].row.place = at;
+                self.kept[place].row.position = at;
             }
             found => self.change(found, row, None),
         }
@@ -128,10 +130,10 @@
         let row = Row {
             name: name.to_owned(),
             change: Change::Removed,
-            place: at,
+            position: at,
         };
         let found = self.find(name);
-        if found.is_ok_and(|place| self.kept[place].row.place > at) {
+        if found.is_ok_and(|place| self.kept[place].row.position > at) {
             return;
         }
         self.change(found, row, None);
@@ -145,7 +147,7 @@
 
     /// The last change at the store that is in here.
     #[must_use]
-    pub fn place(&self) -> Place {
+    pub fn position(&self) -> Place {
         self.place
     }
 
@@ -165,7 +167,7 @@
     fn change(&mut self, found: Result<usize, usize>, row: Row, entry: Option<Entry>) {
         self.number += 1;
         let number = self.number;
-        let changed = row.place;
+        let changed = row.position;
         let kept = Kept {
             row,
             entry,
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -160,14 +160,14 @@
             }
             Keyspace::Live | Keyspace::Notes => {}
         }
-        self.after = Some(listing.place);
+        self.after = Some(listing.position);
         News { listing, whole }
     }
 }
 
 /// Whether a listing is of the newest era, and of the one that it was asked in.
 fn is_current(state: &State, after: Option<Place>, listing: &Listing) -> bool {
-    let era = listing.place.era;
+    let era = listing.position.era;
     Some(era) >= state.era() && after.is_none_or(|after| after.era == era)
 }
 
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -146,7 +146,7 @@
         next: Some(page.next),
         ..had
     };
-    let place = known.max(page.place);
+    let place = known.max(page.position);
     take(state, page);
     Some((now, place))
 }
@@ -192,23 +192,23 @@
         let Row {
             name,
             change,
-            place,
+            position,
         } = row;
         match change {
             Change::Registered(value) => {
                 let item = Item {
                     name,
                     value: Some(value),
-                    place,
+                    position,
                     created: Place::default(),
                 };
                 register(state, &item, PEER);
             }
-            Change::Leaving { leaves } => leave(state, &name, leaves, place),
-            Change::Removed => remove(state, &name, place),
+            Change::Leaving { leaves } => leave(state, &name, leaves, position),
+            Change::Removed => remove(state, &name, position),
         }
     }
-    state.changelog.borrow_mut().advance_to(page.place);
+    state.changelog.borrow_mut().advance_to(page.position);
 }
 
 /// What this instance tells others of the registrations, compressed.
@@ -225,7 +225,7 @@
     let page = Page {
         boot: state.boot,
         next,
-        place: changelog.place(),
+        position: changelog.position(),
         age_ms: age.and_then(|age| u64::try_from(age.as_millis()).ok()),
         rows,
     };
@@ -237,16 +237,16 @@
     let mut entries = Vec::new();
     for item in listing.items {
         if item.value.is_none() {
-            remove(state, &item.name, item.place);
+            remove(state, &item.name, item.position);
         } else {
             entries.extend(register(state, &item, STORE));
         }
     }
-    state.changelog.borrow_mut().advance_to(listing.place);
+    state.changelog.borrow_mut().advance_to(listing.position);
     if whole {
         let missing = state.roster.borrow().missing(&entries);
         for id in missing {
-            remove(state, id.as_str(), listing.place);
+            remove(state, id.as_str(), listing.position);
         }
     }
 }
@@ -259,7 +259,7 @@
                 .roster
                 .borrow_mut()
                 .registered(state.now(), entry.clone());
-            state.note(event, item.place, source);
+            state.note(event, item.position, source);
             state
                 .upgrades
                 .borrow_mut()
@@ -275,8 +275,8 @@
             ));
             // Whoever wrote it, it names no endpoint to use, whatever its id was before.
             if let Ok(id) = item.name.parse() {
-                state.changelog.borrow_mut().remove(&item.name, item.place);
-                forget(state, &id, item.place, source);
+                state.changelog.borrow_mut().remove(&item.name, item.position);
+                forget(state, &id, item.position, source);
             }
             None
         }
