--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -12,7 +12,7 @@
 
 use crate::adapter::{Leadership, Error, Keyspace, Write};
 use crate::calls::Call;
-use crate::orders::Buyer;
+use crate::orders::Autoscaler;
 use crate::registrations;
 use crate::state::State;
 use crate::time;
@@ -164,7 +164,7 @@
         };
         term.driver.advance(&state).await;
         term.reporter.report(&state).await;
-        term.buyer.order(&state).await;
+        term.autoscaler.tick(&state).await;
     }
 }
 
@@ -173,7 +173,7 @@
 struct Term {
     fence: Fence,
     reporter: Reporter,
-    buyer: Buyer,
+    autoscaler: Autoscaler,
     driver: Driver,
 }
 
@@ -182,7 +182,7 @@
         Self {
             fence,
             reporter: Reporter::default(),
-            buyer: Buyer::default(),
+            autoscaler: Autoscaler::default(),
             driver: Driver::default(),
         }
     }
--- a/coltsfoothall-forward/src/orders.rs
+++ b/coltsfoothall-forward/src/orders.rs
@@ -22,13 +22,13 @@
 
 /// The orders for all services, begun anew by each holder from what it finds.
 #[derive(Debug, Default)]
-pub struct Buyer {
+pub struct Autoscaler {
     lines: Vec<Line>,
 }
 
-impl Buyer {
+impl Autoscaler {
     /// Looks at all services once and gives the orders that are due.
-    pub async fn order(&mut self, state: &State) {
+    pub async fn tick(&mut self, state: &State) {
         if !state.settings().duties.iter().any(|duty| duty == DUTY) {
             return;
         }
