--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -151,7 +151,7 @@
         if let Some(run) = self.run.take() {
             let now = self.state.now();
             self.state.roster.borrow_mut().finish(now, &run, end);
-            self.state.testify(&self.endpoint, self.print, end);
+            self.state.record_evidence(&self.endpoint, self.print, end);
         }
     }
 }
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -96,7 +96,7 @@
             work: state.roster.borrow().work().to_vec(),
             failed: turn::due(&state.roster.borrow().failed(), rows, round),
             placed,
-            evidence: state.docket.borrow().part(now, rows, round),
+            evidence: state.suspicions.borrow().part(now, rows, round),
             era: state.era(),
             reported: state.reported(),
             upgrades: state.upgrades.borrow().told(now),
@@ -218,7 +218,7 @@
     for event in restarted {
         state.note(Some(event), Place::default(), "peer");
     }
-    state.docket.borrow_mut().merge(now, &heartbeat.evidence);
+    state.suspicions.borrow_mut().merge(now, &heartbeat.evidence);
     state.allowance.borrow_mut().hear(boot, &heartbeat.spent);
     state.usage.borrow_mut().hear(boot, &heartbeat.counts);
     state.hear_work(boot, &heartbeat.work);
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -172,7 +172,7 @@
     let holder = workspace.as_ref().map_or("", id::Workspace::as_str);
     let asked = head.uri.path_and_query().map_or("", |asked| asked.as_str());
     let print = Print::of_call(holder, head.method.as_str(), asked, &body);
-    let verdict = state.docket.borrow().verdict(state.now(), print);
+    let verdict = state.suspicions.borrow().verdict(state.now(), print);
     if verdict == Verdict::Poisonous {
         return Err(full("such requests crashed endpoints", POISONOUS));
     }
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -302,11 +302,11 @@
         return;
     };
     state.changelog.borrow_mut().remove(name, at);
-    let mercy = state.mercy();
+    let registration_grace = state.registration_grace();
     let state = Rc::clone(state);
     tokio::task::spawn_local(async move {
-        if let Some(mercy) = mercy {
-            tokio::time::sleep(mercy).await;
+        if let Some(registration_grace) = registration_grace {
+            tokio::time::sleep(registration_grace).await;
         }
         forget(&state, &id, at, STORE);
     });
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -126,7 +126,7 @@
     /// Calls to the store.
     pub calls: Calls,
     /// Evidence against requests that crash endpoints.
-    pub docket: RefCell<Docket>,
+    pub suspicions: RefCell<Docket>,
     attempts: Cell<u64>,
     /// Requests under way.
     pub open: Cell<usize>,
@@ -179,7 +179,7 @@
             risen: Notify::new(),
             reported: Cell::default(),
             calls: Calls::default(),
-            docket: RefCell::new(Docket::new(suspicion::Settings::default())),
+            suspicions: RefCell::new(Docket::new(suspicion::Settings::default())),
             attempts: Cell::new(boot),
             open: Cell::new(0),
             board,
@@ -291,20 +291,20 @@
     /// A run ended. One that broke off is evidence if its endpoint turns out to be gone; a
     /// whole answer clears its like. Endpoints that leave without a word go on serving, so
     /// runs that did not break are no evidence.
-    pub fn testify(&self, endpoint: &id::Endpoint, print: Print, end: End) {
+    pub fn record_evidence(&self, endpoint: &id::Endpoint, print: Print, end: End) {
         let now = self.now();
-        let mut docket = self.docket.borrow_mut();
+        let mut suspicions = self.suspicions.borrow_mut();
         let attempt = self.attempts.get();
         match end {
-            End::Whole if docket.is_empty() => {}
+            End::Whole if suspicions.is_empty() => {}
             End::Whole => {
-                docket.started(now, attempt, endpoint.clone(), print, false);
-                docket.ended(now, attempt, true);
+                suspicions.started(now, attempt, endpoint.clone(), print, false);
+                suspicions.ended(now, attempt, true);
             }
             End::Failed => {
                 // The fleet's attempts differ, since each boot counts from a number of its own.
                 self.attempts.set(attempt.wrapping_add(1));
-                docket.started(now, attempt, endpoint.clone(), print, false);
+                suspicions.started(now, attempt, endpoint.clone(), print, false);
             }
             End::Refused | End::Unreachable | End::Abandoned => {}
         }
@@ -313,10 +313,10 @@
     /// An endpoint is gone; what ran there is evidence unless that was expected.
     fn died(&self, id: &id::Endpoint, announced: bool) {
         let now = self.now();
-        let mut docket = self.docket.borrow_mut();
-        docket.abandon(now - EVIDENCE);
-        docket.expire(now);
-        let marks = docket.died(now, id, announced);
+        let mut suspicions = self.suspicions.borrow_mut();
+        suspicions.abandon(now - EVIDENCE);
+        suspicions.expire(now);
+        let marks = suspicions.died(now, id, announced);
         if !marks.is_empty() {
             event::ENDPOINT_DIED.emit(format_args!(
                 "endpoint={id} announced={announced} suspects={}",
@@ -405,7 +405,7 @@
                     "endpoint={id} state=gone place={place} source={source}"
                 ));
                 self.pool.borrow_mut().forget(&id);
-                let announced = self.mercy().is_some() || self.was_leaving(&id);
+                let announced = self.registration_grace().is_some() || self.was_leaving(&id);
                 self.died(&id, announced);
                 self.tell(id, place);
             }
@@ -493,7 +493,7 @@
 
     /// Time that a removed endpoint still has to register again.
     #[must_use]
-    pub fn mercy(&self) -> Option<Duration> {
+    pub fn registration_grace(&self) -> Option<Duration> {
         let returned = self.returned.get()?;
         let rest = RETURN.saturating_sub(self.now().since(returned));
         (!rest.is_zero()).then_some(rest)
