--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -124,7 +124,7 @@
 /// Takes part in the election.
 ///
 /// Leases are timed by the machine's clock that counts suspension too.
-pub async fn stand(state: Rc<State>) {
+pub async fn campaign(state: Rc<State>) {
     let mut renew_at = Time::START;
     loop {
         tokio::time::sleep(LOOK).await;
@@ -150,7 +150,7 @@
 
 /// Acts while this instance is the holder. It waits for answers apart from the
 /// election: one that took longer than the lease would cost the duty otherwise.
-pub async fn act(state: Rc<State>) {
+pub async fn run_leader(state: Rc<State>) {
     let mut term: Option<Term> = None;
     loop {
         tokio::time::sleep(LOOK).await;
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -113,8 +113,8 @@
     tokio::task::spawn_local(gossip::speak(Rc::clone(state), Rc::clone(socket)));
     tokio::task::spawn_local(gossip::listen(Rc::clone(state), Rc::clone(socket)));
     tokio::task::spawn_local(duty::register(Rc::clone(state)));
-    tokio::task::spawn_local(duty::stand(Rc::clone(state)));
-    tokio::task::spawn_local(duty::act(Rc::clone(state)));
+    tokio::task::spawn_local(duty::campaign(Rc::clone(state)));
+    tokio::task::spawn_local(duty::run_leader(Rc::clone(state)));
 }
 
 /// Logs what went well, now and then.
