--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -105,7 +105,7 @@
 }
 
 /// Sends a heartbeat to everyone without waiting for their turns, as before a stop.
-pub async fn announce(state: &Rc<State>, socket: &UdpSocket) {
+pub async fn broadcast(state: &Rc<State>, socket: &UdpSocket) {
     let targets = targets(state);
     for turn in 0..turn::turns(targets.len(), TOGETHER) {
         if turn > 0 {
@@ -131,7 +131,7 @@
 }
 
 /// Sends heartbeats for as long as the process runs.
-pub async fn speak(state: Rc<State>, socket: Rc<UdpSocket>) {
+pub async fn send_heartbeats(state: Rc<State>, socket: Rc<UdpSocket>) {
     for turn in 0.. {
         let targets = targets(&state);
         send(&state, &socket, &targets, turn).await;
@@ -167,7 +167,7 @@
 }
 
 /// Hears heartbeats for as long as the process runs.
-pub async fn listen(state: Rc<State>, socket: Rc<UdpSocket>) {
+pub async fn receive_heartbeats(state: Rc<State>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; LARGEST];
     loop {
         let (len, from) = match socket.recv_from(&mut buffer).await {
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -110,8 +110,8 @@
     tokio::task::spawn_local(registrations::follow(Rc::clone(state)));
     tokio::task::spawn_local(watch::follow(Rc::clone(state)));
     tokio::task::spawn_local(watch::ask_endpoints(Rc::clone(state)));
-    tokio::task::spawn_local(gossip::speak(Rc::clone(state), Rc::clone(socket)));
-    tokio::task::spawn_local(gossip::listen(Rc::clone(state), Rc::clone(socket)));
+    tokio::task::spawn_local(gossip::send_heartbeats(Rc::clone(state), Rc::clone(socket)));
+    tokio::task::spawn_local(gossip::receive_heartbeats(Rc::clone(state), Rc::clone(socket)));
     tokio::task::spawn_local(duty::register(Rc::clone(state)));
     tokio::task::spawn_local(duty::campaign(Rc::clone(state)));
     tokio::task::spawn_local(duty::run_leader(Rc::clone(state)));
--- a/coltsfoothall-forward/src/stop.rs
+++ b/coltsfoothall-forward/src/stop.rs
@@ -36,7 +36,7 @@
     // Beside the stop, whose moments must not wait for a large fleet to be told.
     tokio::task::spawn_local({
         let (state, socket) = (Rc::clone(state), Rc::clone(socket));
-        async move { gossip::announce(&state, &socket).await }
+        async move { gossip::broadcast(&state, &socket).await }
     });
     tokio::time::sleep_until(state.clock.instant(stop.closes)).await;
     event::CLOSES_IDLE.emit(format_args!(
@@ -59,7 +59,7 @@
     // Callers who do not read hold nobody up.
     let _closed = timeout(AFTER_CUT, callers.closed()).await;
     // What ran last is in no heartbeat yet; with 60 others this takes some 0.07 s.
-    gossip::announce(state, socket).await;
+    gossip::broadcast(state, socket).await;
 }
 
 /// Milliseconds since the signal.
