--- a/coltsfoothall-forward/src/adoption.rs
+++ b/coltsfoothall-forward/src/adoption.rs
@@ -18,7 +18,7 @@
     /// Its bytes, for operators who ask.
     pub raw: Bytes,
     /// Its bytes compressed, for instances that lack it; made when the first one asks.
-    pub packed: Rc<OnceCell<Bytes>>,
+    pub compressed: Rc<OnceCell<Bytes>>,
     /// Indexed for requests.
     pub table: Rc<Table>,
 }
@@ -79,7 +79,7 @@
         let bytes = raw.len();
         *self.adoption.current.borrow_mut() = Some(Configuration {
             raw: raw.clone(),
-            packed: Rc::default(),
+            compressed: Rc::default(),
             table: Rc::new(table),
         });
         let behind = self.adoption.lag.borrow_mut().reach(self.now(), version);
--- a/coltsfoothall-forward/src/pack.rs
+++ b/coltsfoothall-forward/src/compression.rs
@@ -13,7 +13,7 @@
 /// # Panics
 /// Never: what it writes to is memory.
 #[must_use]
-pub fn pack(value: &[u8]) -> Bytes {
+pub fn compress(value: &[u8]) -> Bytes {
     let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
     let written = encoder.write_all(value).and_then(|()| encoder.finish());
     written.expect("a vector takes all that is written").into()
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 /// It is not a compressed value, or is larger than any message may be.
-pub fn unpack(packed: &[u8]) -> io::Result<Bytes> {
+pub fn decompress(packed: &[u8]) -> io::Result<Bytes> {
     let mut value = Vec::new();
     let most = limit::FRAME as u64;
     GzDecoder::new(packed)
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -15,7 +15,7 @@
 use crate::adapter::{Listing, Keyspace};
 use crate::follower::{self, Follower, News};
 use crate::outgoing::{self, Outgoing};
-use crate::pack;
+use crate::compression;
 use crate::state::State;
 use crate::upgrades;
 
@@ -80,17 +80,17 @@
 /// Asks until the answer is there, or it is of no more use.
 async fn ask_one(state: &Rc<State>, client: &Client, peer: &Profile) {
     tokio::select! {
-        packed = ask(state, client, peer, PACKED) => {
-            if let Some(packed) = packed {
-                take_packed(state, peer, packed);
+        compressed = ask(state, client, peer, PACKED) => {
+            if let Some(compressed) = compressed {
+                adopt_compressed(state, peer, compressed);
             }
         }
         () = state.reached(peer.version) => {}
     }
 }
 
-fn take_packed(state: &State, peer: &Profile, packed: Bytes) {
-    let raw = match pack::unpack(&packed) {
+fn adopt_compressed(state: &State, peer: &Profile, compressed: Bytes) {
+    let raw = match compression::decompress(&compressed) {
         Ok(raw) => raw,
         Err(error) => {
             let reason = error.to_string();
@@ -102,7 +102,7 @@
     if let Some(have) = state.configuration()
         && Some(have.table.version) == version
     {
-        have.packed.get_or_init(|| packed);
+        have.compressed.get_or_init(|| compressed);
     }
 }
 
@@ -115,16 +115,16 @@
 }
 
 /// Shows the configuration in force to another instance, or refuses while others read it.
-pub fn show_packed(state: &State) -> Response<Outgoing> {
+pub fn show_compressed(state: &State) -> Response<Outgoing> {
     let Some(have) = state.configuration() else {
         return outgoing::plain(StatusCode::NOT_FOUND);
     };
-    let packed = have.packed.get_or_init(|| pack::pack(&have.raw));
+    let compressed = have.compressed.get_or_init(|| compression::compress(&have.raw));
     let mut outflow = state.adoption.outflow.borrow_mut();
-    if !outflow.admit(state.now(), packed.len()) {
+    if !outflow.admit(state.now(), compressed.len()) {
         return outgoing::plain(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let body = Outgoing::whole(packed.clone());
+    let body = Outgoing::whole(compressed.clone());
     outgoing::answer(StatusCode::OK, HeaderMap::new(), body)
 }
 
--- a/coltsfoothall-forward/src/lib.rs
+++ b/coltsfoothall-forward/src/lib.rs
@@ -25,7 +25,7 @@
 pub mod listen;
 pub mod orders;
 pub mod outgoing;
-pub mod pack;
+pub mod compression;
 pub mod changelog;
 pub mod refusal;
 pub mod registrations;
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -16,7 +16,7 @@
 use crate::ask::{self, ENDPOINTS};
 use crate::adapter::{Item, Listing, Keyspace};
 use crate::follower::{self, Follower, News};
-use crate::pack;
+use crate::compression;
 use crate::changelog::{Since, Change, Page, Row};
 use crate::state::State;
 
@@ -175,7 +175,7 @@
         Since::Position(place) => format!("{ENDPOINTS}?{PLACE}={place}"),
     };
     let raw = ask::ask(state, client, peer, &path).await?;
-    let read = pack::unpack(&raw).map_err(|error| error.to_string());
+    let read = compression::decompress(&raw).map_err(|error| error.to_string());
     let read = read.and_then(|raw| rmp_serde::from_slice(&raw).map_err(|error| error.to_string()));
     match read {
         Ok(page) => Some(page),
@@ -229,7 +229,7 @@
         age_ms: age.and_then(|age| u64::try_from(age.as_millis()).ok()),
         rows,
     };
-    rmp_serde::to_vec(&page).ok().map(|raw| pack::pack(&raw))
+    rmp_serde::to_vec(&page).ok().map(|raw| compression::compress(&raw))
 }
 
 /// Takes over registrations from the store; a whole list also shows which ones are gone.
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -225,7 +225,7 @@
     }
     match path {
         CONFIGURATION => configuration::show(state),
-        PACKED => configuration::show_packed(state),
+        PACKED => configuration::show_compressed(state),
         ENDPOINTS => match registrations::show(state, query) {
             Some(bytes) => json(Outgoing::whole(bytes)),
             None => plain(StatusCode::NOT_FOUND),
