--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -11,7 +11,7 @@
 use http::{HeaderMap, Response, StatusCode};
 use rand::seq::IteratorRandom;
 
-use crate::ask::{PACKED, ask};
+use crate::fetch::{COMPRESSED_CONFIGURATION_PATH, fetch};
 use crate::adapter::{Listing, Keyspace};
 use crate::follower::{self, Follower, News};
 use crate::outgoing::{self, Outgoing};
@@ -54,13 +54,13 @@
 }
 
 /// Asks other instances for a newer configuration that the store does not bring in time.
-pub async fn ask_peers(state: Rc<State>) {
+pub async fn fetch_from_peers(state: Rc<State>) {
     let client = Client::new();
     loop {
         tokio::time::sleep(LOOK).await;
         report_lag(&state);
         if let Some(peer) = source(&state) {
-            ask_one(&state, &client, &peer).await;
+            fetch_from(&state, &client, &peer).await;
         }
     }
 }
@@ -78,9 +78,9 @@
 }
 
 /// Asks until the answer is there, or it is of no more use.
-async fn ask_one(state: &Rc<State>, client: &Client, peer: &Profile) {
+async fn fetch_from(state: &Rc<State>, client: &Client, peer: &Profile) {
     tokio::select! {
-        compressed = ask(state, client, peer, PACKED) => {
+        compressed = fetch(state, client, peer, COMPRESSED_CONFIGURATION_PATH) => {
             if let Some(compressed) = compressed {
                 adopt_compressed(state, peer, compressed);
             }
--- a/coltsfoothall-forward/src/lib.rs
+++ b/coltsfoothall-forward/src/lib.rs
@@ -9,7 +9,7 @@
 //! and [`duty`] keep [`state`] up to date beside it; [`stop`] ends it all.
 
 pub mod adoption;
-pub mod ask;
+pub mod fetch;
 pub mod attempt;
 pub mod adapter;
 pub mod calls;
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -13,7 +13,7 @@
 use coltsfoothall_shell::event;
 use coltsfoothall_wire::client::Client;
 
-use crate::ask::{self, ENDPOINTS};
+use crate::fetch::{self, ENDPOINTS_PATH};
 use crate::adapter::{Item, Listing, Keyspace};
 use crate::follower::{self, Follower, News};
 use crate::compression;
@@ -147,7 +147,7 @@
         ..had
     };
     let place = known.max(page.position);
-    take(state, page);
+    apply_page(state, page);
     Some((now, place))
 }
 
@@ -161,20 +161,20 @@
 ) -> Option<Page> {
     let by_place = Since::Position(known);
     let after = had.next.map_or(by_place, Since::Sequence);
-    let page = ask(state, client, reader, after).await?;
+    let page = fetch(state, client, reader, after).await?;
     if page.boot == had.boot || after == by_place {
         return Some(page);
     }
-    ask(state, client, reader, by_place).await
+    fetch(state, client, reader, by_place).await
 }
 
 /// Asks another instance for the registrations that changed there since then.
-pub async fn ask(state: &State, client: &Client, peer: &Profile, after: Since) -> Option<Page> {
+pub async fn fetch(state: &State, client: &Client, peer: &Profile, after: Since) -> Option<Page> {
     let path = match after {
-        Since::Sequence(number) => format!("{ENDPOINTS}?{AFTER}={number}"),
-        Since::Position(place) => format!("{ENDPOINTS}?{PLACE}={place}"),
+        Since::Sequence(number) => format!("{ENDPOINTS_PATH}?{AFTER}={number}"),
+        Since::Position(place) => format!("{ENDPOINTS_PATH}?{PLACE}={place}"),
     };
-    let raw = ask::ask(state, client, peer, &path).await?;
+    let raw = fetch::fetch(state, client, peer, &path).await?;
     let read = compression::decompress(&raw).map_err(|error| error.to_string());
     let read = read.and_then(|raw| rmp_serde::from_slice(&raw).map_err(|error| error.to_string()));
     match read {
@@ -187,7 +187,7 @@
 }
 
 /// Takes over what another instance told.
-pub fn take(state: &Rc<State>, page: Page) {
+pub fn apply_page(state: &Rc<State>, page: Page) {
     for row in page.rows {
         let Row {
             name,
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -17,7 +17,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
 
-use crate::ask::{CONFIGURATION, ENDPOINTS, PACKED};
+use crate::fetch::{CONFIGURATION_PATH, ENDPOINTS_PATH, COMPRESSED_CONFIGURATION_PATH};
 use crate::adapter::Adapter;
 use crate::connection::Connection;
 use crate::intake::Front;
@@ -106,10 +106,10 @@
 
 fn start(state: &Rc<State>, socket: &Rc<UdpSocket>) {
     tokio::task::spawn_local(configuration::follow(Rc::clone(state)));
-    tokio::task::spawn_local(configuration::ask_peers(Rc::clone(state)));
+    tokio::task::spawn_local(configuration::fetch_from_peers(Rc::clone(state)));
     tokio::task::spawn_local(registrations::follow(Rc::clone(state)));
     tokio::task::spawn_local(watch::follow(Rc::clone(state)));
-    tokio::task::spawn_local(watch::ask_endpoints(Rc::clone(state)));
+    tokio::task::spawn_local(watch::fetch_endpoints(Rc::clone(state)));
     tokio::task::spawn_local(gossip::send_heartbeats(Rc::clone(state), Rc::clone(socket)));
     tokio::task::spawn_local(gossip::receive_heartbeats(Rc::clone(state), Rc::clone(socket)));
     tokio::task::spawn_local(duty::register(Rc::clone(state)));
@@ -224,9 +224,9 @@
         };
     }
     match path {
-        CONFIGURATION => configuration::show(state),
-        PACKED => configuration::show_compressed(state),
-        ENDPOINTS => match registrations::show(state, query) {
+        CONFIGURATION_PATH => configuration::show(state),
+        COMPRESSED_CONFIGURATION_PATH => configuration::show_compressed(state),
+        ENDPOINTS_PATH => match registrations::show(state, query) {
             Some(bytes) => json(Outgoing::whole(bytes)),
             None => plain(StatusCode::NOT_FOUND),
         },
--- a/coltsfoothall-forward/src/watch.rs
+++ b/coltsfoothall-forward/src/watch.rs
@@ -95,18 +95,18 @@
 }
 
 /// Asks other instances for endpoints while none are known.
-pub async fn ask_endpoints(state: Rc<State>) {
+pub async fn fetch_endpoints(state: Rc<State>) {
     let client = Client::new();
     loop {
         tokio::time::sleep(LOOK).await;
         // While the store answers, each reads there: others' links are narrower.
         if state.unread.get() && state.roster.borrow().nodes().is_empty() {
-            ask_one(&state, &client).await;
+            fetch_from_one(&state, &client).await;
         }
     }
 }
 
-async fn ask_one(state: &Rc<State>, client: &Client) {
+async fn fetch_from_one(state: &Rc<State>, client: &Client) {
     let peer = {
         let peers = state.peers.borrow();
         let ready = peers.profiles(state.now()).into_iter();
@@ -116,7 +116,7 @@
     let Some(peer) = peer else {
         return;
     };
-    if let Some(page) = registrations::ask(state, client, &peer, Since::Sequence(0)).await {
-        registrations::take(state, page);
+    if let Some(page) = registrations::fetch(state, client, &peer, Since::Sequence(0)).await {
+        registrations::apply_page(state, page);
     }
 }
