--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -17,7 +17,7 @@
 use crate::state::State;
 use crate::time;
 use crate::upgrades::Driver;
-use crate::watch::{self, LEADER, MEMBER};
+use crate::membership::{self, LEADER_KEY, MEMBER_PREFIX};
 
 /// Term of a registration; a killed instance counts as a member for so long at most.
 const TERM: Duration = Duration::from_secs(6);
@@ -61,7 +61,7 @@
                 Err(error) => Err(error),
             },
         };
-        watch::note(
+        membership::record_call(
             &state,
             asked,
             matches!(outcome, Ok(()) | Err(Error::Missing(_))),
@@ -111,7 +111,7 @@
     let lease = state.adapter.lease(TERM).await?;
     let profile = serde_json::to_vec(&state.profile())
         .map_err(|error| Error::Format("register", error.to_string()))?;
-    let name = format!("live/{MEMBER}{}", state.name);
+    let name = format!("live/{MEMBER_PREFIX}{}", state.name);
     let write = Write {
         puts: vec![(name, profile.into(), Some(lease))],
         ..Write::default()
@@ -199,7 +199,7 @@
             return;
         }
     };
-    let key = format!("live/{LEADER}");
+    let key = format!("live/{LEADER_KEY}");
     let write = Write {
         absent: vec![key.clone()],
         puts: vec![(key, Bytes::from(state.name.to_string()), Some(lease))],
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -21,7 +21,7 @@
 /// Longest wait: what the store says must be in force two seconds after it is back.
 const LONGEST_PAUSE: Duration = Duration::from_millis(800);
 /// A store that was away for so long may have let registrations lapse.
-pub const AWAY: Duration = Duration::from_millis(900);
+pub const OUTAGE_THRESHOLD: Duration = Duration::from_millis(900);
 /// Rest between two readings of endpoints' registrations: a sixth of the time in which
 /// leaving endpoints must get no more work, to save calls while heartbeats change them.
 const ENDPOINTS_REST: Duration = Duration::from_millis(350);
@@ -144,7 +144,7 @@
                 "realm={keyspace:?} state=back away_ms={}",
                 away.as_millis()
             ));
-            if away > AWAY {
+            if away > OUTAGE_THRESHOLD {
                 state.store_returned();
             }
         }
--- a/coltsfoothall-forward/src/lib.rs
+++ b/coltsfoothall-forward/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! Data flows one way: [`listen`] accepts, [`intake`] reads and admits a request,
 //! [`dispatch`] sends it, each [`attempt`] to an endpoint that the decision library chose, and
-//! [`relay`] passes the answer back. [`watch`], [`configuration`], [`registrations`], [`gossip`]
+//! [`relay`] passes the answer back. [`membership`], [`configuration`], [`registrations`], [`gossip`]
 //! and [`duty`] keep [`state`] up to date beside it; [`stop`] ends it all.
 
 pub mod adoption;
@@ -39,4 +39,4 @@
 pub mod stop;
 pub mod time;
 pub mod upgrades;
-pub mod watch;
+pub mod membership;
--- a/coltsfoothall-forward/src/watch.rs
+++ b/coltsfoothall-forward/src/membership.rs
@@ -10,18 +10,18 @@
 use rand::seq::IteratorRandom;
 
 use crate::adapter::{Item, Listing, Keyspace};
-use crate::follower::{self, AWAY, Follower, News};
+use crate::follower::{self, OUTAGE_THRESHOLD, Follower, News};
 use crate::changelog::Since;
 use crate::registrations;
 use crate::state::State;
 use crate::time;
 
 /// Time between questions to other instances.
-const LOOK: Duration = Duration::from_millis(250);
+const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(250);
 /// Start of the names under which instances register.
-pub const MEMBER: &str = "member/";
+pub const MEMBER_PREFIX: &str = "member/";
 /// Name of the key whose holder acts for all.
-pub const LEADER: &str = "leader";
+pub const LEADER_KEY: &str = "leader";
 
 /// Follows who is there for as long as the process runs.
 pub async fn follow(state: Rc<State>) {
@@ -40,7 +40,7 @@
 }
 
 /// Notes whether the store answered a call, made then, whose answer was due at once.
-pub fn note(state: &State, asked: Time, answered: bool) {
+pub fn record_call(state: &State, asked: Time, answered: bool) {
     if !answered {
         state.health.failed(asked);
         return;
@@ -56,16 +56,16 @@
         "realm=all state=back away_ms={}",
         away.as_millis()
     ));
-    if away > AWAY {
+    if away > OUTAGE_THRESHOLD {
         state.store_returned();
     }
 }
 
 fn apply(state: &State, listing: &Listing, whole: bool) {
     for item in &listing.items {
-        if let Some(name) = item.name.strip_prefix(MEMBER) {
+        if let Some(name) = item.name.strip_prefix(MEMBER_PREFIX) {
             apply_member(state, name, item);
-        } else if item.name == LEADER {
+        } else if item.name == LEADER_KEY {
             let mut leader = state.leader.borrow_mut();
             if item.value.is_some() {
                 leader.taken(item.created);
@@ -74,7 +74,7 @@
             }
         }
     }
-    if whole && !listing.items.iter().any(|item| item.name == LEADER) {
+    if whole && !listing.items.iter().any(|item| item.name == LEADER_KEY) {
         state.leader.borrow_mut().freed(time::boot());
     }
 }
@@ -98,7 +98,7 @@
 pub async fn fetch_endpoints(state: Rc<State>) {
     let client = Client::new();
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(PEER_QUERY_INTERVAL).await;
         // While the store answers, each reads there: others' links are narrower.
         if state.unread.get() && state.roster.borrow().nodes().is_empty() {
             fetch_from_one(&state, &client).await;
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -25,7 +25,7 @@
 use crate::outgoing::{Outgoing, answer, json, plain};
 use crate::settings::Settings;
 use crate::state::State;
-use crate::{configuration, duty, gossip, registrations, stop, watch};
+use crate::{configuration, duty, gossip, registrations, stop, membership};
 
 /// Time between two log lines that count what went well.
 const SUM: Duration = Duration::from_secs(10);
@@ -108,8 +108,8 @@
     tokio::task::spawn_local(configuration::follow(Rc::clone(state)));
     tokio::task::spawn_local(configuration::fetch_from_peers(Rc::clone(state)));
     tokio::task::spawn_local(registrations::follow(Rc::clone(state)));
-    tokio::task::spawn_local(watch::follow(Rc::clone(state)));
-    tokio::task::spawn_local(watch::fetch_endpoints(Rc::clone(state)));
+    tokio::task::spawn_local(membership::follow(Rc::clone(state)));
+    tokio::task::spawn_local(membership::fetch_endpoints(Rc::clone(state)));
     tokio::task::spawn_local(gossip::send_heartbeats(Rc::clone(state), Rc::clone(socket)));
     tokio::task::spawn_local(gossip::receive_heartbeats(Rc::clone(state), Rc::clone(socket)));
     tokio::task::spawn_local(duty::register(Rc::clone(state)));
