--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -13,7 +13,7 @@
 
 use crate::fetch::{COMPRESSED_CONFIGURATION_PATH, fetch};
 use crate::adapter::{Listing, Keyspace};
-use crate::follower::{self, Follower, News};
+use crate::follower::{self, Follower, Update};
 use crate::outgoing::{self, Outgoing};
 use crate::compression;
 use crate::state::State;
@@ -28,25 +28,25 @@
     let mut backlog = Backlog::default();
     loop {
         if backlog.grew(state.newest_version()) {
-            follower.read_anew();
+            follower.reset();
         }
-        let Some(News { listing, whole }) = follower.step(&state).await else {
+        let Some(Update { listing, complete }) = follower.tick(&state).await else {
             continue;
         };
         if listing.items.is_empty() {
             continue;
         }
-        if let Some(version) = take(&state, &listing) {
+        if let Some(version) = adopt_newest(&state, &listing) {
             backlog.brought(version);
         }
-        upgrades::take(&state, &listing, whole).await;
+        upgrades::apply(&state, &listing, complete).await;
         // Changes come in groups; one call brings them all.
-        tokio::time::sleep(follower::rest(&state, Keyspace::Configuration)).await;
+        tokio::time::sleep(follower::poll_delay(&state, Keyspace::Configuration)).await;
     }
 }
 
 /// Takes over the newest version of a listing that can be read, and returns it.
-fn take(state: &State, listing: &Listing) -> Option<u64> {
+fn adopt_newest(state: &State, listing: &Listing) -> Option<u64> {
     let values = listing.items.iter().rev();
     let values = values.filter(|item| state.adapter.is_configuration(&item.name));
     let mut values = values.filter_map(|item| item.value.as_ref());
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -35,11 +35,11 @@
 
 /// What a call brought.
 #[derive(Debug)]
-pub struct News {
+pub struct Update {
     /// Values or changes.
     pub listing: Listing,
     /// Whether they are all values of the realm.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// Where following one part of the store stands.
@@ -67,17 +67,17 @@
 
     /// The place up to which all is known.
     #[must_use]
-    pub fn after(&self) -> Option<Place> {
+    pub fn position(&self) -> Option<Place> {
         self.after
     }
 
     /// The next call reads the values that stand there now, and no history.
-    pub fn read_anew(&mut self) {
+    pub fn reset(&mut self) {
         self.after = None;
     }
 
     /// Makes one call; what it brings, if it brings anything.
-    pub async fn step(&mut self, state: &State) -> Option<News> {
+    pub async fn tick(&mut self, state: &State) -> Option<Update> {
         let keyspace = self.keyspace;
         let asked = state.now();
         let replaced = |after: &mut Place| Some(after.era) < state.era();
@@ -109,7 +109,7 @@
                 self.after = None;
                 tokio::time::sleep(CONFUSED).await;
             }
-            Ok(listing) => return Some(self.take(state, asked, listing)),
+            Ok(listing) => return Some(self.accept(state, asked, listing)),
             Err(Error::Dropped(_)) => {
                 event::STORE.emit(format_args!("realm={keyspace:?} state=history_dropped"));
                 self.after = None;
@@ -134,9 +134,9 @@
         None
     }
 
-    fn take(&mut self, state: &State, asked: Time, listing: Listing) -> News {
+    fn accept(&mut self, state: &State, asked: Time, listing: Listing) -> Update {
         let keyspace = self.keyspace;
-        let whole = self.after.is_none();
+        let complete = self.after.is_none();
         self.pause = PAUSE;
         if let Some(since) = self.lost.take() {
             let away = asked.since(since);
@@ -155,13 +155,13 @@
                 // when there is a change.
                 state
                     .fresh
-                    .set(Some(if whole { asked } else { state.now() }));
+                    .set(Some(if complete { asked } else { state.now() }));
                 state.unread.set(false);
             }
             Keyspace::Live | Keyspace::Notes => {}
         }
         self.after = Some(listing.position);
-        News { listing, whole }
+        Update { listing, complete }
     }
 }
 
@@ -173,7 +173,7 @@
 
 /// How long an instance rests after a change, longer in a large fleet. What one reads in its
 /// rest the others have told it, and each call is paid for: a fleet of 64 made 5,900 in 76 s.
-pub fn rest(state: &State, keyspace: Keyspace) -> Duration {
+pub fn poll_delay(state: &State, keyspace: Keyspace) -> Duration {
     let turns = turn::turns(state.reach().members as usize, TOGETHER) as u32;
     match keyspace {
         Keyspace::Configuration => CONFIGURATION_REST * turns.min(LONGEST_REST),
--- a/coltsfoothall-forward/src/membership.rs
+++ b/coltsfoothall-forward/src/membership.rs
@@ -10,7 +10,7 @@
 use rand::seq::IteratorRandom;
 
 use crate::adapter::{Item, Listing, Keyspace};
-use crate::follower::{self, OUTAGE_THRESHOLD, Follower, News};
+use crate::follower::{self, OUTAGE_THRESHOLD, Follower, Update};
 use crate::changelog::Since;
 use crate::registrations;
 use crate::state::State;
@@ -27,14 +27,14 @@
 pub async fn follow(state: Rc<State>) {
     let mut follower = Follower::new(Keyspace::Live, None);
     loop {
-        let Some(News { listing, whole }) = follower.step(&state).await else {
+        let Some(Update { listing, complete }) = follower.tick(&state).await else {
             continue;
         };
         let changed = !listing.items.is_empty();
-        apply(&state, &listing, whole);
+        apply(&state, &listing, complete);
         if changed {
             // Changes come in groups; one call brings them all.
-            tokio::time::sleep(follower::rest(&state, Keyspace::Live)).await;
+            tokio::time::sleep(follower::poll_delay(&state, Keyspace::Live)).await;
         }
     }
 }
@@ -61,7 +61,7 @@
     }
 }
 
-fn apply(state: &State, listing: &Listing, whole: bool) {
+fn apply(state: &State, listing: &Listing, complete: bool) {
     for item in &listing.items {
         if let Some(name) = item.name.strip_prefix(MEMBER_PREFIX) {
             apply_member(state, name, item);
@@ -74,7 +74,7 @@
             }
         }
     }
-    if whole && !listing.items.iter().any(|item| item.name == LEADER_KEY) {
+    if complete && !listing.items.iter().any(|item| item.name == LEADER_KEY) {
         state.leader.borrow_mut().freed(time::boot());
     }
 }
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -15,7 +15,7 @@
 
 use crate::fetch::{self, ENDPOINTS_PATH};
 use crate::adapter::{Item, Listing, Keyspace};
-use crate::follower::{self, Follower, News};
+use crate::follower::{self, Follower, Update};
 use crate::compression;
 use crate::changelog::{Since, Change, Page, Row};
 use crate::state::State;
@@ -43,7 +43,7 @@
     let mut follower = Follower::new(Keyspace::Endpoints, None);
     let mut heard: Option<Heard> = None;
     loop {
-        match (source(&state, &reading), follower.after()) {
+        match (source(&state, &reading), follower.position()) {
             // What was read from the store once is not sent over a reader's link.
             (Source::Reader(reader), Some(known)) => {
                 state.fresh.set(None);
@@ -64,14 +64,14 @@
             }
             (Source::Store, _) | (Source::Reader(_), None) => {
                 heard = None;
-                let Some(News { listing, whole }) = follower.step(&state).await else {
+                let Some(Update { listing, complete }) = follower.tick(&state).await else {
                     continue;
                 };
                 let changed = !listing.items.is_empty();
-                apply(&state, listing, whole);
+                apply(&state, listing, complete);
                 if changed {
                     // Heartbeats change them all the time; one call brings many.
-                    tokio::time::sleep(follower::rest(&state, Keyspace::Endpoints)).await;
+                    tokio::time::sleep(follower::poll_delay(&state, Keyspace::Endpoints)).await;
                 }
             }
         }
@@ -233,7 +233,7 @@
 }
 
 /// Takes over registrations from the store; a whole list also shows which ones are gone.
-pub fn apply(state: &Rc<State>, listing: Listing, whole: bool) {
+pub fn apply(state: &Rc<State>, listing: Listing, complete: bool) {
     let mut entries = Vec::new();
     for item in listing.items {
         if item.value.is_none() {
@@ -243,7 +243,7 @@
         }
     }
     state.changelog.borrow_mut().advance_to(listing.position);
-    if whole {
+    if complete {
         let missing = state.roster.borrow().missing(&entries);
         for id in missing {
             remove(state, id.as_str(), listing.position);
--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -10,7 +10,7 @@
 use crate::state::State;
 
 /// Takes over the orders of a listing; of one that holds all of them some may be settled.
-pub async fn take(state: &State, listing: &Listing, whole: bool) {
+pub async fn apply(state: &State, listing: &Listing, complete: bool) {
     for item in &listing.items {
         if item.value.is_none() {
             continue;
@@ -18,7 +18,7 @@
         match state.adapter.upgrade(item) {
             Ok(Some(order)) => {
                 let is_new = accept(state, order.clone());
-                if is_new && whole {
+                if is_new && complete {
                     settle(state, &order).await;
                 }
             }
