--- a/coltsfoothall-forward/src/adoption.rs
+++ b/coltsfoothall-forward/src/adoption.rs
@@ -92,14 +92,14 @@
     }
 
     /// Waits until this version of the configuration or a later one is in force.
-    pub async fn reached(&self, version: u64) {
+    pub async fn wait_for_version(&self, version: u64) {
         while self.version() < version {
             self.adoption.changed.notified().await;
         }
     }
 
     /// Another instance has this configuration in force.
-    pub fn hear_version(&self, version: u64) {
+    pub fn record_version(&self, version: u64) {
         if version > self.version() {
             self.adoption.lag.borrow_mut().hear(self.now(), version);
         }
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -85,7 +85,7 @@
                 adopt_compressed(state, peer, compressed);
             }
         }
-        () = state.reached(peer.version) => {}
+        () = state.wait_for_version(peer.version) => {}
     }
 }
 
--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -77,7 +77,7 @@
                 LOOK * 3
             }
         };
-        state.look_at_era();
+        state.refresh_era();
         pause(&state, wait).await;
     }
     if let Some(lease) = lease
@@ -101,7 +101,7 @@
 async fn pause(state: &State, wait: Duration) {
     tokio::select! {
         () = tokio::time::sleep(wait) => {}
-        () = state.risen.notified() => {}
+        () = state.era_changed.notified() => {}
         () = state.stopping.cancelled() => {}
     }
 }
@@ -128,7 +128,7 @@
     let mut renew_at = Time::START;
     loop {
         tokio::time::sleep(LOOK).await;
-        state.look_at_era();
+        state.refresh_era();
         let now = time::boot();
         let rank = {
             let peers = state.peers.borrow();
@@ -319,7 +319,7 @@
                 return;
             }
             match self.send(state, window).await {
-                Ok(()) => state.note_reported(window),
+                Ok(()) => state.record_reported(window),
                 Err(error) => {
                     event::USAGE.emit(format_args!("window={window} reason={error:?}"));
                     if matches!(error, Error::Conflict(_)) {
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -99,9 +99,9 @@
         let outcome = tokio::select! {
             outcome = call => outcome,
             () = state.health.back() => return None,
-            () = state.risen.notified() => return None,
+            () = state.era_changed.notified() => return None,
         };
-        state.look_at_era();
+        state.refresh_era();
         match outcome {
             // It is from before the store came back, or goes on in a history that it does not
             // begin in.
@@ -122,8 +122,8 @@
                 match keyspace {
                     Keyspace::Configuration => state.adoption.store_lost.set(true),
                     Keyspace::Endpoints => {
-                        state.fresh.set(None);
-                        state.unread.set(true);
+                        state.registrations_as_of.set(None);
+                        state.registrations_lost.set(true);
                     }
                     Keyspace::Live | Keyspace::Notes => {}
                 }
@@ -154,9 +154,9 @@
                 // Pages of a list are read one after the other; a watch is answered at once
                 // when there is a change.
                 state
-                    .fresh
+                    .registrations_as_of
                     .set(Some(if complete { asked } else { state.now() }));
-                state.unread.set(false);
+                state.registrations_lost.set(false);
             }
             Keyspace::Live | Keyspace::Notes => {}
         }
@@ -178,7 +178,7 @@
     match keyspace {
         Keyspace::Configuration => CONFIGURATION_REST * turns.min(LONGEST_REST),
         // Others wait for what this one reads.
-        Keyspace::Endpoints if !state.reads_alone() => ENDPOINTS_REST,
+        Keyspace::Endpoints if !state.reads_directly() => ENDPOINTS_REST,
         Keyspace::Endpoints => {
             let longest = state.settings().bounds.drain.duration() / RESTED_OF_DRAIN;
             (ENDPOINTS_REST * turns).min(longest.max(ENDPOINTS_REST))
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -92,7 +92,7 @@
             loads: state.roster.borrow().own(),
             spent: state.allowance.borrow().spent(),
             counts: state.usage.borrow().own(window.saturating_sub(WINDOWS)),
-            ended: turn::due(&state.news(), rows, round),
+            ended: turn::due(&state.departures(), rows, round),
             work: state.roster.borrow().work().to_vec(),
             failed: turn::due(&state.roster.borrow().failed(), rows, round),
             placed,
@@ -194,12 +194,12 @@
         return;
     }
     if let Some(era) = heartbeat.era {
-        state.learn_era(era);
+        state.record_era(era);
     }
     if let Some(window) = heartbeat.reported {
-        state.note_reported(window);
+        state.record_reported(window);
     }
-    state.hear_version(heartbeat.profile.version);
+    state.record_version(heartbeat.profile.version);
     {
         let mut peers = state.peers.borrow_mut();
         let replaced = peers.heard(now, heartbeat.profile);
@@ -216,18 +216,18 @@
     roster.hear_placed(now, &heartbeat.placed);
     drop(roster);
     for event in restarted {
-        state.note(Some(event), Place::default(), "peer");
+        state.apply_event(Some(event), Place::default(), "peer");
     }
     state.suspicions.borrow_mut().merge(now, &heartbeat.evidence);
     state.allowance.borrow_mut().hear(boot, &heartbeat.spent);
     state.usage.borrow_mut().hear(boot, &heartbeat.counts);
-    state.hear_work(boot, &heartbeat.work);
+    state.merge_work(boot, &heartbeat.work);
     state
         .upgrades
         .borrow_mut()
         .hear(now, boot, heartbeat.upgrades);
     for ended in &heartbeat.ended {
         let event = state.roster.borrow_mut().ended(ended);
-        state.note(event, ended.place, "peer");
+        state.apply_event(event, ended.place, "peer");
     }
 }
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -108,7 +108,7 @@
         if status.is_success() {
             state.count_served();
         }
-        state.ended(&labels, status.as_u16(), job.begun);
+        state.record_ended(&labels, status.as_u16(), job.begun);
     }
     result
 }
@@ -262,7 +262,7 @@
 async fn run(state: &Rc<State>, job: Rc<Job>) -> Result<Response<Outgoing>, Refusal> {
     tokio::select! {
         answer = send(state, job) => answer,
-        () = state.cutting.cancelled() => Err(broken(refusal::STOPS)),
+        () = state.abort.cancelled() => Err(broken(refusal::STOPS)),
     }
 }
 
@@ -291,6 +291,6 @@
 
 /// No answer came in time: it takes longer than that.
 fn give_up(state: &State, job: &Job) -> Refusal {
-    state.note_duration(&job.route, job.begun);
+    state.record_duration(&job.route, job.begun);
     late()
 }
--- a/coltsfoothall-forward/src/membership.rs
+++ b/coltsfoothall-forward/src/membership.rs
@@ -47,8 +47,8 @@
     }
     // A watch that waits would have told of a change by then.
     state
-        .fresh
-        .set(state.fresh.get().map(|fresh| fresh.max(asked)));
+        .registrations_as_of
+        .set(state.registrations_as_of.get().map(|fresh| fresh.max(asked)));
     let Some(away) = state.health.answered(state.now()) else {
         return;
     };
@@ -100,7 +100,7 @@
     loop {
         tokio::time::sleep(PEER_QUERY_INTERVAL).await;
         // While the store answers, each reads there: others' links are narrower.
-        if state.unread.get() && state.roster.borrow().nodes().is_empty() {
+        if state.registrations_lost.get() && state.roster.borrow().nodes().is_empty() {
             fetch_from_one(&state, &client).await;
         }
     }
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -46,7 +46,7 @@
         match (source(&state, &reading), follower.position()) {
             // What was read from the store once is not sent over a reader's link.
             (Source::Reader(reader), Some(known)) => {
-                state.fresh.set(None);
+                state.registrations_as_of.set(None);
                 let had = heard.take().filter(|had| had.reader == reader);
                 let had = had.unwrap_or(Heard {
                     reader,
@@ -99,7 +99,7 @@
 
 /// Whether this instance is one of those that read for others.
 pub fn reads_for_others(state: &State) -> bool {
-    !state.reads_alone() && source(state, &Reading::default()) == Source::Store
+    !state.reads_directly() && source(state, &Reading::default()) == Source::Store
 }
 
 /// How the time in which leaving endpoints must get no more work is spent.
@@ -221,7 +221,7 @@
     };
     let changelog = state.changelog.borrow();
     let (next, rows) = changelog.since(after);
-    let age = state.fresh.get().map(|fresh| state.now().since(fresh));
+    let age = state.registrations_as_of.get().map(|fresh| state.now().since(fresh));
     let page = Page {
         boot: state.boot,
         next,
@@ -259,7 +259,7 @@
                 .roster
                 .borrow_mut()
                 .registered(state.now(), entry.clone());
-            state.note(event, item.position, source);
+            state.apply_event(event, item.position, source);
             state
                 .upgrades
                 .borrow_mut()
@@ -291,7 +291,7 @@
     };
     let within = leaves.map(Millis::duration);
     let event = state.roster.borrow_mut().left(state.now(), &id, at, within);
-    state.note(event, at, PEER);
+    state.apply_event(event, at, PEER);
     state.changelog.borrow_mut().record_leaving(name, leaves, at);
 }
 
@@ -315,5 +315,5 @@
 /// No endpoint is registered under an id, as of then.
 fn forget(state: &State, id: &id::Endpoint, at: Place, source: &str) {
     let event = state.roster.borrow_mut().removed(id, at);
-    state.note(event, at, source);
+    state.apply_event(event, at, source);
 }
--- a/coltsfoothall-forward/src/relay.rs
+++ b/coltsfoothall-forward/src/relay.rs
@@ -87,7 +87,7 @@
             if !failed {
                 note_late(state, job, &endpoint);
                 if status.is_success() {
-                    state.note_duration(&job.route, job.begun);
+                    state.record_duration(&job.route, job.begun);
                 }
                 return Ok(answer);
             }
@@ -231,7 +231,7 @@
 
     /// The next events for the caller, unless this instance ends before them.
     async fn piece(&mut self) -> Option<Result<Bytes, io::Error>> {
-        let cutting = self.state.cutting.clone();
+        let cutting = self.state.abort.clone();
         tokio::select! {
             piece = self.advance() => piece,
             () = cutting.cancelled() => Some(Err(self.give_up(refusal::STOPS))),
@@ -330,7 +330,7 @@
     fn close(&mut self) {
         self.ended = true;
         self.finish(End::Whole);
-        self.state.note_duration(&self.job.route, self.job.begun);
+        self.state.record_duration(&self.job.route, self.job.begun);
         if let Some(tail) = self.tail.take() {
             tail.keep(&self.state);
         }
@@ -340,7 +340,7 @@
     fn give_up(&mut self, reason: &'static str) -> io::Error {
         self.ended = true;
         self.finish(End::Abandoned);
-        self.state.note_duration(&self.job.route, self.job.begun);
+        self.state.record_duration(&self.job.route, self.job.begun);
         event::CUT.emit(format_args!(
             "request={} reason={reason:?} events={} ms={}",
             self.job.id(),
--- a/coltsfoothall-forward/src/report.rs
+++ b/coltsfoothall-forward/src/report.rs
@@ -25,7 +25,7 @@
     }
 
     /// A request ended with this status.
-    pub fn ended(&self, labels: &Labels, status: u16, begun: Time) {
+    pub fn record_ended(&self, labels: &Labels, status: u16, begun: Time) {
         let (code, outcome) = match status {
             200..=299 => ("ok", "done"),
             429 => ("over_rate", "not_run"),
@@ -45,7 +45,7 @@
     }
 
     /// Logs how many requests ended well since the last time, and what is known now.
-    pub fn sum_up(&self) {
+    pub fn log_summary(&self) {
         let served = self.served.take();
         let reach = self.reach();
         event::SERVED.emit(format_args!(
@@ -60,7 +60,7 @@
     }
 
     /// Sets the gauges from what is known now.
-    pub fn gauge(&self) {
+    pub fn update_gauges(&self) {
         let roster = self.roster.borrow();
         let leaving = roster.nodes().iter().filter(|node| node.entry.leaving);
         let leaving = leaving.count() as u64;
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -93,7 +93,7 @@
         .map_err(|error| Error::Bind("peers", peer, error.to_string()))?;
     let socket = Rc::new(socket);
     start(&state, &socket);
-    tokio::task::spawn_local(sum_up(Rc::clone(&state)));
+    tokio::task::spawn_local(log_summary(Rc::clone(&state)));
     tokio::task::spawn_local(reload(Rc::clone(&state), file, hangup));
     event::STARTED.emit(format_args!(
         "instance={} boot={:x}",
@@ -118,10 +118,10 @@
 }
 
 /// Logs what went well, now and then.
-async fn sum_up(state: Rc<State>) {
+async fn log_summary(state: Rc<State>) {
     loop {
         tokio::time::sleep(SUM).await;
-        state.sum_up();
+        state.log_summary();
     }
 }
 
@@ -214,7 +214,7 @@
         return json(Outgoing::whole(adapter.addresses(&fronts, keep)));
     }
     if path == METRICS {
-        state.gauge();
+        state.update_gauges();
         return match state.board.render() {
             Ok(text) => answer(StatusCode::OK, HeaderMap::new(), Outgoing::whole(text)),
             Err(error) => {
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -44,7 +44,7 @@
 /// How long news of ended endpoints is told to others.
 const NEWS: Duration = Duration::from_secs(6);
 /// After the store came back, removed endpoints get so long to register again.
-pub const RETURN: Duration = Duration::from_millis(2_000);
+pub const REGISTRATION_GRACE: Duration = Duration::from_millis(2_000);
 
 /// Counts a request as under way until it is dropped.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
 
 /// News of an ended endpoint.
 #[derive(Debug, Clone)]
-pub struct News {
+pub struct Departure {
     /// What ended, and when.
     pub ended: Ended,
     at: Time,
@@ -91,7 +91,7 @@
     /// The moments of the stop that is under way.
     pub stop: Cell<Option<Stop>>,
     /// Set when a planned stop waits no longer for what is under way.
-    pub cutting: CancellationToken,
+    pub abort: CancellationToken,
     /// Endpoints.
     pub roster: RefCell<Roster>,
     /// Connections to endpoints.
@@ -112,16 +112,16 @@
     pub changelog: RefCell<Changelog>,
     /// As of when the registrations known here are the store's own; none while it does not
     /// answer, or is not asked.
-    pub fresh: Cell<Option<Time>>,
+    pub registrations_as_of: Cell<Option<Time>>,
     /// Whether the store did not answer the last call for registrations.
-    pub unread: Cell<bool>,
+    pub registrations_lost: Cell<bool>,
     /// The configuration in force, and what is known of newer ones.
     pub adoption: Adoption,
     /// Whether the store answers.
     pub health: Health,
     era: Cell<Option<Era>>,
     /// Wakes who waits when the store came back from an older copy.
-    pub risen: Notify,
+    pub era_changed: Notify,
     reported: Cell<Option<u64>>,
     /// Calls to the store.
     pub calls: Calls,
@@ -134,7 +134,7 @@
     pub board: Board,
     pub(crate) served: Cell<u64>,
     retries: RefCell<Retries>,
-    news: RefCell<Vec<News>>,
+    news: RefCell<Vec<Departure>>,
     returned: Cell<Option<Time>>,
     meters: RefCell<Vec<(id::Service, Meter)>>,
 }
@@ -171,12 +171,12 @@
             peers: RefCell::new(Peers::new(name.clone(), peer::Settings::default())),
             leader: RefCell::new(Leader::new(settings.bounds.lease.duration())),
             changelog: RefCell::default(),
-            fresh: Cell::default(),
-            unread: Cell::default(),
+            registrations_as_of: Cell::default(),
+            registrations_lost: Cell::default(),
             adoption: Adoption::default(),
             health: Health::default(),
             era: Cell::default(),
-            risen: Notify::new(),
+            era_changed: Notify::new(),
             reported: Cell::default(),
             calls: Calls::default(),
             suspicions: RefCell::new(Docket::new(suspicion::Settings::default())),
@@ -200,7 +200,7 @@
             stopping,
             stop: Cell::new(None),
             durations: RefCell::default(),
-            cutting: CancellationToken::new(),
+            abort: CancellationToken::new(),
         }
     }
 
@@ -339,7 +339,7 @@
     }
 
     /// An instance tells what its requests took of the endpoints' time.
-    pub fn hear_work(&self, boot: u64, work: &[(id::Service, u64)]) {
+    pub fn merge_work(&self, boot: u64, work: &[(id::Service, u64)]) {
         let now = self.now();
         let mut meters = self.meters.borrow_mut();
         for (service, micros) in work {
@@ -359,7 +359,7 @@
     #[must_use]
     pub fn load(&self, service: &id::Service) -> Option<order::Load> {
         let own = self.roster.borrow().work().to_vec();
-        self.hear_work(self.boot, &own);
+        self.merge_work(self.boot, &own);
         let meters = self.meters.borrow();
         let found = meters.binary_search_by(|(have, _)| have.cmp(service));
         found
@@ -368,13 +368,13 @@
     }
 
     /// A request on a route took this time until its answer was whole or given up.
-    pub fn note_duration(&self, route: &Route, begun: Time) {
+    pub fn record_duration(&self, route: &Route, begun: Time) {
         let took = self.now().since(begun);
         self.durations.borrow_mut().saw(&route.name, took);
     }
 
     /// Acts on a change in the list of endpoints.
-    pub fn note(&self, event: Option<Event>, place: Place, source: &str) {
+    pub fn apply_event(&self, event: Option<Event>, place: Place, source: &str) {
         match event {
             None => {}
             Some(Event::Added(id)) => {
@@ -420,12 +420,12 @@
     fn tell(&self, id: id::Endpoint, place: Place) {
         let at = self.now();
         let ended = Ended { id, place };
-        self.news.borrow_mut().push(News { ended, at });
+        self.news.borrow_mut().push(Departure { ended, at });
     }
 
     /// News that others may not have heard yet.
     #[must_use]
-    pub fn news(&self) -> Vec<Ended> {
+    pub fn departures(&self) -> Vec<Ended> {
         let now = self.now();
         let mut news = self.news.borrow_mut();
         news.retain(|news| now.since(news.at) < NEWS);
@@ -439,7 +439,7 @@
 
     /// Whether the fleet is so small that each instance reads registrations for itself alone.
     #[must_use]
-    pub fn reads_alone(&self) -> bool {
+    pub fn reads_directly(&self) -> bool {
         self.reach().members as usize <= self.settings().read_alone
     }
 
@@ -450,15 +450,15 @@
     }
 
     /// Learns the era of the store's answers.
-    pub fn look_at_era(&self) {
+    pub fn refresh_era(&self) {
         if let Some(era) = self.adapter.era() {
-            self.learn_era(era);
+            self.record_era(era);
         }
     }
 
     /// An answer of the store or another instance names an era. A later one than was known
     /// ends what holds for the earlier: watches, leases, and that what is missing is gone.
-    pub fn learn_era(&self, era: Era) {
+    pub fn record_era(&self, era: Era) {
         let known = self.era.get();
         if known >= Some(era) {
             return;
@@ -470,13 +470,13 @@
         event::STORE_ERA.emit(format_args!("from={known} to={era}"));
         self.leader.borrow_mut().rose(era);
         self.store_returned();
-        self.risen.notify_waiters();
+        self.era_changed.notify_waiters();
     }
 
     /// The number under which this instance may act for all now, if it may.
     #[must_use]
     pub fn fence(&self) -> Option<Fence> {
-        self.look_at_era();
+        self.refresh_era();
         self.leader.borrow().fence(time::boot())
     }
 
@@ -487,7 +487,7 @@
     }
 
     /// A usage window was reported, and all before it.
-    pub fn note_reported(&self, window: u64) {
+    pub fn record_reported(&self, window: u64) {
         self.reported.set(self.reported.get().max(Some(window)));
     }
 
@@ -495,7 +495,7 @@
     #[must_use]
     pub fn registration_grace(&self) -> Option<Duration> {
         let returned = self.returned.get()?;
-        let rest = RETURN.saturating_sub(self.now().since(returned));
+        let rest = REGISTRATION_GRACE.saturating_sub(self.now().since(returned));
         (!rest.is_zero()).then_some(rest)
     }
 }
--- a/coltsfoothall-forward/src/stop.rs
+++ b/coltsfoothall-forward/src/stop.rs
@@ -54,7 +54,7 @@
             state.open.get(),
             after(state, stop)
         ));
-        state.cutting.cancel();
+        state.abort.cancel();
     }
     // Callers who do not read hold nobody up.
     let _closed = timeout(AFTER_CUT, callers.closed()).await;
