--- a/coltsfoothall-forward/src/adoption.rs
+++ b/coltsfoothall-forward/src/adoption.rs
@@ -33,7 +33,7 @@
     /// Whether the store did not answer the last call for it.
     pub store_lost: Cell<bool>,
     /// What others were sent of it.
-    pub outflow: RefCell<Outflow>,
+    pub egress: RefCell<Outflow>,
 }
 
 impl State {
@@ -74,8 +74,8 @@
             }
             return Some(version);
         }
-        let mut allowance = self.allowance.borrow_mut();
-        allowance.configure(self.now(), table.workspaces());
+        let mut rate_limiter = self.rate_limiter.borrow_mut();
+        rate_limiter.configure(self.now(), table.workspaces());
         let bytes = raw.len();
         *self.adoption.current.borrow_mut() = Some(Configuration {
             raw: raw.clone(),
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -120,8 +120,8 @@
         return outgoing::plain(StatusCode::NOT_FOUND);
     };
     let compressed = have.compressed.get_or_init(|| compression::compress(&have.raw));
-    let mut outflow = state.adoption.outflow.borrow_mut();
-    if !outflow.admit(state.now(), compressed.len()) {
+    let mut egress = state.adoption.egress.borrow_mut();
+    if !egress.admit(state.now(), compressed.len()) {
         return outgoing::plain(StatusCode::SERVICE_UNAVAILABLE);
     }
     let body = Outgoing::whole(compressed.clone());
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -90,7 +90,7 @@
             profile: state.profile(),
             introduced,
             loads: state.roster.borrow().own(),
-            spent: state.allowance.borrow().spent(),
+            spent: state.rate_limiter.borrow().spent(),
             counts: state.usage.borrow().own(window.saturating_sub(WINDOWS)),
             ended: turn::due(&state.departures(), rows, round),
             work: state.roster.borrow().work().to_vec(),
@@ -219,7 +219,7 @@
         state.apply_event(Some(event), Place::default(), "peer");
     }
     state.suspicions.borrow_mut().merge(now, &heartbeat.evidence);
-    state.allowance.borrow_mut().hear(boot, &heartbeat.spent);
+    state.rate_limiter.borrow_mut().hear(boot, &heartbeat.spent);
     state.usage.borrow_mut().hear(boot, &heartbeat.counts);
     state.merge_work(boot, &heartbeat.work);
     state
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -209,8 +209,8 @@
     };
     let tokens = job.call.tokens.map(|(prompt, most)| prompt.plus(most));
     let reach = state.reach();
-    let mut allowance = state.allowance.borrow_mut();
-    let Err(short) = allowance.take(state.now(), workspace, tokens, reach) else {
+    let mut rate_limiter = state.rate_limiter.borrow_mut();
+    let Err(short) = rate_limiter.take(state.now(), workspace, tokens, reach) else {
         return Ok(());
     };
     event::OVER_RATE.emit(format_args!(
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -97,7 +97,7 @@
     /// Connections to endpoints.
     pub pool: RefCell<Pool>,
     /// Rates of workspaces.
-    pub allowance: RefCell<allowance::Book>,
+    pub rate_limiter: RefCell<allowance::Book>,
     /// How long answers take.
     pub durations: RefCell<duration::Table>,
     /// Services that move to another version.
@@ -162,7 +162,7 @@
         Self {
             roster: RefCell::new(Roster::new(choice::Settings::default())),
             pool: RefCell::default(),
-            allowance: RefCell::default(),
+            rate_limiter: RefCell::default(),
             upgrades: RefCell::new(upgrade::Book::new(upgrade::Settings::default(), boot)),
             usage: RefCell::new(usage::Book::new(
                 boot,
