--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -98,7 +98,7 @@
         };
         let outcome = tokio::select! {
             outcome = call => outcome,
-            () = state.health.back() => return None,
+            () = state.health.recovered() => return None,
             () = state.era_changed.notified() => return None,
         };
         state.refresh_era();
@@ -127,7 +127,7 @@
                     }
                     Keyspace::Live | Keyspace::Notes => {}
                 }
-                state.health.pause(self.pause).await;
+                state.health.wait_to_retry(self.pause).await;
                 self.pause = (self.pause * 2).min(LONGEST_PAUSE);
             }
         }
--- a/coltsfoothall-forward/src/health.rs
+++ b/coltsfoothall-forward/src/health.rs
@@ -11,43 +11,43 @@
 use tokio::sync::Notify;
 
 /// Time for which failing renewals stand for all calls: two of them are made in it.
-const TRUSTED: Duration = Duration::from_secs(2);
+const MAX_RECOVERY_WAIT: Duration = Duration::from_secs(2);
 
 /// What is known of the store's answers.
 #[derive(Debug, Default)]
 pub struct Health {
     /// When the first call was made that got no answer since the last one that did.
-    silent: Cell<Option<Time>>,
-    back: Notify,
+    failing_since: Cell<Option<Time>>,
+    notify: Notify,
 }
 
 impl Health {
     /// A call that was made then got no answer, or was turned away.
-    pub fn failed(&self, asked: Time) {
-        if self.silent.get().is_none() {
-            self.silent.set(Some(asked));
+    pub fn record_failure(&self, asked: Time) {
+        if self.failing_since.get().is_none() {
+            self.failing_since.set(Some(asked));
         }
     }
 
     /// A call was answered; returns how long the store was away, if it was.
-    pub fn answered(&self, now: Time) -> Option<Duration> {
-        let since = self.silent.take()?;
-        self.back.notify_waiters();
+    pub fn record_answer(&self, now: Time) -> Option<Duration> {
+        let since = self.failing_since.take()?;
+        self.notify.notify_waiters();
         Some(now.since(since))
     }
 
     /// Waits before a call that failed is made again: while renewals fail too, they alone find
     /// out when the store is back.
-    pub async fn pause(&self, pause: Duration) {
+    pub async fn wait_to_retry(&self, pause: Duration) {
         tokio::time::sleep(pause).await;
-        if self.silent.get().is_some() {
+        if self.failing_since.get().is_some() {
             // The call itself is the test if a renewal has not answered by then.
-            let _elapsed = tokio::time::timeout(TRUSTED, self.back()).await;
+            let _elapsed = tokio::time::timeout(MAX_RECOVERY_WAIT, self.recovered()).await;
         }
     }
 
     /// Waits until the store answers again after it was away.
-    pub async fn back(&self) {
-        self.back.notified().await;
+    pub async fn recovered(&self) {
+        self.notify.notified().await;
     }
 }
--- a/coltsfoothall-forward/src/membership.rs
+++ b/coltsfoothall-forward/src/membership.rs
@@ -42,14 +42,14 @@
 /// Notes whether the store answered a call, made then, whose answer was due at once.
 pub fn record_call(state: &State, asked: Time, answered: bool) {
     if !answered {
-        state.health.failed(asked);
+        state.health.record_failure(asked);
         return;
     }
     // A watch that waits would have told of a change by then.
     state
         .registrations_as_of
         .set(state.registrations_as_of.get().map(|fresh| fresh.max(asked)));
-    let Some(away) = state.health.answered(state.now()) else {
+    let Some(away) = state.health.record_answer(state.now()) else {
         return;
     };
     event::STORE.emit(format_args!(
