--- a/coltsfoothall-forward/src/adapter.rs
+++ b/coltsfoothall-forward/src/adapter.rs
@@ -65,17 +65,17 @@
 
 /// What goes to an endpoint beside the caller's own words.
 #[derive(Debug, Clone)]
-pub struct Sending<'a> {
+pub struct Forward<'a> {
     /// The endpoint that must run it and no other.
     pub endpoint: &'a id::Endpoint,
     /// Time left for it.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Whose request it is.
     pub workspace: Option<&'a id::Workspace>,
     /// Its urgency, 0 first, for engines.
     pub rank: Option<u8>,
     /// The last event that the caller has, where a stream goes on behind it.
-    pub after: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
 }
 
 /// What an endpoint's answer says in its head.
@@ -86,13 +86,13 @@
     /// The endpoint states that the request did not run there.
     pub not_run: bool,
     /// Another endpoint has the address.
-    pub stranger: bool,
+    pub misdirected: bool,
     /// It bears the endpoint's signature.
     pub signed: bool,
     /// The body is encoded, so it is not the endpoint's own.
     pub encoded: bool,
     /// How long the endpoint keeps the connection, if it says so.
-    pub keep: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// The endpoint closes the connection after it.
     pub close: bool,
 }
@@ -100,19 +100,19 @@
 /// Headers of callers and endpoints.
 pub trait Dialect {
     /// Reads what a caller says.
-    fn call(&self, head: &HeaderMap) -> Call;
+    fn parse_call(&self, head: &HeaderMap) -> Call;
     /// Turns a caller's headers into those for an endpoint.
-    fn forward(&self, head: &HeaderMap, sending: &Sending<'_>) -> HeaderMap;
+    fn request_headers(&self, head: &HeaderMap, forward: &Forward<'_>) -> HeaderMap;
     /// Reads what an endpoint says.
-    fn reply(&self, status: u16, head: &HeaderMap) -> Reply;
+    fn parse_reply(&self, status: u16, head: &HeaderMap) -> Reply;
     /// Turns an endpoint's headers into those for the caller.
-    fn back(&self, head: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, head: &HeaderMap) -> HeaderMap;
     /// Headers of an answer of this program's own to the attempt `id`.
-    fn own(&self, id: Option<&str>, again: Option<Duration>) -> HeaderMap;
+    fn own_headers(&self, id: Option<&str>, again: Option<Duration>) -> HeaderMap;
     /// Whether a path asks if this instance is ready.
-    fn is_ready(&self, path: &str) -> bool;
+    fn is_readiness_path(&self, path: &str) -> bool;
     /// The failure domain of a caller who asks for addresses, if `path` asks that.
-    fn asks_addresses(&self, path: &str, query: Option<&str>) -> Option<String>;
+    fn address_query(&self, path: &str, query: Option<&str>) -> Option<String>;
     /// An answer with addresses, kept for `keep`.
     fn addresses(&self, fronts: &[SocketAddr], keep: Duration) -> Bytes;
 }
@@ -193,33 +193,33 @@
     /// Writes to the instances' own realms; returns the place of the change.
     fn write(&self, write: Write) -> LocalBoxFuture<'_, Result<Place, Error>>;
     /// Takes a lease.
-    fn lease(&self, term: Duration) -> LocalBoxFuture<'_, Result<Lease, Error>>;
+    fn grant_lease(&self, term: Duration) -> LocalBoxFuture<'_, Result<Lease, Error>>;
     /// Renews a lease; one of a former era is gone.
-    fn renew(&self, lease: Lease) -> LocalBoxFuture<'_, Result<(), Error>>;
+    fn renew_lease(&self, lease: Lease) -> LocalBoxFuture<'_, Result<(), Error>>;
     /// Ends a lease; one of a former era is gone.
-    fn end(&self, lease: Lease) -> LocalBoxFuture<'_, Result<(), Error>>;
+    fn revoke_lease(&self, lease: Lease) -> LocalBoxFuture<'_, Result<(), Error>>;
     /// The newest era that any answer was from.
     fn era(&self) -> Option<Era>;
     /// Reads a configuration.
     ///
     /// # Errors
     /// Names the field that is wrong.
-    fn table(&self, value: &[u8]) -> Result<Table, Error>;
+    fn parse_configuration(&self, value: &[u8]) -> Result<Table, Error>;
     /// Whether the value of the operators under a name is the configuration.
     fn is_configuration(&self, name: &str) -> bool;
     /// Reads an order to move a service to another version; none if the value is no order.
     ///
     /// # Errors
     /// Names the field that is wrong.
-    fn upgrade(&self, item: &Item) -> Result<Option<upgrade::Order>, Error>;
+    fn parse_upgrade(&self, item: &Item) -> Result<Option<upgrade::Order>, Error>;
     /// What is told to the operators of a service's move, and when that was written.
-    fn report<'a>(
+    fn read_report<'a>(
         &'a self,
         service: &'a id::Service,
     ) -> LocalBoxFuture<'a, Result<Option<(Report, Place)>, Error>>;
     /// Tells the operators of a service's move, if nothing was told since `had`. Returns the
     /// place of the change.
-    fn tell<'a>(
+    fn write_report<'a>(
         &'a self,
         service: &'a id::Service,
         report: &'a Report,
@@ -229,7 +229,7 @@
     ///
     /// # Errors
     /// Names the field that is wrong.
-    fn entry(&self, item: &Item) -> Result<Entry, Error>;
+    fn parse_registration(&self, item: &Item) -> Result<Entry, Error>;
 }
 
 /// Who acts, and under which number.
@@ -244,14 +244,14 @@
 /// What one instance does at the platform for all.
 pub trait Cloud {
     /// Reports a window's usage.
-    fn usage<'a>(
+    fn report_usage<'a>(
         &'a self,
         leadership: Leadership<'a>,
         window: u64,
         counts: &'a [Count],
     ) -> LocalBoxFuture<'a, Result<(), Error>>;
     /// Orders endpoints of a service.
-    fn order<'a>(
+    fn order_endpoints<'a>(
         &'a self,
         leadership: Leadership<'a>,
         service: &'a id::Service,
--- a/coltsfoothall-forward/src/adoption.rs
+++ b/coltsfoothall-forward/src/adoption.rs
@@ -60,7 +60,7 @@
     /// Takes over a configuration unless it is older than the one in force. Returns its version
     /// if it can be read.
     pub fn adopt(&self, raw: &Bytes, source: &str) -> Option<u64> {
-        let table = match self.adapter.table(raw) {
+        let table = match self.adapter.parse_configuration(raw) {
             Ok(table) => table,
             Err(error) => {
                 event::BAD_CATALOG.emit(format_args!("source={source} reason={error:?}"));
--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -17,7 +17,7 @@
 use http::{Request, Response, Uri};
 use hyper::body::Incoming;
 
-use crate::adapter::{Call, Reply, Sending};
+use crate::adapter::{Call, Reply, Forward};
 use crate::pool::{Fault, Link, Payload};
 use crate::state::State;
 
@@ -200,7 +200,7 @@
     pub fn split(self) -> (Response<Incoming>, Reply, Share, Tail) {
         let tail = Tail {
             link: self.link,
-            keep: self.reply.keep,
+            keep: self.reply.keep_alive,
             // What is left of a body that was answered early would be read as a request.
             usable: self.whole.get() && !self.reply.close,
         };
@@ -240,7 +240,7 @@
         match link.send(request).await {
             Ok(response) => {
                 let status = response.status().as_u16();
-                let reply = state.adapter.reply(status, response.headers());
+                let reply = state.adapter.parse_reply(status, response.headers());
                 if reply.id.is_some() && reply.id != job.call.id {
                     let fault = Fault::Broken("the answer belongs to another request".into());
                     return Err((fault, share));
@@ -267,15 +267,15 @@
     after: Option<&str>,
     whole: &Rc<Cell<bool>>,
 ) -> Request<Payload> {
-    let left = Time::since(job.due, state.now());
-    let headers = state.adapter.forward(
+    let time_left = Time::since(job.due, state.now());
+    let headers = state.adapter.request_headers(
         &job.head.headers,
-        &Sending {
+        &Forward {
             endpoint: &pick.endpoint,
-            left,
+            time_left,
             workspace: job.workspace.as_ref(),
             rank: job.memory.map(|_engine| job.rank),
-            after,
+            last_event_id: after,
         },
     );
     let payload = Payload::new(job.body.clone(), Rc::clone(whole));
--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -174,7 +174,7 @@
             continue;
         };
         let reason = match outcome {
-            Ok(sent) if sent.reply.stranger => {
+            Ok(sent) if sent.reply.misdirected => {
                 sent.share.end(End::Unreachable);
                 "another endpoint has the address"
             }
--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -51,7 +51,7 @@
         let outcome = match lease {
             Some(lease) => {
                 state.calls.count(Call::Renew);
-                state.adapter.renew(lease).await
+                state.adapter.renew_lease(lease).await
             }
             None => match enter(&state).await {
                 Ok(taken) => {
@@ -81,7 +81,7 @@
         pause(&state, wait).await;
     }
     if let Some(lease) = lease
-        && let Err(error) = state.adapter.end(lease).await
+        && let Err(error) = state.adapter.revoke_lease(lease).await
     {
         event::STORE_FAILED.emit(format_args!("step=withdraw reason={error:?}"));
     }
@@ -108,7 +108,7 @@
 
 async fn enter(state: &State) -> Result<Lease, Error> {
     state.calls.count(Call::Lease);
-    let lease = state.adapter.lease(TERM).await?;
+    let lease = state.adapter.grant_lease(TERM).await?;
     let profile = serde_json::to_vec(&state.profile())
         .map_err(|error| Error::Format("register", error.to_string()))?;
     let name = format!("live/{MEMBER_PREFIX}{}", state.name);
@@ -192,7 +192,7 @@
     let term = state.settings().bounds.lease.duration();
     let asked = time::boot();
     state.calls.count(Call::Lease);
-    let lease = match state.adapter.lease(term).await {
+    let lease = match state.adapter.grant_lease(term).await {
         Ok(lease) => lease,
         Err(error) => {
             event::STORE_FAILED.emit(format_args!("step=lease reason={error:?}"));
@@ -216,7 +216,7 @@
             event::LEADER.emit(format_args!("state=not_holder reason={error:?}"));
             // Whatever became of the write, without its lease the key cannot stand.
             state.calls.count(Call::Lease);
-            if let Err(error) = state.adapter.end(lease).await {
+            if let Err(error) = state.adapter.revoke_lease(lease).await {
                 event::STORE_FAILED.emit(format_args!("step=end_lease reason={error:?}"));
             }
         }
@@ -226,7 +226,7 @@
 async fn renew(state: &State, lease: Lease) {
     let asked = time::boot();
     state.calls.count(Call::Renew);
-    match state.adapter.renew(lease).await {
+    match state.adapter.renew_lease(lease).await {
         Ok(()) => state.leader.borrow_mut().renewed(asked, lease),
         Err(Error::Missing(_)) => {
             state.leader.borrow_mut().lost();
@@ -241,7 +241,7 @@
 async fn release(state: &State, lease: Lease) {
     state.leader.borrow_mut().lost();
     state.calls.count(Call::Lease);
-    match state.adapter.end(lease).await {
+    match state.adapter.revoke_lease(lease).await {
         Ok(()) => event::LEADER.emit(format_args!("state=released lease={lease}")),
         Err(error) => event::STORE_FAILED.emit(format_args!("step=release reason={error:?}")),
     }
@@ -344,7 +344,7 @@
             instance: &state.name,
             fence,
         };
-        state.adapter.usage(leadership, window, &counts).await?;
+        state.adapter.report_usage(leadership, window, &counts).await?;
         let runs: u64 = counts.iter().map(|count| count.runs).sum();
         event::USAGE.emit(format_args!("window={window} runs={runs} fence={fence}"));
         Ok(())
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -76,7 +76,7 @@
 ) -> Response<Outgoing> {
     let begun = state.now();
     let (head, content) = request.into_parts();
-    let call = state.adapter.call(&head.headers);
+    let call = state.adapter.parse_call(&head.headers);
     let id = call.id.clone();
     let path = head.uri.path().to_owned();
     let result = if connection.is_ambiguous() {
@@ -128,7 +128,7 @@
         state.now().since(begun).as_millis(),
         state.version(),
     ));
-    let headers = state.adapter.own(id, again);
+    let headers = state.adapter.own_headers(id, again);
     answer(
         status,
         headers,
--- a/coltsfoothall-forward/src/orders.rs
+++ b/coltsfoothall-forward/src/orders.rs
@@ -55,7 +55,7 @@
                 instance: &state.name,
                 fence,
             };
-            let outcome = state.adapter.order(leadership, &service.name, &order).await;
+            let outcome = state.adapter.order_endpoints(leadership, &service.name, &order).await;
             log(service, &order, load, &outcome);
             match outcome {
                 Ok(()) => line.book.taken(&order),
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -253,7 +253,7 @@
 
 /// Takes over a registration; what it says, if it can be read.
 fn register(state: &State, item: &Item, source: &str) -> Option<Entry> {
-    match state.adapter.entry(item) {
+    match state.adapter.parse_registration(item) {
         Ok(entry) => {
             let event = state
                 .roster
--- a/coltsfoothall-forward/src/relay.rs
+++ b/coltsfoothall-forward/src/relay.rs
@@ -82,7 +82,7 @@
             let failed = status.is_server_error();
             share.answered(failed);
             share.end(if failed { End::Failed } else { End::Whole });
-            let headers = state.adapter.back(&head.headers);
+            let headers = state.adapter.response_headers(&head.headers);
             let answer = outgoing::answer(status, headers, Outgoing::whole(bytes));
             if !failed {
                 note_late(state, job, &endpoint);
@@ -192,7 +192,7 @@
     if first.is_none() {
         relay.close();
     }
-    let headers = state.adapter.back(&head.headers);
+    let headers = state.adapter.response_headers(&head.headers);
     let rest = stream::unfold((relay, first), |(mut relay, first)| async move {
         let piece = match first {
             Some(bytes) => Ok(bytes),
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -195,14 +195,14 @@
 
 fn respond(state: &State, path: &str, query: Option<&str>) -> Response<Outgoing> {
     let adapter = &state.adapter;
-    if adapter.is_ready(path) {
+    if adapter.is_readiness_path(path) {
         return plain(if state.is_ready() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         });
     }
-    if let Some(domain) = adapter.asks_addresses(path, query) {
+    if let Some(domain) = adapter.address_query(path, query) {
         let own = state
             .is_ready()
             .then(|| (state.front(), state.domain.as_str()));
--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -15,7 +15,7 @@
         if item.value.is_none() {
             continue;
         }
-        match state.adapter.upgrade(item) {
+        match state.adapter.parse_upgrade(item) {
             Ok(Some(order)) => {
                 let is_new = accept(state, order.clone());
                 if is_new && complete {
@@ -57,7 +57,7 @@
 /// Takes over how an order ended, if it did. Where the store does not tell, the candidate is
 /// on trial again until who acts for all reads it.
 async fn settle(state: &State, order: &Order) {
-    match state.adapter.report(&order.service).await {
+    match state.adapter.read_report(&order.service).await {
         Ok(Some((report, place))) if place > order.place => {
             if let Some(stage) = settled(&report, order) {
                 let mut upgrades = state.upgrades.borrow_mut();
@@ -174,7 +174,7 @@
             return Ok(());
         }
         let had = line.told.as_ref().map(|(_, place)| *place);
-        let place = state.adapter.tell(&order.service, &report, had).await?;
+        let place = state.adapter.write_report(&order.service, &report, had).await?;
         line.told = Some((report, place));
         Ok(())
     }
@@ -185,7 +185,7 @@
         let place = match self.lines.iter().position(known) {
             Some(place) => place,
             None => {
-                let told = state.adapter.report(&order.service).await?;
+                let told = state.adapter.read_report(&order.service).await?;
                 self.lines.retain(|line| line.service != order.service);
                 self.lines.push(Line {
                     service: order.service.clone(),
