--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -12,7 +12,7 @@
 
 use crate::attempt::{self, Job, Sent, Share};
 use crate::pool::Fault;
-use crate::refusal::{Refusal, broken, full};
+use crate::refusal::{Refusal, bad_gateway, unavailable};
 use crate::state::State;
 
 /// Most sendings of one request, turned away ones included.
@@ -150,13 +150,13 @@
             // An answer that comes late anyway makes others late too; this one has not run.
             Ok(pick) if trail.sendings == 0 && is_late(job, &pick) => {
                 let again = pick.wait.saturating_sub(job.route.aim.duration() / 2);
-                return Err(full("all endpoints are behind", again.max(AGAIN)));
+                return Err(unavailable("all endpoints are behind", again.max(AGAIN)));
             }
             Ok(pick) => pick,
-            Err(_) if trail.runs > 0 => return Err(broken("no other endpoint")),
-            Err(Nobody::Full) => return Err(full("all endpoints are full", AGAIN)),
-            Err(Nobody::Absent) => return Err(full("no endpoint", ABSENT)),
-            Err(Nobody::Large) => return Err(full("larger than an engine's memory", NEVER_FITS)),
+            Err(_) if trail.runs > 0 => return Err(bad_gateway("no other endpoint")),
+            Err(Nobody::Full) => return Err(unavailable("all endpoints are full", AGAIN)),
+            Err(Nobody::Absent) => return Err(unavailable("no endpoint", ABSENT)),
+            Err(Nobody::Large) => return Err(unavailable("larger than an engine's memory", NEVER_FITS)),
         };
         if trail.sendings == 0 {
             state.count_sent(&job.service);
@@ -209,15 +209,15 @@
                     continue;
                 }
                 state.count_run(job.workspace.as_ref());
-                return Err(broken("the endpoint broke off"));
+                return Err(bad_gateway("the endpoint broke off"));
             }
         };
         trail.exclude.push(pick.endpoint);
         if trail.sendings >= SENDINGS || !state.may_retry(&job.service) {
             return Err(if trail.runs > 0 {
-                broken(reason)
+                bad_gateway(reason)
             } else {
-                full(reason, AGAIN)
+                unavailable(reason, AGAIN)
             });
         }
     }
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -22,7 +22,7 @@
 use crate::dispatch::{self, Trail};
 use crate::listen::{Handler, Limits};
 use crate::outgoing::{Outgoing, answer};
-use crate::refusal::{self, Refusal, broken, full, late};
+use crate::refusal::{self, Refusal, bad_gateway, unavailable, timed_out};
 use crate::relay;
 use crate::state::{Open, State};
 use crate::stop;
@@ -146,7 +146,7 @@
     begun: Time,
 ) -> Result<Job, Refusal> {
     let Some(configuration) = state.configuration() else {
-        return Err(full("no configuration yet", UNREADY));
+        return Err(unavailable("no configuration yet", UNREADY));
     };
     let table = configuration.table;
     let route = find(&table, &head)?;
@@ -174,11 +174,11 @@
     let print = Print::of_call(holder, head.method.as_str(), asked, &body);
     let verdict = state.suspicions.borrow().verdict(state.now(), print);
     if verdict == Verdict::Poisonous {
-        return Err(full("such requests crashed endpoints", POISONOUS));
+        return Err(unavailable("such requests crashed endpoints", POISONOUS));
     }
     let draw = xxh3_64(call.id.as_deref().unwrap_or_default().as_bytes());
     let Some(service) = route.target(draw).cloned() else {
-        return Err(full("the route has no service", UNREADY));
+        return Err(unavailable("the route has no service", UNREADY));
     };
     let engine = table
         .service(&service)
@@ -262,7 +262,7 @@
 async fn run(state: &Rc<State>, job: Rc<Job>) -> Result<Response<Outgoing>, Refusal> {
     tokio::select! {
         answer = send(state, job) => answer,
-        () = state.abort.cancelled() => Err(broken(refusal::STOPS)),
+        () = state.abort.cancelled() => Err(bad_gateway(refusal::SHUTTING_DOWN)),
     }
 }
 
@@ -292,5 +292,5 @@
 /// No answer came in time: it takes longer than that.
 fn give_up(state: &State, job: &Job) -> Refusal {
     state.record_duration(&job.route, job.begun);
-    late()
+    timed_out()
 }
--- a/coltsfoothall-forward/src/refusal.rs
+++ b/coltsfoothall-forward/src/refusal.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 
 /// Why an answer ends early when this instance does.
-pub const STOPS: &str = "this instance stops";
+pub const SHUTTING_DOWN: &str = "this instance stops";
 
 /// Why a request gets an answer of this program's own.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -31,18 +31,18 @@
 
 /// A refusal: nothing ran, and there is no room.
 #[must_use]
-pub fn full(reason: &'static str, again: Duration) -> Refusal {
+pub fn unavailable(reason: &'static str, again: Duration) -> Refusal {
     Refusal::NotRun(StatusCode::SERVICE_UNAVAILABLE, reason, again)
 }
 
 /// An endpoint broke off a request that may have run.
 #[must_use]
-pub fn broken(reason: &'static str) -> Refusal {
+pub fn bad_gateway(reason: &'static str) -> Refusal {
     Refusal::Unknown(StatusCode::BAD_GATEWAY, reason)
 }
 
 /// No answer came by when it was due; the request may have run.
 #[must_use]
-pub fn late() -> Refusal {
+pub fn timed_out() -> Refusal {
     Refusal::Unknown(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
 }
--- a/coltsfoothall-forward/src/relay.rs
+++ b/coltsfoothall-forward/src/relay.rs
@@ -44,7 +44,7 @@
 impl Failure {
     fn broken(reason: &'static str) -> Self {
         Self {
-            refusal: refusal::broken(reason),
+            refusal: refusal::bad_gateway(reason),
             answer: None,
         }
     }
@@ -93,7 +93,7 @@
             }
             trail.exclude.push(endpoint);
             Err(Failure {
-                refusal: refusal::broken("the endpoint failed"),
+                refusal: refusal::bad_gateway("the endpoint failed"),
                 answer: Some(answer),
             })
         }
@@ -234,7 +234,7 @@
         let cutting = self.state.abort.clone();
         tokio::select! {
             piece = self.advance() => piece,
-            () = cutting.cancelled() => Some(Err(self.give_up(refusal::STOPS))),
+            () = cutting.cancelled() => Some(Err(self.give_up(refusal::SHUTTING_DOWN))),
         }
     }
 
@@ -311,7 +311,7 @@
         let state = Rc::clone(&self.state);
         let sent = dispatch::next(&state, &self.job, &mut self.trail, after.as_deref()).await?;
         if !sent.response.status().is_success() || !sent.reply.signed {
-            return Err(refusal::broken("the next endpoint failed"));
+            return Err(refusal::bad_gateway("the next endpoint failed"));
         }
         event::RESUMED.emit(format_args!(
             "request={} endpoint={} after={}",
--- a/coltsfoothall-forward/src/stop.rs
+++ b/coltsfoothall-forward/src/stop.rs
@@ -12,7 +12,7 @@
 use crate::connection::Connection;
 use crate::gossip;
 use crate::listen::Connections;
-use crate::refusal::{Refusal, full};
+use crate::refusal::{Refusal, unavailable};
 use crate::state::State;
 
 /// Time for the answers and log lines of requests that are cut.
@@ -100,7 +100,7 @@
     } else {
         ALONE
     };
-    Err(full("this instance stops; use another", again))
+    Err(unavailable("this instance stops; use another", again))
 }
 
 /// Whether another instance takes requests.
