--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -109,22 +109,22 @@
 /// Shows the configuration in force to operators.
 pub fn show(state: &State) -> Response<Outgoing> {
     match state.configuration() {
-        Some(have) => outgoing::json(Outgoing::whole(have.raw)),
-        None => outgoing::plain(StatusCode::NOT_FOUND),
+        Some(have) => outgoing::json(Outgoing::full(have.raw)),
+        None => outgoing::empty(StatusCode::NOT_FOUND),
     }
 }
 
 /// Shows the configuration in force to another instance, or refuses while others read it.
 pub fn show_compressed(state: &State) -> Response<Outgoing> {
     let Some(have) = state.configuration() else {
-        return outgoing::plain(StatusCode::NOT_FOUND);
+        return outgoing::empty(StatusCode::NOT_FOUND);
     };
     let compressed = have.compressed.get_or_init(|| compression::compress(&have.raw));
     let mut egress = state.adoption.egress.borrow_mut();
     if !egress.admit(state.now(), compressed.len()) {
-        return outgoing::plain(StatusCode::SERVICE_UNAVAILABLE);
+        return outgoing::empty(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let body = Outgoing::whole(compressed.clone());
+    let body = Outgoing::full(compressed.clone());
     outgoing::answer(StatusCode::OK, HeaderMap::new(), body)
 }
 
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -64,7 +64,7 @@
                 let close = HeaderValue::from_static("close");
                 answer.headers_mut().insert(CONNECTION, close);
             }
-            answer.map(|body| body.counted(open))
+            answer.map(|body| body.with_open(open))
         })
     }
 }
@@ -132,7 +132,7 @@
     answer(
         status,
         headers,
-        Outgoing::whole(Bytes::from_static(reason.as_bytes())),
+        Outgoing::full(Bytes::from_static(reason.as_bytes())),
     )
 }
 
--- a/coltsfoothall-forward/src/listen.rs
+++ b/coltsfoothall-forward/src/listen.rs
@@ -111,7 +111,7 @@
         let answer = Rc::clone(&handler).handle(request, Rc::clone(&connection));
         async move {
             let answer = answer.await;
-            Ok::<_, std::convert::Infallible>(answer.map(|body| body.with(busy)))
+            Ok::<_, std::convert::Infallible>(answer.map(|body| body.with_busy(busy)))
         }
     });
     let serving = http1::Builder::new()
--- a/coltsfoothall-forward/src/outgoing.rs
+++ b/coltsfoothall-forward/src/outgoing.rs
@@ -17,11 +17,11 @@
 use crate::state::Open;
 
 /// What is passed on as it comes.
-pub type Pieces = LocalBoxStream<'static, Result<Bytes, io::Error>>;
+pub type Chunks = LocalBoxStream<'static, Result<Bytes, io::Error>>;
 
 enum Content {
-    Whole(Full<Bytes>),
-    Pieces(Pieces),
+    Full(Full<Bytes>),
+    Chunks(Chunks),
 }
 
 /// A body, whole or passed on as it comes.
@@ -41,9 +41,9 @@
 
 impl Outgoing {
     /// A whole body.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
+    pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self {
-            content: Content::Whole(Full::new(bytes.into())),
+            content: Content::Full(Full::new(bytes.into())),
             _busy: None,
             _open: None,
         }
@@ -51,9 +51,9 @@
 
     /// A body passed on as it comes; an error in it breaks the connection off.
     #[must_use]
-    pub fn pieces(pieces: Pieces) -> Self {
+    pub fn chunks(chunks: Chunks) -> Self {
         Self {
-            content: Content::Pieces(pieces),
+            content: Content::Chunks(chunks),
             _busy: None,
             _open: None,
         }
@@ -61,7 +61,7 @@
 
     /// The same body, which marks its connection as busy until it is dropped.
     #[must_use]
-    pub fn with(self, busy: Busy) -> Self {
+    pub fn with_busy(self, busy: Busy) -> Self {
         Self {
             _busy: Some(busy),
             ..self
@@ -70,7 +70,7 @@
 
     /// The same body, which counts its request as under way until it is dropped.
     #[must_use]
-    pub fn counted(self, open: Open) -> Self {
+    pub fn with_open(self, open: Open) -> Self {
         Self {
             _open: Some(open),
             ..self
@@ -87,11 +87,11 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match &mut self.content {
-            Content::Whole(body) => Pin::new(body)
+            Content::Full(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never: Infallible| match never {}),
-            Content::Pieces(pieces) => {
-                let next = Pin::new(pieces).poll_next(cx);
+            Content::Chunks(chunks) => {
+                let next = Pin::new(chunks).poll_next(cx);
                 next.map(|piece| piece.map(|bytes| bytes.map(Frame::data)))
             }
         }
@@ -99,15 +99,15 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.content {
-            Content::Whole(body) => body.is_end_stream(),
-            Content::Pieces(_) => false,
+            Content::Full(body) => body.is_end_stream(),
+            Content::Chunks(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.content {
-            Content::Whole(body) => body.size_hint(),
-            Content::Pieces(_) => SizeHint::default(),
+            Content::Full(body) => body.size_hint(),
+            Content::Chunks(_) => SizeHint::default(),
         }
     }
 }
@@ -122,8 +122,8 @@
 
 /// An empty answer without headers of its own.
 #[must_use]
-pub fn plain(status: StatusCode) -> Response<Outgoing> {
-    answer(status, HeaderMap::new(), Outgoing::whole(Bytes::new()))
+pub fn empty(status: StatusCode) -> Response<Outgoing> {
+    answer(status, HeaderMap::new(), Outgoing::full(Bytes::new()))
 }
 
 /// An answer of JSON.
--- a/coltsfoothall-forward/src/relay.rs
+++ b/coltsfoothall-forward/src/relay.rs
@@ -83,7 +83,7 @@
             share.answered(failed);
             share.end(if failed { End::Failed } else { End::Whole });
             let headers = state.adapter.response_headers(&head.headers);
-            let answer = outgoing::answer(status, headers, Outgoing::whole(bytes));
+            let answer = outgoing::answer(status, headers, Outgoing::full(bytes));
             if !failed {
                 note_late(state, job, &endpoint);
                 if status.is_success() {
@@ -203,7 +203,7 @@
     Ok(outgoing::answer(
         head.status,
         headers,
-        Outgoing::pieces(Box::pin(rest)),
+        Outgoing::chunks(Box::pin(rest)),
     ))
 }
 
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -22,7 +22,7 @@
 use crate::connection::Connection;
 use crate::intake::Front;
 use crate::listen::{self, Connections, Handler, Limits};
-use crate::outgoing::{Outgoing, answer, json, plain};
+use crate::outgoing::{Outgoing, answer, json, empty};
 use crate::settings::Settings;
 use crate::state::State;
 use crate::{configuration, duty, gossip, registrations, stop, membership};
@@ -196,7 +196,7 @@
 fn respond(state: &State, path: &str, query: Option<&str>) -> Response<Outgoing> {
     let adapter = &state.adapter;
     if adapter.is_readiness_path(path) {
-        return plain(if state.is_ready() {
+        return empty(if state.is_ready() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
@@ -208,18 +208,18 @@
             .then(|| (state.front(), state.domain.as_str()));
         let fronts = state.peers.borrow().fronts(state.now(), &domain, own);
         if fronts.is_empty() {
-            return plain(StatusCode::SERVICE_UNAVAILABLE);
+            return empty(StatusCode::SERVICE_UNAVAILABLE);
         }
         let keep = state.settings().bounds.addresses.duration();
-        return json(Outgoing::whole(adapter.addresses(&fronts, keep)));
+        return json(Outgoing::full(adapter.addresses(&fronts, keep)));
     }
     if path == METRICS {
         state.update_gauges();
         return match state.board.render() {
-            Ok(text) => answer(StatusCode::OK, HeaderMap::new(), Outgoing::whole(text)),
+            Ok(text) => answer(StatusCode::OK, HeaderMap::new(), Outgoing::full(text)),
             Err(error) => {
                 event::BROKEN.emit(format_args!("rule=metrics reason={:?}", error.to_string()));
-                plain(StatusCode::INTERNAL_SERVER_ERROR)
+                empty(StatusCode::INTERNAL_SERVER_ERROR)
             }
         };
     }
@@ -227,9 +227,9 @@
         CONFIGURATION_PATH => configuration::show(state),
         COMPRESSED_CONFIGURATION_PATH => configuration::show_compressed(state),
         ENDPOINTS_PATH => match registrations::show(state, query) {
-            Some(bytes) => json(Outgoing::whole(bytes)),
-            None => plain(StatusCode::NOT_FOUND),
+            Some(bytes) => json(Outgoing::full(bytes)),
+            None => empty(StatusCode::NOT_FOUND),
         },
-        _ => plain(StatusCode::NOT_FOUND),
+        _ => empty(StatusCode::NOT_FOUND),
     }
 }
