--- a/coltsfoothall-forward/src/adapter.rs
+++ b/coltsfoothall-forward/src/adapter.rs
@@ -189,7 +189,8 @@
     /// Reads a whole realm.
     fn list(&self, keyspace: Keyspace) -> LocalBoxFuture<'_, Result<Listing, Error>>;
     /// Waits for changes of a realm after a place.
-    fn watch(&self, keyspace: Keyspace, after: Place) -> LocalBoxFuture<'_, Result<Listing, Error>>;
+    fn watch(&self, keyspace: Keyspace, after: Place)
+    -> LocalBoxFuture<'_, Result<Listing, Error>>;
     /// Writes to the instances' own realms; returns the place of the change.
     fn write(&self, write: Write) -> LocalBoxFuture<'_, Result<Place, Error>>;
     /// Takes a lease.
--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -17,7 +17,7 @@
 use http::{Request, Response, Uri};
 use hyper::body::Incoming;
 
-use crate::adapter::{Call, Reply, Forward};
+use crate::adapter::{Call, Forward, Reply};
 use crate::pool::{Fault, Link, Payload};
 use crate::state::State;
 
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -11,11 +11,11 @@
 use http::{HeaderMap, Response, StatusCode};
 use rand::seq::IteratorRandom;
 
+use crate::adapter::{Keyspace, Listing};
+use crate::compression;
 use crate::fetch::{COMPRESSED_CONFIGURATION_PATH, fetch};
-use crate::adapter::{Listing, Keyspace};
 use crate::follower::{self, Follower, Update};
 use crate::outgoing::{self, Outgoing};
-use crate::compression;
 use crate::state::State;
 use crate::upgrades;
 
@@ -119,7 +119,9 @@
     let Some(have) = state.configuration() else {
         return outgoing::empty(StatusCode::NOT_FOUND);
     };
-    let compressed = have.compressed.get_or_init(|| compression::compress(&have.raw));
+    let compressed = have
+        .compressed
+        .get_or_init(|| compression::compress(&have.raw));
     let mut egress = state.adoption.egress.borrow_mut();
     if !egress.admit(state.now(), compressed.len()) {
         return outgoing::empty(StatusCode::SERVICE_UNAVAILABLE);
--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -156,7 +156,9 @@
             Err(_) if trail.runs > 0 => return Err(bad_gateway("no other endpoint")),
             Err(Nobody::Full) => return Err(unavailable("all endpoints are full", AGAIN)),
             Err(Nobody::Absent) => return Err(unavailable("no endpoint", ABSENT)),
-            Err(Nobody::Large) => return Err(unavailable("larger than an engine's memory", NEVER_FITS)),
+            Err(Nobody::Large) => {
+                return Err(unavailable("larger than an engine's memory", NEVER_FITS));
+            }
         };
         if trail.sendings == 0 {
             state.count_sent(&job.service);
--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -10,14 +10,14 @@
 use coltsfoothall::forward::usage::{Count, Snapshot};
 use coltsfoothall_shell::event;
 
-use crate::adapter::{Leadership, Error, Keyspace, Write};
+use crate::adapter::{Error, Keyspace, Leadership, Write};
 use crate::calls::Call;
+use crate::membership::{self, LEADER_KEY, MEMBER_PREFIX};
 use crate::orders::Autoscaler;
 use crate::registrations;
 use crate::state::State;
 use crate::time;
 use crate::upgrades::Driver;
-use crate::membership::{self, LEADER_KEY, MEMBER_PREFIX};
 
 /// Term of a registration; a killed instance counts as a member for so long at most.
 const TERM: Duration = Duration::from_secs(6);
@@ -344,7 +344,10 @@
             instance: &state.name,
             fence,
         };
-        state.adapter.report_usage(leadership, window, &counts).await?;
+        state
+            .adapter
+            .report_usage(leadership, window, &counts)
+            .await?;
         let runs: u64 = counts.iter().map(|count| count.runs).sum();
         event::USAGE.emit(format_args!("window={window} runs={runs} fence={fence}"));
         Ok(())
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -9,7 +9,7 @@
 use coltsfoothall::turn;
 use coltsfoothall_shell::event;
 
-use crate::adapter::{Error, Listing, Keyspace};
+use crate::adapter::{Error, Keyspace, Listing};
 use crate::calls::Call;
 use crate::state::State;
 
@@ -117,7 +117,9 @@
             Err(error) => {
                 if self.lost.is_none() {
                     self.lost = Some(asked);
-                    event::STORE.emit(format_args!("realm={keyspace:?} state=lost reason={error:?}"));
+                    event::STORE.emit(format_args!(
+                        "realm={keyspace:?} state=lost reason={error:?}"
+                    ));
                 }
                 match keyspace {
                     Keyspace::Configuration => state.adoption.store_lost.set(true),
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -218,7 +218,10 @@
     for event in restarted {
         state.apply_event(Some(event), Place::default(), "peer");
     }
-    state.suspicions.borrow_mut().merge(now, &heartbeat.evidence);
+    state
+        .suspicions
+        .borrow_mut()
+        .merge(now, &heartbeat.evidence);
     state.rate_limiter.borrow_mut().hear(boot, &heartbeat.spent);
     state.usage.borrow_mut().hear(boot, &heartbeat.counts);
     state.merge_work(boot, &heartbeat.work);
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -16,13 +16,13 @@
 use hyper::body::Incoming;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::attempt::Job;
 use crate::adapter::Call;
+use crate::attempt::Job;
 use crate::connection::Connection;
 use crate::dispatch::{self, Trail};
 use crate::listen::{Handler, Limits};
 use crate::outgoing::{Outgoing, answer};
-use crate::refusal::{self, Refusal, bad_gateway, unavailable, timed_out};
+use crate::refusal::{self, Refusal, bad_gateway, timed_out, unavailable};
 use crate::relay;
 use crate::state::{Open, State};
 use crate::stop;
--- a/coltsfoothall-forward/src/lib.rs
+++ b/coltsfoothall-forward/src/lib.rs
@@ -8,25 +8,26 @@
 //! [`relay`] passes the answer back. [`membership`], [`configuration`], [`registrations`], [`gossip`]
 //! and [`duty`] keep [`state`] up to date beside it; [`stop`] ends it all.
 
+pub mod adapter;
 pub mod adoption;
-pub mod fetch;
 pub mod attempt;
-pub mod adapter;
 pub mod calls;
+pub mod changelog;
+pub mod compression;
 pub mod configuration;
 pub mod connection;
 pub mod dispatch;
 pub mod duty;
+pub mod fetch;
 pub mod follower;
 pub mod gossip;
 pub mod health;
 pub mod intake;
-pub mod pool;
 pub mod listen;
+pub mod membership;
 pub mod orders;
 pub mod outgoing;
-pub mod compression;
-pub mod changelog;
+pub mod pool;
 pub mod refusal;
 pub mod registrations;
 pub mod relay;
@@ -39,4 +40,3 @@
 pub mod stop;
 pub mod time;
 pub mod upgrades;
-pub mod membership;
--- a/coltsfoothall-forward/src/membership.rs
+++ b/coltsfoothall-forward/src/membership.rs
@@ -9,9 +9,9 @@
 use coltsfoothall_wire::client::Client;
 use rand::seq::IteratorRandom;
 
-use crate::adapter::{Item, Listing, Keyspace};
-use crate::follower::{self, OUTAGE_THRESHOLD, Follower, Update};
+use crate::adapter::{Item, Keyspace, Listing};
 use crate::changelog::Since;
+use crate::follower::{self, Follower, OUTAGE_THRESHOLD, Update};
 use crate::registrations;
 use crate::state::State;
 use crate::time;
@@ -46,9 +46,12 @@
         return;
     }
     // A watch that waits would have told of a change by then.
-    state
-        .registrations_as_of
-        .set(state.registrations_as_of.get().map(|fresh| fresh.max(asked)));
+    state.registrations_as_of.set(
+        state
+            .registrations_as_of
+            .get()
+            .map(|fresh| fresh.max(asked)),
+    );
     let Some(away) = state.health.record_answer(state.now()) else {
         return;
     };
--- a/coltsfoothall-forward/src/orders.rs
+++ b/coltsfoothall-forward/src/orders.rs
@@ -6,7 +6,7 @@
 use coltsfoothall::id;
 use coltsfoothall_shell::event;
 
-use crate::adapter::{Leadership, Error};
+use crate::adapter::{Error, Leadership};
 use crate::state::State;
 
 /// Name of the duty in the settings.
@@ -55,7 +55,10 @@
                 instance: &state.name,
                 fence,
             };
-            let outcome = state.adapter.order_endpoints(leadership, &service.name, &order).await;
+            let outcome = state
+                .adapter
+                .order_endpoints(leadership, &service.name, &order)
+                .await;
             log(service, &order, load, &outcome);
             match outcome {
                 Ok(()) => line.book.taken(&order),
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -13,11 +13,11 @@
 use coltsfoothall_shell::event;
 use coltsfoothall_wire::client::Client;
 
+use crate::adapter::{Item, Keyspace, Listing};
+use crate::changelog::{Change, Page, Row, Since};
+use crate::compression;
 use crate::fetch::{self, ENDPOINTS_PATH};
-use crate::adapter::{Item, Listing, Keyspace};
 use crate::follower::{self, Follower, Update};
-use crate::compression;
-use crate::changelog::{Since, Change, Page, Row};
 use crate::state::State;
 
 /// Where a change was heard of, as the log names it.
@@ -221,7 +221,10 @@
     };
     let changelog = state.changelog.borrow();
     let (next, rows) = changelog.since(after);
-    let age = state.registrations_as_of.get().map(|fresh| state.now().since(fresh));
+    let age = state
+        .registrations_as_of
+        .get()
+        .map(|fresh| state.now().since(fresh));
     let page = Page {
         boot: state.boot,
         next,
@@ -229,7 +232,9 @@
         age_ms: age.and_then(|age| u64::try_from(age.as_millis()).ok()),
         rows,
     };
-    rmp_serde::to_vec(&page).ok().map(|raw| compression::compress(&raw))
+    rmp_serde::to_vec(&page)
+        .ok()
+        .map(|raw| compression::compress(&raw))
 }
 
 /// Takes over registrations from the store; a whole list also shows which ones are gone.
@@ -275,7 +280,10 @@
             ));
             // Whoever wrote it, it names no endpoint to use, whatever its id was before.
             if let Ok(id) = item.name.parse() {
-                state.changelog.borrow_mut().remove(&item.name, item.position);
+                state
+                    .changelog
+                    .borrow_mut()
+                    .remove(&item.name, item.position);
                 forget(state, &id, item.position, source);
             }
             None
@@ -292,7 +300,10 @@
     let within = leaves.map(Millis::duration);
     let event = state.roster.borrow_mut().left(state.now(), &id, at, within);
     state.apply_event(event, at, PEER);
-    state.changelog.borrow_mut().record_leaving(name, leaves, at);
+    state
+        .changelog
+        .borrow_mut()
+        .record_leaving(name, leaves, at);
 }
 
 /// A registration is gone; after the store was away it may only have lapsed.
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -17,15 +17,15 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
 
-use crate::fetch::{CONFIGURATION_PATH, ENDPOINTS_PATH, COMPRESSED_CONFIGURATION_PATH};
 use crate::adapter::Adapter;
 use crate::connection::Connection;
+use crate::fetch::{COMPRESSED_CONFIGURATION_PATH, CONFIGURATION_PATH, ENDPOINTS_PATH};
 use crate::intake::Front;
 use crate::listen::{self, Connections, Handler, Limits};
-use crate::outgoing::{Outgoing, answer, json, empty};
+use crate::outgoing::{Outgoing, answer, empty, json};
 use crate::settings::Settings;
 use crate::state::State;
-use crate::{configuration, duty, gossip, registrations, stop, membership};
+use crate::{configuration, duty, gossip, membership, registrations, stop};
 
 /// Time between two log lines that count what went well.
 const SUM: Duration = Duration::from_secs(10);
@@ -111,7 +111,10 @@
     tokio::task::spawn_local(membership::follow(Rc::clone(state)));
     tokio::task::spawn_local(membership::fetch_endpoints(Rc::clone(state)));
     tokio::task::spawn_local(gossip::send_heartbeats(Rc::clone(state), Rc::clone(socket)));
-    tokio::task::spawn_local(gossip::receive_heartbeats(Rc::clone(state), Rc::clone(socket)));
+    tokio::task::spawn_local(gossip::receive_heartbeats(
+        Rc::clone(state),
+        Rc::clone(socket),
+    ));
     tokio::task::spawn_local(duty::register(Rc::clone(state)));
     tokio::task::spawn_local(duty::campaign(Rc::clone(state)));
     tokio::task::spawn_local(duty::run_leader(Rc::clone(state)));
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -28,12 +28,12 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
-use crate::adoption::Adoption;
 use crate::adapter::Adapter;
+use crate::adoption::Adoption;
 use crate::calls::Calls;
+use crate::changelog::Changelog;
 use crate::health::Health;
 use crate::pool::Pool;
-use crate::changelog::Changelog;
 use crate::retries::Retries;
 use crate::settings::Settings;
 use crate::time::{self, Clock};
--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -174,7 +174,10 @@
             return Ok(());
         }
         let had = line.told.as_ref().map(|(_, place)| *place);
-        let place = state.adapter.write_report(&order.service, &report, had).await?;
+        let place = state
+            .adapter
+            .write_report(&order.service, &report, had)
+            .await?;
         line.told = Some((report, place));
         Ok(())
     }
