--- a/coltsfoothall-forward/src/adapter.rs
+++ b/coltsfoothall-forward/src/adapter.rs
@@ -54,7 +54,7 @@
     /// The caller's name of this attempt.
     pub id: Option<String>,
     /// How long the caller will wait.
-    pub wait: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The caller's key.
     pub key: Option<String>,
     /// Tokens of the prompt and most tokens of the answer.
@@ -108,13 +108,13 @@
     /// Turns an endpoint's headers into those for the caller.
     fn response_headers(&self, head: &HeaderMap) -> HeaderMap;
     /// Headers of an answer of this program's own to the attempt `id`.
-    fn own_headers(&self, id: Option<&str>, again: Option<Duration>) -> HeaderMap;
+    fn own_headers(&self, id: Option<&str>, retry_after: Option<Duration>) -> HeaderMap;
     /// Whether a path asks if this instance is ready.
     fn is_readiness_path(&self, path: &str) -> bool;
     /// The failure domain of a caller who asks for addresses, if `path` asks that.
     fn address_query(&self, path: &str, query: Option<&str>) -> Option<String>;
     /// An answer with addresses, kept for `keep`.
-    fn addresses(&self, fronts: &[SocketAddr], keep: Duration) -> Bytes;
+    fn addresses(&self, fronts: &[SocketAddr], ttl: Duration) -> Bytes;
 }
 
 /// A part of the store.
@@ -224,7 +224,7 @@
         &'a self,
         service: &'a id::Service,
         report: &'a Report,
-        had: Option<Place>,
+        previous: Option<Place>,
     ) -> LocalBoxFuture<'a, Result<Place, Error>>;
     /// Reads an endpoint's registration.
     ///
--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -118,7 +118,7 @@
 
     /// The endpoint answered: the first event of a stream came, or another answer is whole.
     /// What broke off says nothing of the endpoint's version, as any endpoint may be lost.
-    pub fn answered(&mut self, failed: bool) {
+    pub fn record_answer(&mut self, failed: bool) {
         if !std::mem::replace(&mut self.answered, true) {
             let took = self.state.now().since(self.began);
             let (route, version) = (&self.route.name, self.version.as_ref());
@@ -128,7 +128,7 @@
     }
 
     /// The first part of the answer came.
-    pub fn first(&mut self) {
+    pub fn record_first_event(&mut self) {
         if let Some(run) = &mut self.run {
             let now = self.state.now();
             self.state.roster.borrow_mut().first(now, run);
@@ -136,7 +136,7 @@
     }
 
     /// More events of the answer came.
-    pub fn wrote(&self, events: u64) {
+    pub fn record_events(&self, events: u64) {
         if let Some(run) = &self.run {
             self.state.roster.borrow_mut().wrote(run, events);
         }
@@ -173,23 +173,23 @@
     pub link: Link,
     /// Its share of the load.
     pub share: Share,
-    whole: Rc<Cell<bool>>,
+    body_sent: Rc<Cell<bool>>,
 }
 
 /// The connection and what is needed to keep it.
 #[derive(Debug)]
-pub struct Tail {
+pub struct Checkout {
     link: Link,
-    keep: Option<Duration>,
+    keep_alive: Option<Duration>,
     usable: bool,
 }
 
-impl Tail {
+impl Checkout {
     /// Keeps the connection for another request; the answer came whole.
-    pub fn keep(self, state: &State) {
+    pub fn release(self, state: &State) {
         if self.usable {
             let now = tokio::time::Instant::now();
-            state.pool.borrow_mut().put(self.link, now, self.keep);
+            state.pool.borrow_mut().put(self.link, now, self.keep_alive);
         }
     }
 }
@@ -197,14 +197,14 @@
 impl Sent {
     /// Takes the answer apart.
     #[must_use]
-    pub fn split(self) -> (Response<Incoming>, Reply, Share, Tail) {
-        let tail = Tail {
+    pub fn split(self) -> (Response<Incoming>, Reply, Share, Checkout) {
+        let checkout = Checkout {
             link: self.link,
-            keep: self.reply.keep_alive,
+            keep_alive: self.reply.keep_alive,
             // What is left of a body that was answered early would be read as a request.
-            usable: self.whole.get() && !self.reply.close,
+            usable: self.body_sent.get() && !self.reply.close,
         };
-        (self.response, self.reply, self.share, tail)
+        (self.response, self.reply, self.share, checkout)
     }
 }
 
@@ -222,7 +222,7 @@
 ) -> Result<Sent, (Fault, Share)> {
     let ask = job.ask(&state.domain, exclude, &Versions::Any);
     let share = Share::new(state, pick, &ask, job);
-    let whole = Rc::new(Cell::new(false));
+    let body_sent = Rc::new(Cell::new(false));
     let mut pooled = {
         let now = tokio::time::Instant::now();
         state.pool.borrow_mut().take(&pick.endpoint, now)
@@ -236,7 +236,7 @@
                 Err(fault) => return Err((fault, share)),
             },
         };
-        let request = request(state, job, pick, after, &whole);
+        let request = request(state, job, pick, after, &body_sent);
         match link.send(request).await {
             Ok(response) => {
                 let status = response.status().as_u16();
@@ -250,7 +250,7 @@
                     reply,
                     link,
                     share,
-                    whole,
+                    body_sent,
                 });
             }
             // The kept connection closed before anything was written: a fresh one decides.
@@ -265,7 +265,7 @@
     job: &Job,
     pick: &Pick,
     after: Option<&str>,
-    whole: &Rc<Cell<bool>>,
+    body_sent: &Rc<Cell<bool>>,
 ) -> Request<Payload> {
     let time_left = Time::since(job.due, state.now());
     let headers = state.adapter.request_headers(
@@ -278,16 +278,16 @@
             last_event_id: after,
         },
     );
-    let payload = Payload::new(job.body.clone(), Rc::clone(whole));
+    let payload = Payload::new(job.body.clone(), Rc::clone(body_sent));
     let mut request = Request::new(payload);
     *request.method_mut() = job.head.method.clone();
-    *request.uri_mut() = origin(&job.head.uri);
+    *request.uri_mut() = origin_form(&job.head.uri);
     *request.headers_mut() = headers;
     request
 }
 
 /// The path and query alone, as an endpoint expects them.
-fn origin(uri: &Uri) -> Uri {
+fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(Uri::default, Uri::from)
 }
--- a/coltsfoothall-forward/src/calls.rs
+++ b/coltsfoothall-forward/src/calls.rs
@@ -20,7 +20,7 @@
     Renew,
 }
 
-/// Names of the kinds in the log, in the order of [`Call::place`].
+/// Names of the kinds in the log, in the order of [`Call::index`].
 const NAMES: [&str; 11] = [
     "list_configuration",
     "list_endpoints",
@@ -36,7 +36,7 @@
 ];
 
 impl Call {
-    fn place(self) -> usize {
+    fn index(self) -> usize {
         match self {
             Self::List(keyspace) => keyspace_index(keyspace),
             Self::Watch(keyspace) => 4 + keyspace_index(keyspace),
@@ -65,7 +65,7 @@
 impl Calls {
     /// A call is made.
     pub fn count(&self, call: Call) {
-        let count = &self.counts[call.place()];
+        let count = &self.counts[call.index()];
         count.set(count.get() + 1);
     }
 }
@@ -73,8 +73,8 @@
 impl fmt::Display for Calls {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let made = NAMES.iter().zip(&self.counts);
-        for (place, (name, count)) in made.filter(|(_, count)| count.get() > 0).enumerate() {
-            let comma = if place == 0 { "" } else { "," };
+        for (index, (name, count)) in made.filter(|(_, count)| count.get() > 0).enumerate() {
+            let comma = if index == 0 { "" } else { "," };
             write!(f, "{comma}{name}:{}", count.get())?;
         }
         Ok(())
--- a/coltsfoothall-forward/src/changelog.rs
+++ b/coltsfoothall-forward/src/changelog.rs
@@ -9,7 +9,7 @@
 use crate::adapter::Item;
 
 /// Most removed registrations remembered; one that is forgotten was removed long ago.
-const REMOVED: usize = 4096;
+const MAX_REMOVED: usize = 4096;
 
 /// What became of a registration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,12 +55,12 @@
 }
 
 #[derive(Debug)]
-struct Kept {
+struct Record {
     row: Row,
     /// What it says, if it takes work.
     entry: Option<Entry>,
     /// Number of its last change of any account.
-    number: u64,
+    sequence: u64,
     /// When that was written, or earlier.
     changed: Place,
 }
@@ -79,9 +79,9 @@
 #[derive(Debug, Default)]
 pub struct Changelog {
     /// Sorted by name.
-    kept: Vec<Kept>,
-    number: u64,
-    place: Place,
+    records: Vec<Record>,
+    sequence: u64,
+    position: Place,
 }
 
 impl Changelog {
@@ -96,15 +96,15 @@
             change: Change::Registered(item.value.clone().unwrap_or_default()),
             position: item.position,
         };
-        let says = Entry {
+        let content = Entry {
             place: Place::default(),
             ..entry.clone()
         };
         match self.find(&item.name) {
-            Ok(place) if self.kept[place].entry.as_ref() == Some(&says) => {
-                self.kept[place].row = row;
+            Ok(index) if self.records[index].entry.as_ref() == Some(&content) => {
+                self.records[index].row = row;
             }
-            found => self.change(found, row, Some(says)),
+            found => self.record(found, row, Some(content)),
         }
     }
 
@@ -117,11 +117,11 @@
             position: at,
         };
         match self.find(name) {
-            Ok(place) if self.kept[place].row.position > at => {}
-            Ok(place) if matches!(self.kept[place].row.change, Change::Leaving { .. }) => {
-                self.kept[place].row.position = at;
+            Ok(index) if self.records[index].row.position > at => {}
+            Ok(index) if matches!(self.records[index].row.change, Change::Leaving { .. }) => {
+                self.records[index].row.position = at;
             }
-            found => self.change(found, row, None),
+            found => self.record(found, row, None),
         }
     }
 
@@ -133,66 +133,73 @@
             position: at,
         };
         let found = self.find(name);
-        if found.is_ok_and(|place| self.kept[place].row.position > at) {
+        if found.is_ok_and(|index| self.records[index].row.position > at) {
             return;
         }
-        self.change(found, row, None);
+        self.record(found, row, None);
         self.evict_removed();
     }
 
     /// All changes at the store up to there are in here.
-    pub fn advance_to(&mut self, place: Place) {
-        self.place = self.place.max(place);
+    pub fn advance_to(&mut self, position: Place) {
+        self.position = self.position.max(position);
     }
 
     /// The last change at the store that is in here.
     #[must_use]
     pub fn position(&self) -> Place {
-        self.place
+        self.position
     }
 
     /// What changed since then, and the number to go on from. After the number 0 it is all that
     /// is there.
     #[must_use]
     pub fn since(&self, after: Since) -> (u64, Vec<Row>) {
-        let is_news = |kept: &&Kept| match after {
-            Since::Sequence(0) => kept.row.change != Change::Removed,
-            Since::Sequence(number) => kept.number > number,
-            Since::Position(place) => kept.changed > place,
+        let is_newer = |record: &&Record| match after {
+            Since::Sequence(0) => record.row.change != Change::Removed,
+            Since::Sequence(sequence) => record.sequence > sequence,
+            Since::Position(position) => record.changed > position,
         };
-        let news = self.kept.iter().filter(is_news);
-        (self.number, news.map(|kept| kept.row.clone()).collect())
+        let newer = self.records.iter().filter(is_newer);
+        (
+            self.sequence,
+            newer.map(|record| record.row.clone()).collect(),
+        )
     }
 
-    fn change(&mut self, found: Result<usize, usize>, row: Row, entry: Option<Entry>) {
-        self.number += 1;
-        let number = self.number;
+    fn record(&mut self, found: Result<usize, usize>, row: Row, entry: Option<Entry>) {
+        self.sequence += 1;
+        let sequence = self.sequence;
         let changed = row.position;
-        let kept = Kept {
+        let record = Record {
             row,
             entry,
-            number,
+            sequence,
             changed,
         };
         match found {
-            Ok(place) => self.kept[place] = kept,
-            Err(place) => self.kept.insert(place, kept),
+            Ok(index) => self.records[index] = record,
+            Err(index) => self.records.insert(index, record),
         }
     }
 
     fn evict_removed(&mut self) {
-        let removed = |kept: &&Kept| kept.row.change == Change::Removed;
-        if self.kept.iter().filter(removed).count() <= REMOVED {
+        let removed = |record: &&Record| record.row.change == Change::Removed;
+        if self.records.iter().filter(removed).count() <= MAX_REMOVED {
             return;
         }
-        let oldest = self.kept.iter().filter(removed).map(|kept| kept.number);
+        let oldest = self
+            .records
+            .iter()
+            .filter(removed)
+            .map(|record| record.sequence);
         if let Some(oldest) = oldest.min() {
-            self.kept.retain(|kept| kept.number != oldest);
+            self.records.retain(|record| record.sequence != oldest);
         }
     }
 
     fn find(&self, name: &str) -> Result<usize, usize> {
-        self.kept
-            .binary_search_by(|kept| kept.row.name.as_str().cmp(name))
+        self.records
+            .binary_search_by(|record| record.row.name.as_str().cmp(name))
     }
 }
--- a/coltsfoothall-forward/src/compression.rs
+++ b/coltsfoothall-forward/src/compression.rs
@@ -23,14 +23,14 @@
 ///
 /// # Errors
 /// It is not a compressed value, or is larger than any message may be.
-pub fn decompress(packed: &[u8]) -> io::Result<Bytes> {
+pub fn decompress(compressed: &[u8]) -> io::Result<Bytes> {
     let mut value = Vec::new();
-    let most = limit::FRAME as u64;
-    GzDecoder::new(packed)
-        .take(most + 1)
+    let max_bytes = limit::FRAME as u64;
+    GzDecoder::new(compressed)
+        .take(max_bytes + 1)
         .read_to_end(&mut value)?;
-    if value.len() as u64 > most {
-        return Err(io::Error::other(format!("larger than {most} bytes")));
+    if value.len() as u64 > max_bytes {
+        return Err(io::Error::other(format!("larger than {max_bytes} bytes")));
     }
     Ok(Bytes::from(value))
 }
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -20,7 +20,7 @@
 use crate::upgrades;
 
 /// Time between looks for a newer configuration at other instances.
-const LOOK: Duration = Duration::from_millis(250);
+const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Follows the configuration at the store for as long as the process runs.
 pub async fn follow(state: Rc<State>) {
@@ -57,16 +57,16 @@
 pub async fn fetch_from_peers(state: Rc<State>) {
     let client = Client::new();
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(PEER_QUERY_INTERVAL).await;
         report_lag(&state);
-        if let Some(peer) = source(&state) {
+        if let Some(peer) = choose_peer(&state) {
             fetch_from(&state, &client, &peer).await;
         }
     }
 }
 
 /// Who is asked now, drawn anew each time: one that is slow or busy is not asked by all.
-fn source(state: &State) -> Option<Profile> {
+fn choose_peer(state: &State) -> Option<Profile> {
     let now = state.now();
     let waits = state.version() > 0 && !state.adoption.store_lost.get();
     if !state.adoption.lag.borrow().asks_peer(now, waits) {
--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -16,23 +16,23 @@
 use crate::state::State;
 
 /// Most sendings of one request, turned away ones included.
-const SENDINGS: usize = 5;
+const MAX_SENDS: usize = 5;
 /// One request in so many has a log line of its own for its first endpoint: at 120 requests
 /// a second that is two lines.
-const SAMPLE: u64 = 64;
+const REQUESTS_PER_CHOICE_LOG: u64 = 64;
 /// When to come back if there is no room: about one batch of short answers.
-const AGAIN: Duration = Duration::from_millis(300);
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// When to come back if no endpoint is there.
-const ABSENT: Duration = Duration::from_millis(600);
+const NO_ENDPOINT_RETRY_DELAY: Duration = Duration::from_millis(600);
 /// Times the route's aim, or the expected wait, after which an endpoint counts as silent:
 /// a lost answer then still comes within the time of most callers.
-const PATIENCE: u32 = 2;
+const SILENCE_FACTOR: u32 = 2;
 /// Times the route's aim that a first event may be expected to take.
-const LATE: f64 = 1.5;
+const MAX_FIRST_EVENT_FACTOR: f64 = 1.5;
 /// When to come back with a request that fits in no engine: only other engines would help.
-const NEVER_FITS: Duration = Duration::from_secs(30);
+const TOO_LARGE_RETRY_DELAY: Duration = Duration::from_secs(30);
 /// Patience with an endpoint where no other could answer.
-const WAIT: Duration = Duration::from_secs(30);
+const LAST_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What is known of a request's sendings so far.
 #[derive(Debug, Default)]
@@ -40,24 +40,24 @@
     /// Endpoints that failed it or turned it away.
     pub exclude: Vec<id::Endpoint>,
     /// Sendings.
-    pub sendings: usize,
+    pub sends: usize,
     /// Sendings that may have run.
     pub runs: u32,
 }
 
 /// How long to wait for the head of an answer that another endpoint could give too. One
 /// that may run only once, or has no attempt left, waits until it is due.
-fn patience(job: &Job, trail: &Trail, pick: &Pick) -> Duration {
+fn response_timeout(job: &Job, trail: &Trail, pick: &Pick) -> Duration {
     let last = trail.runs + 1 >= job.route.attempts;
     if last || !job.route.kind.repeats() {
-        return WAIT;
+        return LAST_ATTEMPT_TIMEOUT;
     }
-    job.route.aim.duration().max(pick.wait) * PATIENCE
+    job.route.aim.duration().max(pick.wait) * SILENCE_FACTOR
 }
 
 /// Whether an engine is so far behind that the first event would be worth little.
 fn is_late(job: &Job, pick: &Pick) -> bool {
-    job.memory.is_some() && pick.wait > job.route.aim.duration().mul_f64(LATE)
+    job.memory.is_some() && pick.wait > job.route.aim.duration().mul_f64(MAX_FIRST_EVENT_FACTOR)
 }
 
 /// Whether a request that may have run can go to one more endpoint.
@@ -67,7 +67,7 @@
 
 /// Whether to give up an endpoint that is silent and may still answer: only if another one has
 /// room for the request now, and a retry is left, which is taken.
-pub fn takes_over(state: &State, job: &Job, trail: &Trail, silent: &id::Endpoint) -> bool {
+pub fn take_over(state: &State, job: &Job, trail: &Trail, silent: &id::Endpoint) -> bool {
     let mut exclude = trail.exclude.clone();
     exclude.push(silent.clone());
     choose(state, job, &exclude).is_ok() && may_repeat(state, job, trail)
@@ -99,15 +99,15 @@
     after: Option<&str>,
 ) -> Option<Result<Sent, (Fault, Share)>> {
     let exclude = trail.exclude.clone();
-    let patience = patience(job, trail, pick);
+    let response_timeout = response_timeout(job, trail, pick);
     let mut sending = pin!(attempt::send(state, job, pick, &exclude, after));
     loop {
-        if let Ok(outcome) = tokio::time::timeout(patience, sending.as_mut()).await {
+        if let Ok(outcome) = tokio::time::timeout(response_timeout, sending.as_mut()).await {
             return Some(outcome);
         }
         // It may run there.
         trail.runs += 1;
-        if takes_over(state, job, trail, &pick.endpoint) {
+        if take_over(state, job, trail, &pick.endpoint) {
             return None;
         }
         trail.runs -= 1;
@@ -115,9 +115,9 @@
 }
 
 /// Logs where a request goes: each second sending, and the first of one request in
-/// [`SAMPLE`], the same ones at all instances.
-fn tell_choice(state: &State, job: &Job, trail: &Trail, pick: &Pick) {
-    if trail.sendings == 1 && !xxh3_64(job.id().as_bytes()).is_multiple_of(SAMPLE) {
+/// [`REQUESTS_PER_CHOICE_LOG`], the same ones at all instances.
+fn log_choice(state: &State, job: &Job, trail: &Trail, pick: &Pick) {
+    if trail.sends == 1 && !xxh3_64(job.id().as_bytes()).is_multiple_of(REQUESTS_PER_CHOICE_LOG) {
         return;
     }
     event::CHOSEN.emit(format_args!(
@@ -128,7 +128,7 @@
         pick.among,
         pick.wait.as_millis(),
         pick.unread.0,
-        trail.sendings,
+        trail.sends,
         trail.exclude.len(),
         state.roster.borrow().pace(&job.service),
     ));
@@ -148,23 +148,31 @@
     loop {
         let pick = match choose(state, job, &trail.exclude) {
             // An answer that comes late anyway makes others late too; this one has not run.
-            Ok(pick) if trail.sendings == 0 && is_late(job, &pick) => {
-                let again = pick.wait.saturating_sub(job.route.aim.duration() / 2);
-                return Err(unavailable("all endpoints are behind", again.max(AGAIN)));
+            Ok(pick) if trail.sends == 0 && is_late(job, &pick) => {
+                let retry_after = pick.wait.saturating_sub(job.route.aim.duration() / 2);
+                return Err(unavailable(
+                    "all endpoints are behind",
+                    retry_after.max(FULL_RETRY_DELAY),
+                ));
             }
             Ok(pick) => pick,
             Err(_) if trail.runs > 0 => return Err(bad_gateway("no other endpoint")),
-            Err(Nobody::Full) => return Err(unavailable("all endpoints are full", AGAIN)),
-            Err(Nobody::Absent) => return Err(unavailable("no endpoint", ABSENT)),
+            Err(Nobody::Full) => {
+                return Err(unavailable("all endpoints are full", FULL_RETRY_DELAY));
+            }
+            Err(Nobody::Absent) => return Err(unavailable("no endpoint", NO_ENDPOINT_RETRY_DELAY)),
             Err(Nobody::Large) => {
-                return Err(unavailable("larger than an engine's memory", NEVER_FITS));
+                return Err(unavailable(
+                    "larger than an engine's memory",
+                    TOO_LARGE_RETRY_DELAY,
+                ));
             }
         };
-        if trail.sendings == 0 {
+        if trail.sends == 0 {
             state.count_sent(&job.service);
         }
-        trail.sendings += 1;
-        tell_choice(state, job, trail, &pick);
+        trail.sends += 1;
+        log_choice(state, job, trail, &pick);
         let Some(outcome) = send(state, job, &pick, trail, after).await else {
             event::BROKE_OFF.emit(format_args!(
                 "request={} endpoint={} reason=silent expected_ms={}",
@@ -181,7 +189,7 @@
                 "another endpoint has the address"
             }
             Ok(sent) if sent.reply.not_run => {
-                let (_response, _reply, share, _tail) = sent.split();
+                let (_response, _reply, share, _checkout) = sent.split();
                 share.end(End::Refused);
                 "turned away"
             }
@@ -191,7 +199,7 @@
             }
             Err((Fault::Unsent(_reason), share)) => {
                 share.end(End::Unreachable);
-                if trail.sendings < SENDINGS {
+                if trail.sends < MAX_SENDS {
                     trail.exclude.push(pick.endpoint);
                     continue;
                 }
@@ -215,11 +223,11 @@
             }
         };
         trail.exclude.push(pick.endpoint);
-        if trail.sendings >= SENDINGS || !state.may_retry(&job.service) {
+        if trail.sends >= MAX_SENDS || !state.may_retry(&job.service) {
             return Err(if trail.runs > 0 {
                 bad_gateway(reason)
             } else {
-                unavailable(reason, AGAIN)
+                unavailable(reason, FULL_RETRY_DELAY)
             });
         }
     }
--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -20,31 +20,31 @@
 use crate::upgrades::Driver;
 
 /// Term of a registration; a killed instance counts as a member for so long at most.
-const TERM: Duration = Duration::from_secs(6);
+const REGISTRATION_TTL: Duration = Duration::from_secs(6);
 /// Time between renewals of a registration.
-const RENEW: Duration = Duration::from_secs(2);
+const RENEW_INTERVAL: Duration = Duration::from_secs(2);
 /// Time over which registrations that have to be made anew are spread: 330 instances make 660
 /// writes a second then, a fifth of the store's rate, and callers keep addresses for longer.
-const SPREAD: Duration = Duration::from_millis(1_000);
+const MAX_REGISTRATION_JITTER: Duration = Duration::from_millis(1_000);
 /// Time between looks at the election; a third of the shortest term.
-const LOOK: Duration = Duration::from_millis(300);
+const TICK_INTERVAL: Duration = Duration::from_millis(300);
 /// Wait after a window's end until its counts have surely arrived here.
-const SETTLE: Duration = Duration::from_millis(1_200);
+const WINDOW_SETTLE_DELAY: Duration = Duration::from_millis(1_200);
 /// Time between notes of the counts: what is lost with all instances at once is as much.
-const NOTE: Duration = Duration::from_millis(800);
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(800);
 /// Name of that note.
-const COUNTS: &str = "tally";
+const SNAPSHOT_NAME: &str = "tally";
 /// Notes of reports that are kept at the store.
-const NOTES: u64 = 6;
+const MAX_KEPT_REPORTS: u64 = 6;
 
 /// Keeps this instance registered until it stops.
 pub async fn register(state: Rc<State>) {
     let mut lease: Option<Lease> = None;
     while !state.stopping.is_cancelled() {
-        let former = lease.take_if(|lease| Some(lease.era) < state.era());
-        if former.is_some() {
+        let outdated = lease.take_if(|lease| Some(lease.era) < state.era());
+        if outdated.is_some() {
             // All instances find their registration gone in the same moment.
-            pause(&state, SPREAD.mul_f64(rand::random())).await;
+            pause(&state, MAX_REGISTRATION_JITTER.mul_f64(rand::random())).await;
             continue;
         }
         let asked = state.now();
@@ -53,7 +53,7 @@
                 state.calls.count(Call::Renew);
                 state.adapter.renew_lease(lease).await
             }
-            None => match enter(&state).await {
+            None => match create_registration(&state).await {
                 Ok(taken) => {
                     lease = Some(taken);
                     Ok(())
@@ -67,14 +67,14 @@
             matches!(outcome, Ok(()) | Err(Error::Missing(_))),
         );
         let wait = match outcome {
-            Ok(()) => renew_after(&state),
+            Ok(()) => renew_interval(&state),
             Err(Error::Missing(_)) => {
                 lease = None;
-                LOOK
+                TICK_INTERVAL
             }
             Err(error) => {
                 event::STORE_FAILED.emit(format_args!("step=register reason={error:?}"));
-                LOOK * 3
+                TICK_INTERVAL * 3
             }
         };
         state.refresh_era();
@@ -89,11 +89,11 @@
 
 /// Time until the next renewal. Its answer also shows others how old is what a reader of
 /// registrations tells them.
-fn renew_after(state: &State) -> Duration {
+fn renew_interval(state: &State) -> Duration {
     if registrations::reads_for_others(state) {
-        RENEW.min(registrations::budget(state).oldest / 2)
+        RENEW_INTERVAL.min(registrations::budget(state).oldest / 2)
     } else {
-        RENEW
+        RENEW_INTERVAL
     }
 }
 
@@ -106,9 +106,9 @@
     }
 }
 
-async fn enter(state: &State) -> Result<Lease, Error> {
+async fn create_registration(state: &State) -> Result<Lease, Error> {
     state.calls.count(Call::Lease);
-    let lease = state.adapter.grant_lease(TERM).await?;
+    let lease = state.adapter.grant_lease(REGISTRATION_TTL).await?;
     let profile = serde_json::to_vec(&state.profile())
         .map_err(|error| Error::Format("register", error.to_string()))?;
     let name = format!("live/{MEMBER_PREFIX}{}", state.name);
@@ -127,7 +127,7 @@
 pub async fn campaign(state: Rc<State>) {
     let mut renew_at = Time::START;
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         state.refresh_era();
         let now = time::boot();
         let rank = {
@@ -153,7 +153,7 @@
 pub async fn run_leader(state: Rc<State>) {
     let mut term: Option<Term> = None;
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         let Some(fence) = state.fence() else {
             term = None;
             continue;
@@ -162,8 +162,8 @@
             Some(term) if term.fence == fence => term,
             other => other.insert(Term::new(fence)),
         };
-        term.driver.advance(&state).await;
-        term.reporter.report(&state).await;
+        term.driver.tick(&state).await;
+        term.reporter.tick(&state).await;
         term.autoscaler.tick(&state).await;
     }
 }
@@ -251,31 +251,31 @@
 #[derive(Debug, Default)]
 struct Reporter {
     /// Whether the notes of the holder before were read.
-    informed: bool,
+    restored: bool,
     /// When the counts were noted last.
-    noted: Time,
+    saved_at: Time,
 }
 
 impl Reporter {
     /// Takes over the counts that the holder before noted, and notes them from now on, so
     /// that they outlast the loss of all instances at once.
-    async fn keep_counts(&mut self, state: &State) -> Result<(), Error> {
-        if !self.informed {
+    async fn save_counts(&mut self, state: &State) -> Result<(), Error> {
+        if !self.restored {
             state.calls.count(Call::List(Keyspace::Notes));
             let listing = state.adapter.list(Keyspace::Notes).await?;
-            let item = listing.items.iter().find(|item| item.name == COUNTS);
+            let item = listing.items.iter().find(|item| item.name == SNAPSHOT_NAME);
             if let Some(value) = item.and_then(|item| item.value.as_ref()) {
                 let snapshot: Snapshot = rmp_serde::from_slice(value)
                     .map_err(|error| Error::Format("read counts", error.to_string()))?;
                 state.usage.borrow_mut().restore(&snapshot);
             }
-            self.informed = true;
+            self.restored = true;
         }
         let now = state.now();
-        if now.since(self.noted) < NOTE {
+        if now.since(self.saved_at) < SNAPSHOT_INTERVAL {
             return Ok(());
         }
-        self.noted = now;
+        self.saved_at = now;
         let window = {
             let time = state.true_time();
             state.usage.borrow().window(time)
@@ -284,20 +284,20 @@
         let value = rmp_serde::to_vec(&snapshot)
             .map_err(|error| Error::Format("note counts", error.to_string()))?;
         let write = Write {
-            puts: vec![(format!("notes/{COUNTS}"), value.into(), None)],
+            puts: vec![(format!("notes/{SNAPSHOT_NAME}"), value.into(), None)],
             ..Write::default()
         };
         state.calls.count(Call::Write);
         state.adapter.write(write).await.map(drop)
     }
 
-    async fn report(&mut self, state: &State) {
+    async fn tick(&mut self, state: &State) {
         if !state.settings().duties.iter().any(|duty| duty == "usage") {
             return;
         }
-        if let Err(error) = self.keep_counts(state).await {
+        if let Err(error) = self.save_counts(state).await {
             event::STORE_FAILED.emit(format_args!("step=counts reason={error:?}"));
-            if !self.informed {
+            if !self.restored {
                 return;
             }
         }
@@ -315,7 +315,7 @@
         let from = state.reported().map_or(first, |done| (done + 1).max(first));
         for window in from..current {
             let end = state.usage.borrow().end(window);
-            if time < end + SETTLE {
+            if time < end + WINDOW_SETTLE_DELAY {
                 return;
             }
             match self.send(state, window).await {
@@ -335,7 +335,7 @@
     async fn send(&mut self, state: &State, window: u64) -> Result<(), Error> {
         let counts = state.usage.borrow().sum(window);
         let fence = state.fence().ok_or(Error::Conflict("report"))?;
-        let counts = note(state, window, counts).await?;
+        let counts = store_report(state, window, counts).await?;
         let fence = state
             .fence()
             .filter(|now| *now == fence)
@@ -354,7 +354,7 @@
     }
 }
 
-async fn note(state: &State, window: u64, counts: Vec<Count>) -> Result<Vec<Count>, Error> {
+async fn store_report(state: &State, window: u64, counts: Vec<Count>) -> Result<Vec<Count>, Error> {
     let name = format!("usage/{window}");
     let key = format!("notes/{name}");
     let value =
@@ -362,7 +362,10 @@
     let write = Write {
         absent: vec![key.clone()],
         puts: vec![(key, value.into(), None)],
-        deletes: vec![format!("notes/usage/{}", window.saturating_sub(NOTES))],
+        deletes: vec![format!(
+            "notes/usage/{}",
+            window.saturating_sub(MAX_KEPT_REPORTS)
+        )],
     };
     state.calls.count(Call::Write);
     match state.adapter.write(write).await {
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -13,25 +13,25 @@
 use crate::calls::Call;
 use crate::state::State;
 
-/// Wait after a failed call, doubled up to [`LONGEST_PAUSE`]: refused calls are paid for, and
+/// Wait after a failed call, doubled up to [`MAX_RETRY_DELAY`]: refused calls are paid for, and
 /// the store's rate is shared by all instances.
-const PAUSE: Duration = Duration::from_millis(250);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Wait after an answer from another era than was asked for.
-const CONFUSED: Duration = Duration::from_millis(50);
+const ERA_MISMATCH_DELAY: Duration = Duration::from_millis(50);
 /// Longest wait: what the store says must be in force two seconds after it is back.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 /// A store that was away for so long may have let registrations lapse.
 pub const OUTAGE_THRESHOLD: Duration = Duration::from_millis(900);
 /// Rest between two readings of endpoints' registrations: a sixth of the time in which
 /// leaving endpoints must get no more work, to save calls while heartbeats change them.
-const ENDPOINTS_REST: Duration = Duration::from_millis(350);
+const ENDPOINTS_POLL_DELAY: Duration = Duration::from_millis(350);
 /// Rest after a change of the configuration, for several in quick succession.
-const CONFIGURATION_REST: Duration = Duration::from_millis(50);
+const CONFIGURATION_POLL_DELAY: Duration = Duration::from_millis(50);
 /// Most by which that rest grows.
-const LONGEST_REST: u32 = 3;
+const MAX_CONFIGURATION_POLL_FACTOR: u32 = 3;
 /// Part of the time in which leaving endpoints must get no more work that an instance may
 /// rest: the call after it and news from others have the other half.
-const RESTED_OF_DRAIN: u32 = 2;
+const DRAIN_DIVISOR: u32 = 2;
 
 /// What a call brought.
 #[derive(Debug)]
@@ -47,33 +47,33 @@
 pub struct Follower {
     keyspace: Keyspace,
     /// When the first call was made that got no answer since the last one that did.
-    lost: Option<Time>,
+    failing_since: Option<Time>,
     /// The last change that is known; none before a whole list was read.
-    after: Option<Place>,
-    pause: Duration,
+    position: Option<Place>,
+    retry_delay: Duration,
 }
 
 impl Follower {
     /// One that goes on from a place up to which all is known; none if nothing is.
     #[must_use]
-    pub fn new(keyspace: Keyspace, after: Option<Place>) -> Self {
+    pub fn new(keyspace: Keyspace, position: Option<Place>) -> Self {
         Self {
             keyspace,
-            lost: None,
-            after,
-            pause: PAUSE,
+            failing_since: None,
+            position,
+            retry_delay: MIN_RETRY_DELAY,
         }
     }
 
     /// The place up to which all is known.
     #[must_use]
     pub fn position(&self) -> Option<Place> {
-        self.after
+        self.position
     }
 
     /// The next call reads the values that stand there now, and no history.
     pub fn reset(&mut self) {
-        self.after = None;
+        self.position = None;
     }
 
     /// Makes one call; what it brings, if it brings anything.
@@ -81,11 +81,11 @@
         let keyspace = self.keyspace;
         let asked = state.now();
         let replaced = |after: &mut Place| Some(after.era) < state.era();
-        if self.after.take_if(replaced).is_some() {
+        if self.position.take_if(replaced).is_some() {
             event::STORE.emit(format_args!("realm={keyspace:?} state=history_replaced"));
         }
         let call = async {
-            match self.after {
+            match self.position {
                 None => {
                     state.calls.count(Call::List(keyspace));
                     state.adapter.list(keyspace).await
@@ -105,18 +105,18 @@
         match outcome {
             // It is from before the store came back, or goes on in a history that it does not
             // begin in.
-            Ok(listing) if !is_current(state, self.after, &listing) => {
-                self.after = None;
-                tokio::time::sleep(CONFUSED).await;
+            Ok(listing) if !is_current(state, self.position, &listing) => {
+                self.position = None;
+                tokio::time::sleep(ERA_MISMATCH_DELAY).await;
             }
             Ok(listing) => return Some(self.accept(state, asked, listing)),
             Err(Error::Dropped(_)) => {
                 event::STORE.emit(format_args!("realm={keyspace:?} state=history_dropped"));
-                self.after = None;
+                self.position = None;
             }
             Err(error) => {
-                if self.lost.is_none() {
-                    self.lost = Some(asked);
+                if self.failing_since.is_none() {
+                    self.failing_since = Some(asked);
                     event::STORE.emit(format_args!(
                         "realm={keyspace:?} state=lost reason={error:?}"
                     ));
@@ -129,8 +129,8 @@
                     }
                     Keyspace::Live | Keyspace::Notes => {}
                 }
-                state.health.wait_to_retry(self.pause).await;
-                self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+                state.health.wait_to_retry(self.retry_delay).await;
+                self.retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY);
             }
         }
         None
@@ -138,9 +138,9 @@
 
     fn accept(&mut self, state: &State, asked: Time, listing: Listing) -> Update {
         let keyspace = self.keyspace;
-        let complete = self.after.is_none();
-        self.pause = PAUSE;
-        if let Some(since) = self.lost.take() {
+        let complete = self.position.is_none();
+        self.retry_delay = MIN_RETRY_DELAY;
+        if let Some(since) = self.failing_since.take() {
             let away = asked.since(since);
             event::STORE.emit(format_args!(
                 "realm={keyspace:?} state=back away_ms={}",
@@ -162,15 +162,15 @@
             }
             Keyspace::Live | Keyspace::Notes => {}
         }
-        self.after = Some(listing.position);
+        self.position = Some(listing.position);
         Update { listing, complete }
     }
 }
 
 /// Whether a listing is of the newest era, and of the one that it was asked in.
-fn is_current(state: &State, after: Option<Place>, listing: &Listing) -> bool {
+fn is_current(state: &State, position: Option<Place>, listing: &Listing) -> bool {
     let era = listing.position.era;
-    Some(era) >= state.era() && after.is_none_or(|after| after.era == era)
+    Some(era) >= state.era() && position.is_none_or(|position| position.era == era)
 }
 
 /// How long an instance rests after a change, longer in a large fleet. What one reads in its
@@ -178,12 +178,14 @@
 pub fn poll_delay(state: &State, keyspace: Keyspace) -> Duration {
     let turns = turn::turns(state.reach().members as usize, TOGETHER) as u32;
     match keyspace {
-        Keyspace::Configuration => CONFIGURATION_REST * turns.min(LONGEST_REST),
+        Keyspace::Configuration => {
+            CONFIGURATION_POLL_DELAY * turns.min(MAX_CONFIGURATION_POLL_FACTOR)
+        }
         // Others wait for what this one reads.
-        Keyspace::Endpoints if !state.reads_directly() => ENDPOINTS_REST,
+        Keyspace::Endpoints if !state.reads_directly() => ENDPOINTS_POLL_DELAY,
         Keyspace::Endpoints => {
-            let longest = state.settings().bounds.drain.duration() / RESTED_OF_DRAIN;
-            (ENDPOINTS_REST * turns).min(longest.max(ENDPOINTS_REST))
+            let max_delay = state.settings().bounds.drain.duration() / DRAIN_DIVISOR;
+            (ENDPOINTS_POLL_DELAY * turns).min(max_delay.max(ENDPOINTS_POLL_DELAY))
         }
         Keyspace::Live => {
             let rank = state.peers.borrow().rank(state.now());
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -29,21 +29,21 @@
 /// Time between two turns of heartbeats. In a small fleet each one goes to all, so that
 /// load and rates are as old; in a large one the turns take the others by parts, so that
 /// one instance never handles more than 160 heartbeats a second each way.
-const EVERY: Duration = Duration::from_millis(100);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between two turns before a stop: what a link of 10 Mbit/s needs for one.
-const HURRY: Duration = Duration::from_millis(20);
+const BROADCAST_DELAY: Duration = Duration::from_millis(20);
 /// Profiles of others in one heartbeat; they spread who is there.
-const INTRODUCED: usize = 4;
+const MAX_INTRODUCED: usize = 4;
 /// Rows of each list that heartbeats of one turn hold, shared by the turns that a fleet
 /// takes. After a crash of 20 endpoints the evidence alone was tens of kB in each
 /// heartbeat, more than links of 10 Mbit/s carry, and a fleet of 60 fell silent.
-const ROWS: usize = 64;
+const MAX_ROWS: usize = 64;
 /// Heartbeats to each instance that tell where a part was sent, as some are lost.
-const REPEATED: u32 = 2;
+const HEARTBEATS_PER_PLACEMENT: u32 = 2;
 /// Windows whose counts are told: a report is due two windows after its window's end.
-const WINDOWS: u64 = 3;
+const REPORTED_WINDOWS: u64 = 3;
 /// Largest datagram taken.
-const LARGEST: usize = 60_000;
+const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// A heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -71,11 +71,11 @@
 
 impl Heartbeat {
     /// The state as one round of turns tells it: each target has to hear of all in time.
-    fn now(state: &State, round: usize) -> Self {
+    fn build(state: &State, round: usize) -> Self {
         let now = state.now();
         let turns = turn::turns(state.reach().members as usize, TOGETHER);
-        let rows = ROWS / turns;
-        let span = EVERY * (turns as u32 + 1) * REPEATED;
+        let rows = MAX_ROWS / turns;
+        let span = HEARTBEAT_INTERVAL * (turns as u32 + 1) * HEARTBEATS_PER_PLACEMENT;
         let window = {
             let time = state.true_time();
             state.usage.borrow().window(time)
@@ -84,14 +84,17 @@
         let introduced = {
             let peers = state.peers.borrow();
             let profiles = peers.profiles(now).into_iter().cloned();
-            profiles.choose_multiple(&mut rand::rng(), INTRODUCED)
+            profiles.choose_multiple(&mut rand::rng(), MAX_INTRODUCED)
         };
         Self {
             profile: state.profile(),
             introduced,
             loads: state.roster.borrow().own(),
             spent: state.rate_limiter.borrow().spent(),
-            counts: state.usage.borrow().own(window.saturating_sub(WINDOWS)),
+            counts: state
+                .usage
+                .borrow()
+                .own(window.saturating_sub(REPORTED_WINDOWS)),
             ended: turn::due(&state.departures(), rows, round),
             work: state.roster.borrow().work().to_vec(),
             failed: turn::due(&state.roster.borrow().failed(), rows, round),
@@ -109,7 +112,7 @@
     let targets = targets(state);
     for turn in 0..turn::turns(targets.len(), TOGETHER) {
         if turn > 0 {
-            tokio::time::sleep(HURRY).await;
+            tokio::time::sleep(BROADCAST_DELAY).await;
         }
         send(state, socket, &targets, turn).await;
     }
@@ -118,7 +121,7 @@
 /// Sends a heartbeat to those of the targets that are due in a turn.
 async fn send(state: &State, socket: &UdpSocket, targets: &[SocketAddr], turn: usize) {
     let round = turn / turn::turns(targets.len(), TOGETHER);
-    let heartbeat = Heartbeat::now(state, round);
+    let heartbeat = Heartbeat::build(state, round);
     let Ok(bytes) = rmp_serde::to_vec(&heartbeat) else {
         // Unreachable: the message has no types that the format refuses.
         return;
@@ -135,7 +138,7 @@
     for turn in 0.. {
         let targets = targets(&state);
         send(&state, &socket, &targets, turn).await;
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         expire(&state);
         upgrades::judge(&state);
     }
@@ -168,18 +171,18 @@
 
 /// Hears heartbeats for as long as the process runs.
 pub async fn receive_heartbeats(state: Rc<State>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; LARGEST];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (len, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
                 event::LINK_FAILED.emit(format_args!("step=receive reason={error:?}"));
-                tokio::time::sleep(EVERY).await;
+                tokio::time::sleep(HEARTBEAT_INTERVAL).await;
                 continue;
             }
         };
         match rmp_serde::from_slice::<Heartbeat>(&buffer[..len]) {
-            Ok(heartbeat) => hear(&state, heartbeat),
+            Ok(heartbeat) => receive(&state, heartbeat),
             Err(error) => {
                 event::LINK_FAILED.emit(format_args!("peer={from} reason={:?}", error.to_string()));
             }
@@ -187,7 +190,7 @@
     }
 }
 
-fn hear(state: &State, heartbeat: Heartbeat) {
+fn receive(state: &State, heartbeat: Heartbeat) {
     let now = state.now();
     let boot = heartbeat.profile.boot;
     if boot == state.boot {
--- a/coltsfoothall-forward/src/health.rs
+++ b/coltsfoothall-forward/src/health.rs
@@ -38,8 +38,8 @@
 
     /// Waits before a call that failed is made again: while renewals fail too, they alone find
     /// out when the store is back.
-    pub async fn wait_to_retry(&self, pause: Duration) {
-        tokio::time::sleep(pause).await;
+    pub async fn wait_to_retry(&self, delay: Duration) {
+        tokio::time::sleep(delay).await;
         if self.failing_since.get().is_some() {
             // The call itself is the test if a renewal has not answered by then.
             let _elapsed = tokio::time::timeout(MAX_RECOVERY_WAIT, self.recovered()).await;
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -28,11 +28,11 @@
 use crate::stop;
 
 /// When to come back if nothing is known yet.
-const UNREADY: Duration = Duration::from_millis(600);
+const NOT_READY_RETRY_DELAY: Duration = Duration::from_millis(600);
 /// When to come back with a request whose like crashed endpoints.
-const POISONOUS: Duration = Duration::from_secs(30);
+const POISONOUS_RETRY_DELAY: Duration = Duration::from_secs(30);
 /// Wait of a caller that names none.
-const WAIT: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Callers' requests.
 #[derive(Debug)]
@@ -43,9 +43,9 @@
         let configuration = self.0.configuration();
         let limits = configuration.map_or_else(Default::default, |have| have.table.limits);
         Limits {
-            head: limits.head,
-            head_wait: limits.head_wait,
-            idle: limits.idle,
+            max_head_bytes: limits.head,
+            head_timeout: limits.head_wait,
+            idle_timeout: limits.idle,
         }
     }
 
@@ -120,7 +120,7 @@
     begun: Time,
     refusal: &Refusal,
 ) -> Response<Outgoing> {
-    let (status, reason, again) = refusal.parts();
+    let (status, reason, retry_after) = refusal.parts();
     event::REFUSED.emit(format_args!(
         "request={} path={path} status={} reason={reason:?} ms={} version={}",
         id.unwrap_or("-"),
@@ -128,7 +128,7 @@
         state.now().since(begun).as_millis(),
         state.version(),
     ));
-    let headers = state.adapter.own_headers(id, again);
+    let headers = state.adapter.own_headers(id, retry_after);
     answer(
         status,
         headers,
@@ -146,12 +146,16 @@
     begun: Time,
 ) -> Result<Job, Refusal> {
     let Some(configuration) = state.configuration() else {
-        return Err(unavailable("no configuration yet", UNREADY));
+        return Err(unavailable("no configuration yet", NOT_READY_RETRY_DELAY));
     };
     let table = configuration.table;
-    let route = find(&table, &head)?;
+    let route = find_route(&table, &head)?;
     let (workspace, rank) = identify(&table, route, &call)?;
-    let due = begun + call.wait.unwrap_or(WAIT).min(route.timeout.duration());
+    let due = begun
+        + call
+            .timeout
+            .unwrap_or(DEFAULT_TIMEOUT)
+            .min(route.timeout.duration());
     let read = body::read(content, table.limits.body);
     let body = match tokio::time::timeout_at(state.clock.instant(due), read).await {
         Ok(Ok(body)) => body,
@@ -174,11 +178,17 @@
     let print = Print::of_call(holder, head.method.as_str(), asked, &body);
     let verdict = state.suspicions.borrow().verdict(state.now(), print);
     if verdict == Verdict::Poisonous {
-        return Err(unavailable("such requests crashed endpoints", POISONOUS));
+        return Err(unavailable(
+            "such requests crashed endpoints",
+            POISONOUS_RETRY_DELAY,
+        ));
     }
     let draw = xxh3_64(call.id.as_deref().unwrap_or_default().as_bytes());
     let Some(service) = route.target(draw).cloned() else {
-        return Err(unavailable("the route has no service", UNREADY));
+        return Err(unavailable(
+            "the route has no service",
+            NOT_READY_RETRY_DELAY,
+        ));
     };
     let engine = table
         .service(&service)
@@ -229,7 +239,7 @@
     ))
 }
 
-fn find<'a>(
+fn find_route<'a>(
     table: &'a Table,
     head: &http::request::Parts,
 ) -> Result<&'a std::sync::Arc<Route>, Refusal> {
@@ -274,7 +284,7 @@
             .await
         {
             Ok(sent) => sent?,
-            Err(_elapsed) => return Err(give_up(state, &job)),
+            Err(_elapsed) => return Err(time_out(state, &job)),
         };
         let end = tokio::time::timeout_at(due, relay::answer(state, &job, sent, &mut trail)).await;
         match end {
@@ -284,13 +294,13 @@
                     return failure.answer.ok_or(failure.refusal);
                 }
             }
-            Err(_elapsed) => return Err(give_up(state, &job)),
+            Err(_elapsed) => return Err(time_out(state, &job)),
         }
     }
 }
 
 /// No answer came in time: it takes longer than that.
-fn give_up(state: &State, job: &Job) -> Refusal {
+fn time_out(state: &State, job: &Job) -> Refusal {
     state.record_duration(&job.route, job.begun);
     timed_out()
 }
--- a/coltsfoothall-forward/src/listen.rs
+++ b/coltsfoothall-forward/src/listen.rs
@@ -27,19 +27,19 @@
 use crate::socket;
 
 /// Pause after a failed accept, so that a lack of descriptors does not become a busy loop.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Buffer of a connection; a head of the largest size must fit.
-const BUFFER: usize = 32 << 10;
+const MIN_BUFFER_BYTES: usize = 32 << 10;
 
 /// Limits of connections, read anew for each.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Most bytes of a head.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Time for a whole head.
-    pub head_wait: Duration,
+    pub head_timeout: Duration,
     /// Time without a request.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// What answers the requests of a listener.
@@ -87,7 +87,7 @@
                 let serving = serve(stream, Rc::clone(&handler), closing.clone());
                 connections.open.spawn_local(serving);
             }
-            Err(_transient) => tokio::time::sleep(PAUSE).await,
+            Err(_transient) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -99,7 +99,7 @@
     }
     let limits = handler.limits();
     let connection = Rc::new(Connection::new());
-    let watched = Watched {
+    let timed = TimedStream {
         stream,
         connection: Rc::clone(&connection),
         limits,
@@ -115,18 +115,18 @@
         }
     });
     let serving = http1::Builder::new()
-        .max_header_size(limits.head)
-        .max_buf_size(limits.head.max(BUFFER))
+        .max_header_size(limits.max_head_bytes)
+        .max_buf_size(limits.max_head_bytes.max(MIN_BUFFER_BYTES))
         .auto_date_header(false)
-        .serve_connection(TokioIo::new(watched), service);
+        .serve_connection(TokioIo::new(timed), service);
     let mut serving = std::pin::pin!(serving);
-    let mut told = false;
+    let mut shutting_down = false;
     loop {
         tokio::select! {
             // How a connection ends concerns that caller alone.
             _ended = serving.as_mut() => return,
-            () = closing.cancelled(), if !told => {
-                told = true;
+            () = closing.cancelled(), if !shutting_down => {
+                shutting_down = true;
                 serving.as_mut().graceful_shutdown();
             }
         }
@@ -144,7 +144,7 @@
 }
 
 /// Bytes of a line that matter: the longest name looked for, and its colon.
-const LINE: usize = 20;
+const MAX_LINE_PREFIX_BYTES: usize = 20;
 
 impl Scan {
     /// Takes the next bytes; true once the head shows two framings.
@@ -156,7 +156,7 @@
             if *byte == b'\n' {
                 self.end_line();
                 self.line.clear();
-            } else if self.line.len() < LINE {
+            } else if self.line.len() < MAX_LINE_PREFIX_BYTES {
                 self.line.push(byte.to_ascii_lowercase());
             }
         }
@@ -171,7 +171,7 @@
 }
 
 /// A connection with its limits.
-struct Watched {
+struct TimedStream {
     stream: TcpStream,
     connection: Rc<Connection>,
     limits: Limits,
@@ -179,13 +179,13 @@
     scan: Scan,
 }
 
-impl Watched {
+impl TimedStream {
     /// When the present phase has lasted too long.
     fn deadline(&self) -> Option<Instant> {
         let since = self.connection.since.get();
         match self.connection.phase.get() {
-            Phase::Idle => Some(since + self.limits.idle),
-            Phase::Head => Some(since + self.limits.head_wait),
+            Phase::Idle => Some(since + self.limits.idle_timeout),
+            Phase::Head => Some(since + self.limits.head_timeout),
             Phase::Busy => None,
         }
     }
@@ -205,13 +205,13 @@
 
     /// Bytes of an answer went out. The answer is handed over before all of it is written,
     /// and a caller who goes on reading it is not idle.
-    fn wrote(&self) {
+    fn record_write(&self) {
         if self.connection.phase.get() == Phase::Idle {
             self.connection.enter(Phase::Idle);
         }
     }
 
-    fn note(&mut self, bytes: &[u8]) {
+    fn record_read(&mut self, bytes: &[u8]) {
         if self.connection.phase.get() == Phase::Idle {
             self.connection.enter(Phase::Head);
             self.scan = Scan::default();
@@ -222,7 +222,7 @@
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for TimedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -237,20 +237,20 @@
             }
         }
         if buf.filled().len() > before {
-            self.note(&buf.filled()[before..]);
+            self.record_read(&buf.filled()[before..]);
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for TimedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let wrote = ready!(Pin::new(&mut self.stream).poll_write(cx, buf));
-        self.wrote();
+        self.record_write();
         Poll::Ready(wrote)
     }
 
@@ -268,7 +268,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let wrote = ready!(Pin::new(&mut self.stream).poll_write_vectored(cx, bufs));
-        self.wrote();
+        self.record_write();
         Poll::Ready(wrote)
     }
 
--- a/coltsfoothall-forward/src/orders.rs
+++ b/coltsfoothall-forward/src/orders.rs
@@ -14,16 +14,16 @@
 
 /// The orders for one service.
 #[derive(Debug)]
-struct Line {
+struct Entry {
     service: id::Service,
     scaling: Scaling,
-    book: Book,
+    planner: Book,
 }
 
 /// The orders for all services, begun anew by each holder from what it finds.
 #[derive(Debug, Default)]
 pub struct Autoscaler {
-    lines: Vec<Line>,
+    entries: Vec<Entry>,
 }
 
 impl Autoscaler {
@@ -44,10 +44,10 @@
 
     async fn order_service(&mut self, state: &State, service: &Service, scaling: &Scaling) {
         let now = state.now();
-        let found = found(state, &service.name, scaling);
-        let line = self.line(now, service, scaling, &found);
+        let found = count_live(state, &service.name, scaling);
+        let entry = self.entry(now, service, scaling, &found);
         let load = state.load(&service.name);
-        for order in line.book.decide(now, load, &found) {
+        for order in entry.planner.decide(now, load, &found) {
             let Some(fence) = state.fence() else {
                 return;
             };
@@ -61,41 +61,41 @@
                 .await;
             log(service, &order, load, &outcome);
             match outcome {
-                Ok(()) => line.book.taken(&order),
-                Err(Error::Conflict(_)) => line.book.refused(state.now(), &order),
+                Ok(()) => entry.planner.taken(&order),
+                Err(Error::Conflict(_)) => entry.planner.refused(state.now(), &order),
                 // It may have been done; what is missing later is ordered again.
                 Err(_unknown) => {}
             }
         }
     }
 
-    fn line(
+    fn entry(
         &mut self,
         now: Time,
         service: &Service,
         scaling: &Scaling,
         found: &[(id::Domain, Live)],
-    ) -> &mut Line {
-        let have = self
-            .lines
+    ) -> &mut Entry {
+        let known = self
+            .entries
             .iter()
-            .position(|line| line.service == service.name);
-        if let Some(place) = have
-            && self.lines[place].scaling == *scaling
+            .position(|entry| entry.service == service.name);
+        if let Some(index) = known
+            && self.entries[index].scaling == *scaling
         {
-            return &mut self.lines[place];
+            return &mut self.entries[index];
         }
-        if let Some(place) = have {
-            self.lines.remove(place);
+        if let Some(index) = known {
+            self.entries.remove(index);
         }
-        let book = Book::new(now, scaling.clone(), found, Settings::default());
-        self.lines.push(Line {
+        let planner = Book::new(now, scaling.clone(), found, Settings::default());
+        self.entries.push(Entry {
             service: service.name.clone(),
             scaling: scaling.clone(),
-            book,
+            planner,
         });
-        let last = self.lines.len() - 1;
-        &mut self.lines[last]
+        let last = self.entries.len() - 1;
+        &mut self.entries[last]
     }
 }
 
@@ -111,7 +111,7 @@
 
 /// Endpoints that take work, by domain and kind. Those that a service may be moved to are
 /// started beside the others by whoever ordered the move, and replace none yet.
-fn found(state: &State, service: &id::Service, scaling: &Scaling) -> Vec<(id::Domain, Live)> {
+fn count_live(state: &State, service: &id::Service, scaling: &Scaling) -> Vec<(id::Domain, Live)> {
     let roster = state.roster.borrow();
     let upgrades = state.upgrades.borrow();
     let candidate = upgrades.candidate(service);
--- a/coltsfoothall-forward/src/pool.rs
+++ b/coltsfoothall-forward/src/pool.rs
@@ -21,11 +21,11 @@
 use crate::socket;
 
 /// Idle time of a connection whose endpoint names none.
-const UNSAID: Duration = Duration::from_millis(900);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Taken off the idle time that an endpoint names, for the way there.
-const MARGIN: Duration = Duration::from_millis(600);
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(600);
 /// Idle connections kept for one endpoint; it bounds descriptors and memory.
-const KEPT: usize = 24;
+const MAX_IDLE_PER_ENDPOINT: usize = 24;
 
 /// A request's body, which notes when all of it was handed over.
 #[derive(Debug)]
@@ -82,7 +82,7 @@
     endpoint: id::Endpoint,
     sender: SendRequest<Payload>,
     _driver: Driver,
-    idle: Instant,
+    expires_at: Instant,
 }
 
 /// Why a request was not sent, or what became of it.
@@ -116,7 +116,7 @@
             endpoint,
             sender,
             _driver: driver,
-            idle: Instant::now(),
+            expires_at: Instant::now(),
         })
     }
 
@@ -141,7 +141,7 @@
 }
 
 #[derive(Debug)]
-struct Shelf {
+struct Group {
     endpoint: id::Endpoint,
     links: Vec<Link>,
 }
@@ -150,16 +150,16 @@
 #[derive(Debug, Default)]
 pub struct Pool {
     /// Sorted by endpoint.
-    shelves: Vec<Shelf>,
+    groups: Vec<Group>,
 }
 
 impl Pool {
     /// An idle connection that still stands.
     pub fn take(&mut self, endpoint: &id::Endpoint, now: Instant) -> Option<Link> {
-        let place = self.place(endpoint).ok()?;
-        let links = &mut self.shelves[place].links;
+        let index = self.index(endpoint).ok()?;
+        let links = &mut self.groups[index].links;
         while let Some(link) = links.pop() {
-            if link.sender.is_ready() && now < link.idle {
+            if link.sender.is_ready() && now < link.expires_at {
                 return Some(link);
             }
         }
@@ -167,31 +167,35 @@
     }
 
     /// Keeps a connection whose answer came whole; `keep` is the endpoint's own word.
-    pub fn put(&mut self, mut link: Link, now: Instant, keep: Option<Duration>) {
-        let keep = keep.map_or(UNSAID, |keep| keep.saturating_sub(MARGIN).max(keep / 2));
-        link.idle = now + keep;
+    pub fn put(&mut self, mut link: Link, now: Instant, keep_alive: Option<Duration>) {
+        let idle_timeout = keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |keep_alive| {
+            keep_alive
+                .saturating_sub(IDLE_TIMEOUT_MARGIN)
+                .max(keep_alive / 2)
+        });
+        link.expires_at = now + idle_timeout;
         let endpoint = link.endpoint.clone();
-        let place = self.place(&endpoint).unwrap_or_else(|place| {
+        let index = self.index(&endpoint).unwrap_or_else(|index| {
             let links = Vec::new();
-            self.shelves.insert(place, Shelf { endpoint, links });
-            place
+            self.groups.insert(index, Group { endpoint, links });
+            index
         });
-        let links = &mut self.shelves[place].links;
-        links.retain(|link| !link.sender.is_closed() && now < link.idle);
-        if links.len() < KEPT {
+        let links = &mut self.groups[index].links;
+        links.retain(|link| !link.sender.is_closed() && now < link.expires_at);
+        if links.len() < MAX_IDLE_PER_ENDPOINT {
             links.push(link);
         }
     }
 
     /// Closes the idle connections to an endpoint that is gone.
-    pub fn forget(&mut self, endpoint: &id::Endpoint) {
-        if let Ok(place) = self.place(endpoint) {
-            self.shelves.remove(place);
+    pub fn remove(&mut self, endpoint: &id::Endpoint) {
+        if let Ok(index) = self.index(endpoint) {
+            self.groups.remove(index);
         }
     }
 
-    fn place(&self, endpoint: &id::Endpoint) -> Result<usize, usize> {
-        self.shelves
-            .binary_search_by(|shelf| shelf.endpoint.cmp(endpoint))
+    fn index(&self, endpoint: &id::Endpoint) -> Result<usize, usize> {
+        self.groups
+            .binary_search_by(|group| group.endpoint.cmp(endpoint))
     }
 }
--- a/coltsfoothall-forward/src/refusal.rs
+++ b/coltsfoothall-forward/src/refusal.rs
@@ -24,15 +24,15 @@
     pub fn parts(&self) -> (StatusCode, &'static str, Option<Duration>) {
         match self {
             Self::Bad(status, reason) | Self::Unknown(status, reason) => (*status, reason, None),
-            Self::NotRun(status, reason, again) => (*status, reason, Some(*again)),
+            Self::NotRun(status, reason, retry_after) => (*status, reason, Some(*retry_after)),
         }
     }
 }
 
 /// A refusal: nothing ran, and there is no room.
 #[must_use]
-pub fn unavailable(reason: &'static str, again: Duration) -> Refusal {
-    Refusal::NotRun(StatusCode::SERVICE_UNAVAILABLE, reason, again)
+pub fn unavailable(reason: &'static str, retry_after: Duration) -> Refusal {
+    Refusal::NotRun(StatusCode::SERVICE_UNAVAILABLE, reason, retry_after)
 }
 
 /// An endpoint broke off a request that may have run.
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -24,12 +24,12 @@
 const STORE: &str = "store";
 const PEER: &str = "peer";
 /// Fields of a question: the number, or the place, to go on from.
-const AFTER: &str = "after";
-const PLACE: &str = "place";
+const AFTER_PARAM: &str = "after";
+const PLACE_PARAM: &str = "place";
 
 /// What an instance has heard of its reader.
 #[derive(Debug)]
-struct Heard {
+struct Cursor {
     reader: id::Instance,
     boot: u64,
     /// The number to go on from, once it was told one.
@@ -41,21 +41,21 @@
     let client = Client::new();
     let mut reading = Reading::default();
     let mut follower = Follower::new(Keyspace::Endpoints, None);
-    let mut heard: Option<Heard> = None;
+    let mut cursor: Option<Cursor> = None;
     loop {
         match (source(&state, &reading), follower.position()) {
             // What was read from the store once is not sent over a reader's link.
             (Source::Reader(reader), Some(known)) => {
                 state.registrations_as_of.set(None);
-                let had = heard.take().filter(|had| had.reader == reader);
-                let had = had.unwrap_or(Heard {
+                let had = cursor.take().filter(|had| had.reader == reader);
+                let had = had.unwrap_or(Cursor {
                     reader,
                     boot: 0,
                     next: None,
                 });
-                if let Some((now, place)) = hear(&state, &client, had, known).await {
+                if let Some((now, place)) = read_page(&state, &client, had, known).await {
                     reading.answered();
-                    heard = Some(now);
+                    cursor = Some(now);
                     follower = Follower::new(Keyspace::Endpoints, Some(place));
                     tokio::time::sleep(budget(&state).pause).await;
                 } else {
@@ -63,12 +63,12 @@
                 }
             }
             (Source::Store, _) | (Source::Reader(_), None) => {
-                heard = None;
+                cursor = None;
                 let Some(Update { listing, complete }) = follower.tick(&state).await else {
                     continue;
                 };
                 let changed = !listing.items.is_empty();
-                apply(&state, listing, complete);
+                apply_listing(&state, listing, complete);
                 if changed {
                     // Heartbeats change them all the time; one call brings many.
                     tokio::time::sleep(follower::poll_delay(&state, Keyspace::Endpoints)).await;
@@ -80,8 +80,8 @@
 
 fn source(state: &State, reading: &Reading) -> Source {
     let peers = state.peers.borrow();
-    let near = peers.near(state.now(), &state.domain);
-    let near: Vec<Candidate<'_>> = near
+    let local = peers.near(state.now(), &state.domain);
+    let local: Vec<Candidate<'_>> = local
         .iter()
         .map(|profile| Candidate {
             name: &profile.name,
@@ -93,8 +93,8 @@
         link: state.settings().link(),
     };
     let members = state.reach().members as usize;
-    let alone = state.settings().read_alone;
-    reading.source(state.now(), me, &near, members, alone)
+    let max_direct_members = state.settings().read_alone;
+    reading.source(state.now(), me, &local, members, max_direct_members)
 }
 
 /// Whether this instance is one of those that read for others.
@@ -109,13 +109,13 @@
 
 /// Takes over what a reader knows, and the place up to which all is known then; none if it does
 /// not answer, or knows nothing new enough.
-async fn hear(
+async fn read_page(
     state: &Rc<State>,
     client: &Client,
-    had: Heard,
+    had: Cursor,
     known: Place,
-) -> Option<(Heard, Place)> {
-    let lost = |reason: &str, age: Option<Duration>| {
+) -> Option<(Cursor, Place)> {
+    let log_lost = |reason: &str, age: Option<Duration>| {
         let reader = &had.reader;
         event::STORE.emit(format_args!(
             "realm=Endpoints reader={reader} state=lost reason={reason:?} age_ms={:?}",
@@ -124,24 +124,26 @@
     };
     let profile = {
         let peers = state.peers.borrow();
-        let near = peers.near(state.now(), &state.domain);
-        let found = near.into_iter().find(|peer| peer.name == had.reader);
+        let local = peers.near(state.now(), &state.domain);
+        let found = local.into_iter().find(|peer| peer.name == had.reader);
         found.cloned()?
     };
     let budget = budget(state);
     let asked = state.now();
-    let told = tell(state, client, &profile, &had, known);
-    let Ok(Some(page)) = tokio::time::timeout(budget.answer, told).await else {
-        lost("no answer", None);
+    let changes = fetch_changes(state, client, &profile, &had, known);
+    let Ok(Some(page)) = tokio::time::timeout(budget.answer, changes).await else {
+        log_lost("no answer", None);
         return None;
     };
-    let way = state.now().since(asked);
-    let age = page.age_ms.map(|age| Duration::from_millis(age) + way);
+    let round_trip = state.now().since(asked);
+    let age = page
+        .age_ms
+        .map(|age| Duration::from_millis(age) + round_trip);
     if age.is_none_or(|age| age > budget.oldest) {
-        lost("its knowledge is old", age);
+        log_lost("its knowledge is old", age);
         return None;
     }
-    let now = Heard {
+    let now = Cursor {
         boot: page.boot,
         next: Some(page.next),
         ..had
@@ -152,11 +154,11 @@
 }
 
 /// What a reader tells after what was heard of it, or after a place if it counts anew.
-async fn tell(
+async fn fetch_changes(
     state: &State,
     client: &Client,
     reader: &Profile,
-    had: &Heard,
+    had: &Cursor,
     known: Place,
 ) -> Option<Page> {
     let by_place = Since::Position(known);
@@ -171,8 +173,8 @@
 /// Asks another instance for the registrations that changed there since then.
 pub async fn fetch(state: &State, client: &Client, peer: &Profile, after: Since) -> Option<Page> {
     let path = match after {
-        Since::Sequence(number) => format!("{ENDPOINTS_PATH}?{AFTER}={number}"),
-        Since::Position(place) => format!("{ENDPOINTS_PATH}?{PLACE}={place}"),
+        Since::Sequence(number) => format!("{ENDPOINTS_PATH}?{AFTER_PARAM}={number}"),
+        Since::Position(place) => format!("{ENDPOINTS_PATH}?{PLACE_PARAM}={place}"),
     };
     let raw = fetch::fetch(state, client, peer, &path).await?;
     let read = compression::decompress(&raw).map_err(|error| error.to_string());
@@ -212,10 +214,10 @@
 }
 
 /// What this instance tells others of the registrations, compressed.
-pub fn show(state: &State, query: Option<&str>) -> Option<Bytes> {
+pub fn page(state: &State, query: Option<&str>) -> Option<Bytes> {
     let after = match query.and_then(|query| query.split_once('=')) {
-        Some((AFTER, number)) => Since::Sequence(number.parse().ok()?),
-        Some((PLACE, place)) => Since::Position(place.parse().ok()?),
+        Some((AFTER_PARAM, number)) => Since::Sequence(number.parse().ok()?),
+        Some((PLACE_PARAM, place)) => Since::Position(place.parse().ok()?),
         Some(_) => return None,
         None => Since::Sequence(0),
     };
@@ -238,7 +240,7 @@
 }
 
 /// Takes over registrations from the store; a whole list also shows which ones are gone.
-pub fn apply(state: &Rc<State>, listing: Listing, complete: bool) {
+pub fn apply_listing(state: &Rc<State>, listing: Listing, complete: bool) {
     let mut entries = Vec::new();
     for item in listing.items {
         if item.value.is_none() {
--- a/coltsfoothall-forward/src/relay.rs
+++ b/coltsfoothall-forward/src/relay.rs
@@ -19,18 +19,18 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-use crate::attempt::{Job, Sent, Share, Tail};
+use crate::attempt::{Checkout, Job, Sent, Share};
 use crate::dispatch::{self, Trail};
 use crate::outgoing::{self, Outgoing};
 use crate::refusal::{self, Refusal};
 use crate::state::State;
 
 /// Largest answer that is read whole before it is passed on.
-const ANSWER: usize = 8 << 20;
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
 
 /// A pause between events after which an endpoint counts as stalled. Callers accept pauses of
 /// 0.8 s, and batches with long prompts come close to that.
-const STALL: Duration = Duration::from_millis(1_000);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// An answer that another endpoint may better.
 #[derive(Debug)]
@@ -71,21 +71,21 @@
     if status.is_success() && job.route.kind.streams() {
         return stream(state, job, sent, trail).await;
     }
-    let (response, _reply, mut share, tail) = sent.split();
+    let (response, _reply, mut share, checkout) = sent.split();
     let (head, content) = response.into_parts();
-    let read = body::read(content, ANSWER).await;
+    let read = body::read(content, MAX_BUFFERED_BYTES).await;
     state.count_run(job.workspace.as_ref());
-    share.first();
+    share.record_first_event();
     match read {
         Ok(bytes) => {
-            tail.keep(state);
+            checkout.release(state);
             let failed = status.is_server_error();
-            share.answered(failed);
+            share.record_answer(failed);
             share.end(if failed { End::Failed } else { End::Whole });
             let headers = state.adapter.response_headers(&head.headers);
             let answer = outgoing::answer(status, headers, Outgoing::full(bytes));
             if !failed {
-                note_late(state, job, &endpoint);
+                log_late(state, job, &endpoint);
                 if status.is_success() {
                     state.record_duration(&job.route, job.begun);
                 }
@@ -110,7 +110,7 @@
 }
 
 /// Logs an answer that came later than its route's aim.
-fn note_late(state: &State, job: &Job, endpoint: &id::Endpoint) {
+fn log_late(state: &State, job: &Job, endpoint: &id::Endpoint) {
     let took = state.now().since(job.begun);
     if took > job.route.aim.duration() {
         event::LATE.emit(format_args!(
@@ -132,7 +132,7 @@
     trail: Trail,
     content: Incoming,
     share: Option<Share>,
-    tail: Option<Tail>,
+    checkout: Option<Checkout>,
     splitter: Splitter,
     /// Events that are counted as work of their endpoint.
     counted: u64,
@@ -153,7 +153,7 @@
     trail: &mut Trail,
 ) -> Result<Response<Outgoing>, Failure> {
     let endpoint = sent.share.endpoint.clone();
-    let (response, _reply, share, tail) = sent.split();
+    let (response, _reply, share, checkout) = sent.split();
     let (head, content) = response.into_parts();
     let mut relay = Relay {
         state: Rc::clone(state),
@@ -161,7 +161,7 @@
         trail: Trail::default(),
         content,
         share: Some(share),
-        tail: Some(tail),
+        checkout: Some(checkout),
         splitter: Splitter::default(),
         counted: 0,
         ended: false,
@@ -183,27 +183,27 @@
         }
     };
     state.count_run(job.workspace.as_ref());
-    note_late(state, job, &endpoint);
+    log_late(state, job, &endpoint);
     if let Some(share) = &mut relay.share {
-        share.first();
-        share.answered(false);
+        share.record_first_event();
+        share.record_answer(false);
     }
     relay.trail = std::mem::take(trail);
     if first.is_none() {
         relay.close();
     }
     let headers = state.adapter.response_headers(&head.headers);
-    let rest = stream::unfold((relay, first), |(mut relay, first)| async move {
-        let piece = match first {
+    let chunks = stream::unfold((relay, first), |(mut relay, first)| async move {
+        let chunk = match first {
             Some(bytes) => Ok(bytes),
-            None => relay.piece().await?,
+            None => relay.next_chunk().await?,
         };
-        Some((piece, (relay, None)))
+        Some((chunk, (relay, None)))
     });
     Ok(outgoing::answer(
         head.status,
         headers,
-        Outgoing::chunks(Box::pin(rest)),
+        Outgoing::chunks(Box::pin(chunks)),
     ))
 }
 
@@ -230,77 +230,77 @@
     }
 
     /// The next events for the caller, unless this instance ends before them.
-    async fn piece(&mut self) -> Option<Result<Bytes, io::Error>> {
-        let cutting = self.state.abort.clone();
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, io::Error>> {
+        let aborting = self.state.abort.clone();
         tokio::select! {
-            piece = self.advance() => piece,
-            () = cutting.cancelled() => Some(Err(self.give_up(refusal::SHUTTING_DOWN))),
+            chunk = self.read_or_resume() => chunk,
+            () = aborting.cancelled() => Some(Err(self.abort(refusal::SHUTTING_DOWN))),
         }
     }
 
     /// The next events for the caller; none when the stream is complete.
-    async fn advance(&mut self) -> Option<Result<Bytes, io::Error>> {
+    async fn read_or_resume(&mut self) -> Option<Result<Bytes, io::Error>> {
         if self.ended {
             return None;
         }
         let due = self.state.clock.instant(self.job.due);
         loop {
-            let stall = self.stall_limit();
+            let stall = self.stall_deadline();
             let endpoint = self.share.as_ref().map(|share| share.endpoint.clone());
-            let (reason, goes_on) = match tokio::time::timeout_at(stall.min(due), self.read()).await
-            {
-                Ok(Next::Events(bytes)) => return Some(Ok(bytes)),
-                Ok(Next::End) => {
-                    self.close();
-                    return None;
-                }
-                Ok(Next::Broken(reason)) => {
-                    self.finish(End::Failed);
-                    let goes_on = dispatch::may_repeat(&self.state, &self.job, &self.trail);
-                    (reason, goes_on)
-                }
-                Err(_elapsed) if tokio::time::Instant::now() < due => {
-                    if !self.is_taken_over() {
-                        continue;
+            let (reason, can_resume) =
+                match tokio::time::timeout_at(stall.min(due), self.read()).await {
+                    Ok(Next::Events(bytes)) => return Some(Ok(bytes)),
+                    Ok(Next::End) => {
+                        self.close();
+                        return None;
                     }
-                    self.finish(End::Failed);
-                    self.trail.exclude.extend(endpoint.clone());
-                    ("no event came".into(), true)
-                }
-                Err(_elapsed) => return Some(Err(self.give_up("its time is over"))),
-            };
+                    Ok(Next::Broken(reason)) => {
+                        self.finish(End::Failed);
+                        let can_resume = dispatch::may_repeat(&self.state, &self.job, &self.trail);
+                        (reason, can_resume)
+                    }
+                    Err(_elapsed) if tokio::time::Instant::now() < due => {
+                        if !self.can_take_over() {
+                            continue;
+                        }
+                        self.finish(End::Failed);
+                        self.trail.exclude.extend(endpoint.clone());
+                        ("no event came".into(), true)
+                    }
+                    Err(_elapsed) => return Some(Err(self.abort("its time is over"))),
+                };
             event::BROKE_OFF.emit(format_args!(
                 "request={} endpoint={} reason={reason:?} events={}",
                 self.job.id(),
                 endpoint.as_ref().map_or("-", id::Endpoint::as_str),
                 self.splitter.events()
             ));
-            if !goes_on {
-                return Some(Err(self.give_up("nobody goes on with it")));
+            if !can_resume {
+                return Some(Err(self.abort("nobody goes on with it")));
             }
             match tokio::time::timeout_at(due, self.resume()).await {
                 Ok(Ok(())) => {}
-                Ok(Err(_refusal)) => return Some(Err(self.give_up("nobody goes on with it"))),
-                Err(_elapsed) => return Some(Err(self.give_up("its time is over"))),
+                Ok(Err(_refusal)) => return Some(Err(self.abort("nobody goes on with it"))),
+                Err(_elapsed) => return Some(Err(self.abort("its time is over"))),
             }
         }
     }
 
     /// Until when the next event is awaited here, where another endpoint could go on.
-    fn stall_limit(&self) -> tokio::time::Instant {
+    fn stall_deadline(&self) -> tokio::time::Instant {
         let now = tokio::time::Instant::now();
         let last = self.trail.runs >= self.job.route.attempts;
         if last || !self.job.route.kind.repeats() {
             return self.state.clock.instant(self.job.due);
         }
-        now + STALL
+        now + STALL_TIMEOUT
     }
 
     /// Whether another endpoint goes on in place of this one, which is silent.
-    fn is_taken_over(&self) -> bool {
+    fn can_take_over(&self) -> bool {
         let share = self.share.as_ref();
         share.is_some_and(|share| {
-            dispatch::takes_over(&self.state, &self.job, &self.trail, &share.endpoint)
+            dispatch::take_over(&self.state, &self.job, &self.trail, &share.endpoint)
         })
     }
 
@@ -319,10 +319,10 @@
             sent.share.endpoint,
             after.as_deref().unwrap_or("-")
         ));
-        let (response, _reply, share, tail) = sent.split();
+        let (response, _reply, share, checkout) = sent.split();
         self.content = response.into_body();
         self.share = Some(share);
-        self.tail = Some(tail);
+        self.checkout = Some(checkout);
         Ok(())
     }
 
@@ -331,13 +331,13 @@
         self.ended = true;
         self.finish(End::Whole);
         self.state.record_duration(&self.job.route, self.job.begun);
-        if let Some(tail) = self.tail.take() {
-            tail.keep(&self.state);
+        if let Some(checkout) = self.checkout.take() {
+            checkout.release(&self.state);
         }
     }
 
     /// Breaks the caller's connection, so that the stream does not look complete.
-    fn give_up(&mut self, reason: &'static str) -> io::Error {
+    fn abort(&mut self, reason: &'static str) -> io::Error {
         self.ended = true;
         self.finish(End::Abandoned);
         self.state.record_duration(&self.job.route, self.job.begun);
@@ -353,7 +353,7 @@
     fn finish(&mut self, end: End) {
         if let Some(share) = self.share.take() {
             let events = self.splitter.events();
-            share.wrote(events - self.counted);
+            share.record_events(events - self.counted);
             self.counted = events;
             share.end(end);
         }
--- a/coltsfoothall-forward/src/report.rs
+++ b/coltsfoothall-forward/src/report.rs
@@ -9,14 +9,14 @@
 use crate::state::State;
 
 /// Rank from which a request is batch work in the metrics.
-const BATCH: u8 = 5;
+const MIN_BATCH_RANK: u8 = 5;
 
 impl State {
     /// Labels of a request for its metrics. A request is interactive here unless its rank
     /// is the last of three.
     #[must_use]
     pub fn labels(&self, workspace: &id::Workspace, rank: u8) -> Labels {
-        let class = if rank < BATCH {
+        let class = if rank < MIN_BATCH_RANK {
             Class::Interactive
         } else {
             Class::Batch
--- a/coltsfoothall-forward/src/retries.rs
+++ b/coltsfoothall-forward/src/retries.rs
@@ -6,14 +6,14 @@
 use coltsfoothall::size::Millis;
 
 /// Part of the retry slack that is used; the rest covers members that come and go.
-const SLACK: f64 = 0.6;
+const SLACK_SHARE: f64 = 0.6;
 /// Part of the retry ratio that is used, for the same reason.
-const RATIO: f64 = 0.8;
+const RATIO_SHARE: f64 = 0.8;
 /// Members that a budget is made for at least: others may only not be heard yet.
-const MEMBERS: u32 = 3;
+const MIN_MEMBERS: u32 = 3;
 
 #[derive(Debug)]
-struct Line {
+struct Entry {
     service: id::Service,
     budget: Budget,
 }
@@ -24,7 +24,7 @@
     ratio: f64,
     slack: f64,
     /// Sorted by service.
-    lines: Vec<Line>,
+    entries: Vec<Entry>,
 }
 
 impl Retries {
@@ -34,12 +34,12 @@
         Self {
             ratio,
             slack,
-            lines: Vec::new(),
+            entries: Vec::new(),
         }
     }
 
     /// A request goes to a service for the first time.
-    pub fn sent(&mut self, now: Time, service: &id::Service, members: u32) {
+    pub fn record_first(&mut self, now: Time, service: &id::Service, members: u32) {
         self.budget(service, members).sent(now);
     }
 
@@ -51,24 +51,24 @@
 
     fn budget(&mut self, service: &id::Service, members: u32) -> &mut Budget {
         let found = self
-            .lines
+            .entries
             .binary_search_by(|have| have.service.cmp(service));
-        let place = match found {
-            Ok(place) => place,
-            Err(place) => {
-                let share = self.slack * SLACK / f64::from(members.max(MEMBERS));
+        let index = match found {
+            Ok(index) => index,
+            Err(index) => {
+                let share = self.slack * SLACK_SHARE / f64::from(members.max(MIN_MEMBERS));
                 let budget = Budget::new(Settings {
-                    ratio: self.ratio * RATIO,
+                    ratio: self.ratio * RATIO_SHARE,
                     burst: share.max(1.0),
                     floor: 0.0,
                     wait: Millis(0),
                     ..Settings::default()
                 });
                 let service = service.clone();
-                self.lines.insert(place, Line { service, budget });
-                place
+                self.entries.insert(index, Entry { service, budget });
+                index
             }
         };
-        &mut self.lines[place].budget
+        &mut self.entries[index].budget
     }
 }
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -28,13 +28,13 @@
 use crate::{configuration, duty, gossip, membership, registrations, stop};
 
 /// Time between two log lines that count what went well.
-const SUM: Duration = Duration::from_secs(10);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 /// Time between readings of the settings file without a signal.
-const REREAD: Duration = Duration::from_secs(5);
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 /// Path of the metrics on the control address.
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 /// Largest head that a control listener takes.
-const HEAD: usize = 8 << 10;
+const MAX_HEAD_BYTES: usize = 8 << 10;
 
 quick_error! {
     /// An instance that cannot start.
@@ -65,10 +65,14 @@
 /// An address cannot be bound, or signals cannot be listened to.
 pub async fn run(file: PathBuf, settings: Settings, adapter: Rc<dyn Adapter>) -> Result<(), Error> {
     let local = LocalSet::new();
-    local.run_until(live(file, settings, adapter)).await
+    local.run_until(run_local(file, settings, adapter)).await
 }
 
-async fn live(file: PathBuf, settings: Settings, adapter: Rc<dyn Adapter>) -> Result<(), Error> {
+async fn run_local(
+    file: PathBuf,
+    settings: Settings,
+    adapter: Rc<dyn Adapter>,
+) -> Result<(), Error> {
     let name: id::Instance = settings
         .instance
         .clone()
@@ -93,7 +97,7 @@
         .map_err(|error| Error::Bind("peers", peer, error.to_string()))?;
     let socket = Rc::new(socket);
     start(&state, &socket);
-    tokio::task::spawn_local(log_summary(Rc::clone(&state)));
+    tokio::task::spawn_local(log_summaries(Rc::clone(&state)));
     tokio::task::spawn_local(reload(Rc::clone(&state), file, hangup));
     event::STARTED.emit(format_args!(
         "instance={} boot={:x}",
@@ -121,9 +125,9 @@
 }
 
 /// Logs what went well, now and then.
-async fn log_summary(state: Rc<State>) {
+async fn log_summaries(state: Rc<State>) {
     loop {
-        tokio::time::sleep(SUM).await;
+        tokio::time::sleep(SUMMARY_INTERVAL).await;
         state.log_summary();
     }
 }
@@ -134,7 +138,7 @@
     loop {
         tokio::select! {
             _signal = hangup.recv() => {}
-            () = tokio::time::sleep(REREAD) => {}
+            () = tokio::time::sleep(RELOAD_INTERVAL) => {}
         }
         match settings::load::<Settings>(&file) {
             Ok(settings) if last.as_ref() == Some(&settings) => {}
@@ -152,14 +156,14 @@
 /// until the process ends.
 async fn serve(state: &Rc<State>, callers: &Connections) -> Result<(), Error> {
     let listen = state.settings().listen.clone();
-    let aside: Rc<dyn Handler> = Rc::new(Aside(Rc::clone(state)));
+    let control: Rc<dyn Handler> = Rc::new(Control(Rc::clone(state)));
     let front: Rc<dyn Handler> = Rc::new(Front(Rc::clone(state)));
     let others = Connections::default();
     let parts = [
         ("callers", listen.front, &front, callers),
-        ("readiness", listen.readiness, &aside, &others),
-        ("addresses", listen.directory, &aside, &others),
-        ("control", listen.control, &aside, &others),
+        ("readiness", listen.readiness, &control, &others),
+        ("addresses", listen.directory, &control, &others),
+        ("control", listen.control, &control, &others),
     ];
     for (what, address, handler, connections) in parts {
         let Some(address) = address else {
@@ -175,14 +179,14 @@
 
 /// Readiness, addresses, and what other instances and operators ask.
 #[derive(Debug)]
-struct Aside(Rc<State>);
+struct Control(Rc<State>);
 
-impl Handler for Aside {
+impl Handler for Control {
     fn limits(&self) -> Limits {
         Limits {
-            head: HEAD,
-            head_wait: Duration::from_secs(3),
-            idle: Duration::from_secs(30),
+            max_head_bytes: MAX_HEAD_BYTES,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(30),
         }
     }
 
@@ -216,7 +220,7 @@
         let keep = state.settings().bounds.addresses.duration();
         return json(Outgoing::full(adapter.addresses(&fronts, keep)));
     }
-    if path == METRICS {
+    if path == METRICS_PATH {
         state.update_gauges();
         return match state.board.render() {
             Ok(text) => answer(StatusCode::OK, HeaderMap::new(), Outgoing::full(text)),
@@ -229,7 +233,7 @@
     match path {
         CONFIGURATION_PATH => configuration::show(state),
         COMPRESSED_CONFIGURATION_PATH => configuration::show_compressed(state),
-        ENDPOINTS_PATH => match registrations::show(state, query) {
+        ENDPOINTS_PATH => match registrations::page(state, query) {
             Some(bytes) => json(Outgoing::full(bytes)),
             None => empty(StatusCode::NOT_FOUND),
         },
--- a/coltsfoothall-forward/src/settings.rs
+++ b/coltsfoothall-forward/src/settings.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Shortest history of the store with which watching it makes sense.
-const LEAST_HISTORY: Millis = Millis(1_000);
+const MIN_HISTORY: Millis = Millis(1_000);
 
 /// Where an instance listens.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -140,7 +140,7 @@
         if self.store.is_none() {
             return missing("store");
         }
-        if self.store_history.0 < LEAST_HISTORY.0 {
+        if self.store_history.0 < MIN_HISTORY.0 {
             return Err(Fault::new(
                 "store_history",
                 "is under 1000 ms, less than a watch needs",
--- a/coltsfoothall-forward/src/socket.rs
+++ b/coltsfoothall-forward/src/socket.rs
@@ -10,15 +10,15 @@
 
 /// Time in which a connection to an endpoint or peer must come up: the longest hop is a
 /// few milliseconds, and a lost opening packet is sent again only after a second.
-pub const CONNECT: Duration = Duration::from_millis(400);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Bytes unacknowledged for so long mean that the peer is gone.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
+const ACK_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A silent connection is probed after so long.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
+const KEEPALIVE_DELAY: Duration = Duration::from_secs(1);
 /// Time between probes.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Probes without an answer that end a connection.
-const PROBES: u32 = 2;
+const MAX_KEEPALIVE_PROBES: u32 = 2;
 
 /// Sets the options on a connection, either side.
 ///
@@ -27,11 +27,11 @@
 pub fn tune(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_DELAY)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(MAX_KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)
 }
 
@@ -40,7 +40,7 @@
 /// # Errors
 /// Nothing listens there, or no connection came up in time.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let stream = timeout(CONNECT, TcpStream::connect(address))
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))??;
     tune(&stream)?;
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -40,9 +40,9 @@
 
 /// How long an attempt that broke off waits for word of its endpoint: registrations lapse
 /// after three heartbeats, and the store may be away meanwhile.
-const EVIDENCE: Duration = Duration::from_secs(15);
+const EVIDENCE_RETENTION: Duration = Duration::from_secs(15);
 /// How long news of ended endpoints is told to others.
-const NEWS: Duration = Duration::from_secs(6);
+const DEPARTURE_RETENTION: Duration = Duration::from_secs(6);
 /// After the store came back, removed endpoints get so long to register again.
 pub const REGISTRATION_GRACE: Duration = Duration::from_millis(2_000);
 
@@ -127,15 +127,15 @@
     pub calls: Calls,
     /// Evidence against requests that crash endpoints.
     pub suspicions: RefCell<Docket>,
-    attempts: Cell<u64>,
+    next_attempt: Cell<u64>,
     /// Requests under way.
     pub open: Cell<usize>,
     /// Counters and histograms for a scrape.
     pub board: Board,
     pub(crate) served: Cell<u64>,
     retries: RefCell<Retries>,
-    news: RefCell<Vec<Departure>>,
-    returned: Cell<Option<Time>>,
+    departures: RefCell<Vec<Departure>>,
+    store_returned_at: Cell<Option<Time>>,
     meters: RefCell<Vec<(id::Service, Meter)>>,
 }
 
@@ -180,7 +180,7 @@
             reported: Cell::default(),
             calls: Calls::default(),
             suspicions: RefCell::new(Docket::new(suspicion::Settings::default())),
-            attempts: Cell::new(boot),
+            next_attempt: Cell::new(boot),
             open: Cell::new(0),
             board,
             served: Cell::new(0),
@@ -188,8 +188,8 @@
                 settings.bounds.retry_ratio,
                 settings.bounds.retry_slack,
             )),
-            news: RefCell::default(),
-            returned: Cell::new(None),
+            departures: RefCell::default(),
+            store_returned_at: Cell::new(None),
             meters: RefCell::default(),
             clock: Clock::start(),
             settings: RefCell::new(Rc::new(settings)),
@@ -219,16 +219,16 @@
     /// Takes over settings that were read again. What is bound to a running process stays:
     /// its name, its domain, its addresses.
     pub fn reload(&self, settings: Settings) {
-        let had = self.settings();
+        let previous = self.settings();
         *self.settings.borrow_mut() = Rc::new(Settings {
-            instance: had.instance.clone(),
-            domain: had.domain.clone(),
-            listen: had.listen.clone(),
-            peer_port: had.peer_port,
-            store: had.store,
-            store_history: had.store_history,
-            cloud: had.cloud,
-            log: had.log.clone(),
+            instance: previous.instance.clone(),
+            domain: previous.domain.clone(),
+            listen: previous.listen.clone(),
+            peer_port: previous.peer_port,
+            store: previous.store,
+            store_history: previous.store_history,
+            cloud: previous.cloud,
+            log: previous.log.clone(),
             ..settings
         });
         event::RELOADED.emit(format_args!("seeds={:?}", self.settings().seeds));
@@ -294,7 +294,7 @@
     pub fn record_evidence(&self, endpoint: &id::Endpoint, print: Print, end: End) {
         let now = self.now();
         let mut suspicions = self.suspicions.borrow_mut();
-        let attempt = self.attempts.get();
+        let attempt = self.next_attempt.get();
         match end {
             End::Whole if suspicions.is_empty() => {}
             End::Whole => {
@@ -303,7 +303,7 @@
             }
             End::Failed => {
                 // The fleet's attempts differ, since each boot counts from a number of its own.
-                self.attempts.set(attempt.wrapping_add(1));
+                self.next_attempt.set(attempt.wrapping_add(1));
                 suspicions.started(now, attempt, endpoint.clone(), print, false);
             }
             End::Refused | End::Unreachable | End::Abandoned => {}
@@ -311,10 +311,10 @@
     }
 
     /// An endpoint is gone; what ran there is evidence unless that was expected.
-    fn died(&self, id: &id::Endpoint, announced: bool) {
+    fn record_death(&self, id: &id::Endpoint, announced: bool) {
         let now = self.now();
         let mut suspicions = self.suspicions.borrow_mut();
-        suspicions.abandon(now - EVIDENCE);
+        suspicions.abandon(now - EVIDENCE_RETENTION);
         suspicions.expire(now);
         let marks = suspicions.died(now, id, announced);
         if !marks.is_empty() {
@@ -328,7 +328,9 @@
     /// A request goes to a service for the first time.
     pub fn count_sent(&self, service: &id::Service) {
         let (now, members) = (self.now(), self.reach().members);
-        self.retries.borrow_mut().sent(now, service, members);
+        self.retries
+            .borrow_mut()
+            .record_first(now, service, members);
     }
 
     /// Whether a request may go to one more endpoint of a service.
@@ -343,15 +345,15 @@
         let now = self.now();
         let mut meters = self.meters.borrow_mut();
         for (service, micros) in work {
-            let place = match meters.binary_search_by(|(have, _)| have.cmp(service)) {
-                Ok(place) => place,
-                Err(place) => {
+            let index = match meters.binary_search_by(|(have, _)| have.cmp(service)) {
+                Ok(index) => index,
+                Err(index) => {
                     let meter = Meter::new(now, order::Settings::default());
-                    meters.insert(place, (service.clone(), meter));
-                    place
+                    meters.insert(index, (service.clone(), meter));
+                    index
                 }
             };
-            meters[place].1.hear(now, boot, *micros);
+            meters[index].1.hear(now, boot, *micros);
         }
     }
 
@@ -364,7 +366,7 @@
         let found = meters.binary_search_by(|(have, _)| have.cmp(service));
         found
             .ok()
-            .and_then(|place| meters[place].1.load(self.now()))
+            .and_then(|index| meters[index].1.load(self.now()))
     }
 
     /// A request on a route took this time until its answer was whole or given up.
@@ -390,51 +392,57 @@
                 event::ENDPOINT.emit(format_args!(
                     "endpoint={id} state=restarted place={place} source={source}"
                 ));
-                self.pool.borrow_mut().forget(&id);
-                let announced = self.was_leaving(&id);
-                self.died(&id, announced);
+                self.pool.borrow_mut().remove(&id);
+                let announced = self.has_departed(&id);
+                self.record_death(&id, announced);
             }
             Some(Event::Leaving(id)) => {
                 event::ENDPOINT.emit(format_args!(
                     "endpoint={id} state=leaving place={place} source={source}"
                 ));
-                self.tell(id, place);
+                self.record_departure(id, place);
             }
             Some(Event::Gone(id)) => {
                 event::ENDPOINT.emit(format_args!(
                     "endpoint={id} state=gone place={place} source={source}"
                 ));
-                self.pool.borrow_mut().forget(&id);
-                let announced = self.registration_grace().is_some() || self.was_leaving(&id);
-                self.died(&id, announced);
-                self.tell(id, place);
+                self.pool.borrow_mut().remove(&id);
+                let announced = self.registration_grace().is_some() || self.has_departed(&id);
+                self.record_death(&id, announced);
+                self.record_departure(id, place);
             }
         }
     }
 
     /// Whether an endpoint's leaving was told before it was gone.
-    fn was_leaving(&self, id: &id::Endpoint) -> bool {
-        self.news.borrow().iter().any(|news| news.ended.id == *id)
+    fn has_departed(&self, id: &id::Endpoint) -> bool {
+        self.departures
+            .borrow()
+            .iter()
+            .any(|departure| departure.ended.id == *id)
     }
 
-    fn tell(&self, id: id::Endpoint, place: Place) {
+    fn record_departure(&self, id: id::Endpoint, place: Place) {
         let at = self.now();
         let ended = Ended { id, place };
-        self.news.borrow_mut().push(Departure { ended, at });
+        self.departures.borrow_mut().push(Departure { ended, at });
     }
 
     /// News that others may not have heard yet.
     #[must_use]
     pub fn departures(&self) -> Vec<Ended> {
         let now = self.now();
-        let mut news = self.news.borrow_mut();
-        news.retain(|news| now.since(news.at) < NEWS);
-        news.iter().map(|news| news.ended.clone()).collect()
+        let mut departures = self.departures.borrow_mut();
+        departures.retain(|departure| now.since(departure.at) < DEPARTURE_RETENTION);
+        departures
+            .iter()
+            .map(|departure| departure.ended.clone())
+            .collect()
     }
 
     /// The store answers again after it was away.
     pub fn store_returned(&self) {
-        self.returned.set(Some(self.now()));
+        self.store_returned_at.set(Some(self.now()));
     }
 
     /// Whether the fleet is so small that each instance reads registrations for itself alone.
@@ -494,7 +502,7 @@
     /// Time that a removed endpoint still has to register again.
     #[must_use]
     pub fn registration_grace(&self) -> Option<Duration> {
-        let returned = self.returned.get()?;
+        let returned = self.store_returned_at.get()?;
         let rest = REGISTRATION_GRACE.saturating_sub(self.now().since(returned));
         (!rest.is_zero()).then_some(rest)
     }
--- a/coltsfoothall-forward/src/stop.rs
+++ b/coltsfoothall-forward/src/stop.rs
@@ -16,10 +16,10 @@
 use crate::state::State;
 
 /// Time for the answers and log lines of requests that are cut.
-const AFTER_CUT: Duration = Duration::from_millis(50);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 /// When to come back while no other instance takes requests: about when callers get new
 /// addresses.
-const ALONE: Duration = Duration::from_millis(600);
+const NO_PEER_RETRY_DELAY: Duration = Duration::from_millis(600);
 
 /// Stops: out of the addresses at once, then on with what is open, until callers were to drop
 /// this instance's address and all answers are written.
@@ -41,29 +41,29 @@
     tokio::time::sleep_until(state.clock.instant(stop.closes)).await;
     event::CLOSES_IDLE.emit(format_args!(
         "after_ms={} open={}",
-        after(state, stop),
+        elapsed_ms(state, stop),
         state.open.get()
     ));
     callers.close();
     let closed = timeout_at(state.clock.instant(stop.cuts), callers.closed());
     if closed.await.is_ok() {
-        event::STOPPED.emit(format_args!("ms={}", after(state, stop)));
+        event::STOPPED.emit(format_args!("ms={}", elapsed_ms(state, stop)));
     } else {
         event::CUT_OFF.emit(format_args!(
             "open={} after_ms={}",
             state.open.get(),
-            after(state, stop)
+            elapsed_ms(state, stop)
         ));
         state.abort.cancel();
     }
     // Callers who do not read hold nobody up.
-    let _closed = timeout(AFTER_CUT, callers.closed()).await;
+    let _closed = timeout(FLUSH_TIMEOUT, callers.closed()).await;
     // What ran last is in no heartbeat yet; with 60 others this takes some 0.07 s.
     gossip::broadcast(state, socket).await;
 }
 
 /// Milliseconds since the signal.
-fn after(state: &State, stop: Stop) -> u128 {
+fn elapsed_ms(state: &State, stop: Stop) -> u128 {
     state.now().since(stop.signalled).as_millis()
 }
 
@@ -80,12 +80,12 @@
     let need = Need {
         limit: job.due.since(now),
         longest: state.durations.borrow().longest(&job.route.name),
-        elsewhere: is_elsewhere(state),
+        elsewhere: other_is_ready(state),
     };
     event::IN_STOP.emit(format_args!(
         "request={} after_ms={} left_ms={} needs_ms={} elsewhere={} connection_ms={} before={}",
         job.id(),
-        after(state, stop),
+        elapsed_ms(state, stop),
         stop.cuts.since(now).as_millis(),
         need.time().as_millis(),
         need.elsewhere,
@@ -95,17 +95,17 @@
     if stop.allows(now, need) {
         return Ok(());
     }
-    let again = if need.elsewhere {
+    let retry_after = if need.elsewhere {
         Duration::ZERO
     } else {
-        ALONE
+        NO_PEER_RETRY_DELAY
     };
-    Err(unavailable("this instance stops; use another", again))
+    Err(unavailable("this instance stops; use another", retry_after))
 }
 
 /// Whether another instance takes requests.
-fn is_elsewhere(state: &State) -> bool {
+fn other_is_ready(state: &State) -> bool {
     let peers = state.peers.borrow();
-    let heard = peers.profiles(state.now());
-    heard.iter().any(|profile| profile.ready)
+    let profiles = peers.profiles(state.now());
+    profiles.iter().any(|profile| profile.ready)
 }
--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -65,11 +65,11 @@
             }
         }
         Ok(_) => {}
-        Err(error) => untold(order, &error),
+        Err(error) => log_failure(order, &error),
     }
 }
 
-fn untold(order: &Order, error: &Error) {
+fn log_failure(order: &Order, error: &Error) {
     event::UPGRADE_UNTOLD.emit(format_args!(
         "service={} reason={:?}",
         order.service,
@@ -104,22 +104,22 @@
 
 /// What operators were told of a service.
 #[derive(Debug)]
-struct Line {
+struct Record {
     service: id::Service,
     /// The order that it is about.
     order: Place,
-    told: Option<(Report, Place)>,
+    written: Option<(Report, Place)>,
 }
 
 /// Moves services on and tells operators, while this instance acts for all.
 #[derive(Debug, Default)]
 pub struct Driver {
-    lines: Vec<Line>,
+    records: Vec<Record>,
 }
 
 impl Driver {
     /// Looks at all orders once.
-    pub async fn advance(&mut self, state: &State) {
+    pub async fn tick(&mut self, state: &State) {
         let orders: Vec<Order> = {
             let upgrades = state.upgrades.borrow();
             upgrades.orders().map(|(order, _)| order.clone()).collect()
@@ -127,16 +127,17 @@
         for order in &orders {
             if let Err(error) = self.advance_one(state, order).await {
                 // The next look tries again; a conflict is read first.
-                self.lines.retain(|line| line.service != order.service);
-                untold(order, &error);
+                self.records
+                    .retain(|record| record.service != order.service);
+                log_failure(order, &error);
             }
         }
     }
 
     async fn advance_one(&mut self, state: &State, order: &Order) -> Result<(), Error> {
         let now = state.now();
-        let line = self.line(state, order).await?;
-        if let Some((report, place)) = &line.told
+        let record = self.record(state, order).await?;
+        if let Some((report, place)) = &record.written
             && *place > order.place
             && let Some(stage) = settled(report, order)
         {
@@ -166,39 +167,41 @@
             progress: progress(stage),
             target: order.target.clone(),
         };
-        let is_told = line
-            .told
+        let is_written = record
+            .written
             .as_ref()
-            .is_some_and(|(told, place)| *told == report && *place > order.place);
-        if is_told || state.fence().is_none() {
+            .is_some_and(|(written, place)| *written == report && *place > order.place);
+        if is_written || state.fence().is_none() {
             return Ok(());
         }
-        let had = line.told.as_ref().map(|(_, place)| *place);
+        let previous = record.written.as_ref().map(|(_, place)| *place);
         let place = state
             .adapter
-            .write_report(&order.service, &report, had)
+            .write_report(&order.service, &report, previous)
             .await?;
-        line.told = Some((report, place));
+        record.written = Some((report, place));
         Ok(())
     }
 
     /// What was told of an order, read at the store the first time.
-    async fn line(&mut self, state: &State, order: &Order) -> Result<&mut Line, Error> {
-        let known = |line: &Line| line.service == order.service && line.order == order.place;
-        let place = match self.lines.iter().position(known) {
-            Some(place) => place,
+    async fn record(&mut self, state: &State, order: &Order) -> Result<&mut Record, Error> {
+        let known =
+            |record: &Record| record.service == order.service && record.order == order.place;
+        let index = match self.records.iter().position(known) {
+            Some(index) => index,
             None => {
-                let told = state.adapter.read_report(&order.service).await?;
-                self.lines.retain(|line| line.service != order.service);
-                self.lines.push(Line {
+                let written = state.adapter.read_report(&order.service).await?;
+                self.records
+                    .retain(|record| record.service != order.service);
+                self.records.push(Record {
                     service: order.service.clone(),
                     order: order.place,
-                    told,
+                    written,
                 });
-                self.lines.len() - 1
+                self.records.len() - 1
             }
         };
-        Ok(&mut self.lines[place])
+        Ok(&mut self.records[index])
     }
 }
 
