--- a/coltsfoothall-forward/src/refusal.rs
+++ b/coltsfoothall-forward/src/refusal.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 
 /// Why an answer ends early when this instance does.
-pub const STOPS: &str = "this instance stops";
+pub const SHUTTING_DOWN: &str = "this instance stops";
 
 /// Why a request gets an answer of this program's own.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -24,25 +24,25 @@
     pub fn parts(&self) -> (StatusCode, &'static str, Option<Duration>) {
         match self {
             Self::Bad(status, reason) | Self::Unknown(status, reason) => (*status, reason, None),
-            Self::NotRun(status, reason, again) => (*status, reason, Some(*again)),
+            Self::NotRun(status, reason, retry_after) => (*status, reason, Some(*retry_after)),
         }
     }
 }
 
 /// A refusal: nothing ran, and there is no room.
 #[must_use]
-pub fn full(reason: &'static str, again: Duration) -> Refusal {
-    Refusal::NotRun(StatusCode::SERVICE_UNAVAILABLE, reason, again)
+pub fn unavailable(reason: &'static str, retry_after: Duration) -> Refusal {
+    Refusal::NotRun(StatusCode::SERVICE_UNAVAILABLE, reason, retry_after)
 }
 
 /// An endpoint broke off a request that may have run.
 #[must_use]
-pub fn broken(reason: &'static str) -> Refusal {
+pub fn bad_gateway(reason: &'static str) -> Refusal {
     Refusal::Unknown(StatusCode::BAD_GATEWAY, reason)
 }
 
 /// No answer came by when it was due; the request may have run.
 #[must_use]
-pub fn late() -> Refusal {
+pub fn timed_out() -> Refusal {
     Refusal::Unknown(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
 }
