--- a/coltsfoothall/src/copy.rs
+++ b/coltsfoothall/src/copy.rs
@@ -78,7 +78,7 @@
 
 /// What stays of a non-idempotent request after its record is dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stub {
+pub struct Tombstone {
     /// Hash of its name.
     pub hash: u64,
     /// Time since it was dropped.
@@ -132,8 +132,9 @@
     pub doubt: Option<Unsure>,
     /// Records, sorted by name.
     pub rows: Vec<Row>,
-    /// Stubs, sorted by hash.
-    pub stubs: Vec<Stub>,
+    /// Tombstones, sorted by hash.
+    #[serde(rename = "stubs")]
+    pub tombstones: Vec<Tombstone>,
 }
 
 /// Number of a ledger's life: it differs after each start of its process, so
--- a/coltsfoothall/src/ledger.rs
+++ b/coltsfoothall/src/ledger.rs
@@ -54,7 +54,7 @@
     pub unacked: usize,
     /// Names of ended requests in a slot, 16 bytes each; it stops a flood of
     /// short requests from filling the memory. The oldest go first.
-    pub stubs: usize,
+    pub tombstones: usize,
     /// Longest time for which a read of the table vouches for a "not run" of an idempotent
     /// request, from when it was sent; whoever claims a slot waits twice as long before it
     /// runs older keys. It has to be well above the service's usual answer of a few
@@ -72,7 +72,7 @@
             names: Duration::from_secs(86_400),
             bytes: Bytes(24 << 20),
             unacked: 4096,
-            stubs: 16_384,
+            tombstones: 16_384,
             fresh: Duration::from_millis(750),
             life: Life::default(),
         }
@@ -422,7 +422,7 @@
         let wait = self.wait();
         for replica in &mut self.replicas {
             replica.ripen(now, wait);
-            replica.retire(now, settings.retention, settings.names, settings.stubs);
+            replica.retire(now, settings.retention, settings.names, settings.tombstones);
         }
         self.make_room(now);
     }
--- a/coltsfoothall/src/replica.rs
+++ b/coltsfoothall/src/replica.rs
@@ -14,7 +14,7 @@
 use crate::record::{Cause, Change, End, Name, Record};
 
 pub use crate::copy::{
-    Ack, Broken, Chunk, Holder, Life, Row, Seq, Step, Stub, Taken, Unsure, Update, Whole,
+    Ack, Broken, Chunk, Holder, Life, Row, Seq, Step, Tombstone, Taken, Unsure, Update, Whole,
 };
 
 /// Another copy, as the owner sees it.
@@ -112,9 +112,9 @@
     Confirmed(Time),
 }
 
-/// A stub by its holder's clock.
+/// A tombstone by its holder's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Mark {
+pub(crate) struct TimedTombstone {
     pub(crate) hash: u64,
     pub(crate) since: Time,
 }
@@ -141,7 +141,7 @@
     pub(crate) source: Option<Source>,
     pub(crate) seq: Seq,
     pub(crate) items: Vec<Item>,
-    pub(crate) stubs: Vec<Mark>,
+    pub(crate) tombstones: Vec<TimedTombstone>,
     pub(crate) cold: Epoch,
     pub(crate) cold_since: Option<Time>,
     /// Whether the claim is so young that the owner before may still tell "not run".
@@ -259,7 +259,7 @@
             source: None,
             seq: Seq(0),
             items: Vec::new(),
-            stubs: Vec::new(),
+            tombstones: Vec::new(),
             cold: epoch,
             cold_since: None,
             young: false,
@@ -444,18 +444,18 @@
     }
 
     /// Whether a request of this name ended and was dropped.
-    pub(crate) fn stub(&self, hash: u64) -> bool {
-        self.stubs
-            .binary_search_by_key(&hash, |stub| stub.hash)
+    pub(crate) fn has_tombstone(&self, hash: u64) -> bool {
+        self.tombstones
+            .binary_search_by_key(&hash, |tombstone| tombstone.hash)
             .is_ok()
     }
 
-    /// Drops records that ended before `keep`, and stubs since before `names`.
+    /// Drops records that ended before `keep`, and tombstones since before `names`.
     pub(crate) fn retire(&mut self, now: Time, keep: Duration, names: Duration, most: usize) {
         let old = |item: &Item| item.ended.is_some_and(|ended| now.since(ended) >= keep);
         let dropped: Vec<_> = self.items.extract_if(.., |item| old(item)).collect();
         self.bury(now, dropped);
-        self.stubs.retain(|stub| now.since(stub.since) < names);
+        self.tombstones.retain(|tombstone| now.since(tombstone.since) < names);
         self.cap(most);
     }
 
@@ -494,24 +494,24 @@
         }
     }
 
-    /// Keeps the youngest `most` stubs.
+    /// Keeps the youngest `most` tombstones.
     fn cap(&mut self, most: usize) {
-        if self.stubs.len() > most {
-            let mut since: Vec<_> = self.stubs.iter().map(|stub| stub.since).collect();
+        if self.tombstones.len() > most {
+            let mut since: Vec<_> = self.tombstones.iter().map(|tombstone| tombstone.since).collect();
             since.sort_unstable();
             let limit = since[since.len() - most];
-            self.stubs.retain(|stub| stub.since >= limit);
+            self.tombstones.retain(|tombstone| tombstone.since >= limit);
         }
     }
 
     fn remember(&mut self, hash: u64, since: Time) {
-        if let Err(at) = self.stubs.binary_search_by_key(&hash, |stub| stub.hash) {
-            self.stubs.insert(at, Mark { hash, since });
+        if let Err(at) = self.tombstones.binary_search_by_key(&hash, |tombstone| tombstone.hash) {
+            self.tombstones.insert(at, TimedTombstone { hash, since });
         }
     }
 }
 
-/// Hash of a request's name for its stub.
+/// Hash of a request's name for its tombstone.
 pub(crate) fn name_hash(name: &Name) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(name.workspace.as_str().as_bytes());
--- a/coltsfoothall/src/safety.rs
+++ b/coltsfoothall/src/safety.rs
@@ -10,7 +10,7 @@
 impl Ledger {
     /// Why a new non-idempotent request is not taken in, if it is not.
     pub(crate) fn refusal(&self, now: Time, intake: &Intake, replica: &Replica) -> Option<Begin> {
-        if replica.stub(name_hash(&intake.name)) {
+        if replica.has_tombstone(name_hash(&intake.name)) {
             return Some(Begin::Retired);
         }
         if self.lost(now, intake, replica) {
@@ -95,9 +95,9 @@
             until = Some(at);
         }
         if let Some(until) = until {
-            let stubs = self.settings.stubs;
+            let tombstones = self.settings.tombstones;
             let replicas = self.replicas.iter_mut();
-            replicas.for_each(|replica| replica.shed(now, until, stubs));
+            replicas.for_each(|replica| replica.shed(now, until, tombstones));
         }
         self.bytes().0 < most
     }
--- a/coltsfoothall/src/transfer.rs
+++ b/coltsfoothall/src/transfer.rs
@@ -9,7 +9,7 @@
 use crate::key::Slot;
 use crate::ledger::Ledger;
 use crate::replica::{
-    Broken, Chunk, Copying, Doubt, Holder, Item, Link, Mark, Replica, Role, Row, Seq, Source, Stub,
+    Broken, Chunk, Copying, Doubt, Holder, Item, Link, TimedTombstone, Replica, Role, Row, Seq, Source, Tombstone,
     Taken, Unsure, Update, Whole, Word,
 };
 use crate::size::Millis;
@@ -19,8 +19,8 @@
 /// blocking the connection for requests.
 pub const CHUNK: usize = 64 << 10;
 
-/// Stubs in a piece, for the same reason.
-pub const STUBS: usize = 4096;
+/// Tombstones in a piece, for the same reason.
+pub const MAX_TOMBSTONES_PER_CHUNK: usize = 4096;
 
 /// A copy that is on its way here.
 #[derive(Debug)]
@@ -309,9 +309,9 @@
         replica.items.extend(rows);
         let added = replica.items[first..].iter().map(|item| item.record.size());
         replica.bytes += added.sum::<usize>();
-        replica.stubs.extend(chunk.stubs.iter().map(|stub| Mark {
-            hash: stub.hash,
-            since: now - stub.age.duration(),
+        replica.tombstones.extend(chunk.tombstones.iter().map(|tombstone| TimedTombstone {
+            hash: tombstone.hash,
+            since: now - tombstone.age.duration(),
         }));
         self.next += 1;
     }
@@ -353,7 +353,7 @@
             age: age(doubt.since),
         }),
         rows: Vec::new(),
-        stubs: Vec::new(),
+        tombstones: Vec::new(),
     };
     let mut chunks = vec![empty(0)];
     let mut bytes = 0;
@@ -371,13 +371,13 @@
         let last = chunks.len() - 1;
         chunks[last].rows.push(row);
     }
-    for stubs in replica.stubs.chunks(STUBS) {
+    for tombstones in replica.tombstones.chunks(MAX_TOMBSTONES_PER_CHUNK) {
         let mut chunk = empty(chunks.len());
-        let stubs = stubs.iter().map(|mark| Stub {
+        let tombstones = tombstones.iter().map(|mark| Tombstone {
             hash: mark.hash,
             age: age(mark.since),
         });
-        chunk.stubs.extend(stubs);
+        chunk.tombstones.extend(tombstones);
         chunks.push(chunk);
     }
     let last = chunks.len() - 1;
