--- a/coltsfoothall-entry/src/desk.rs
+++ b/coltsfoothall-entry/src/desk.rs
@@ -56,7 +56,7 @@
     /// # Errors
     /// No owned slot is known now.
     pub fn mint(&self, node: &Node) -> Result<Key, Fault> {
-        let owned: Vec<_> = self.state().ledger.owned().collect();
+        let owned: Vec<_> = self.state().ledger.served_slots().collect();
         let places = if owned.is_empty() {
             node.view().table.claimed().collect()
         } else {
@@ -109,7 +109,7 @@
     pub fn missing(&self, to: &id::Instance, clear: impl FnOnce()) -> Vec<Update> {
         let state = self.state();
         clear();
-        let slots: Vec<Slot> = state.ledger.owned().map(|(slot, _)| slot).collect();
+        let slots: Vec<Slot> = state.ledger.served_slots().map(|(slot, _)| slot).collect();
         slots
             .iter()
             .flat_map(|slot| state.ledger.resend(*slot, to))
@@ -254,7 +254,7 @@
         if state.find(&intake.name).is_ok() || state.ledger.record(slot, &intake.name).is_some() {
             return Ok(false);
         }
-        if !state.ledger.owned().any(|(owned, _)| owned == slot) {
+        if !state.ledger.served_slots().any(|(owned, _)| owned == slot) {
             return Err(come_back(
                 Code::Unavailable,
                 "the request is owned elsewhere",
--- a/coltsfoothall-entry/src/open.rs
+++ b/coltsfoothall-entry/src/open.rs
@@ -150,7 +150,7 @@
 
     /// The answer of a request that is known and has no relay.
     pub fn known(&mut self, node: &Node, slot: Slot, name: &Name) -> Result<Arc<Feed>, Fault> {
-        if !self.ledger.owned().any(|(owned, _)| owned == slot) {
+        if !self.ledger.served_slots().any(|(owned, _)| owned == slot) {
             return Err(come_back(
                 Code::Unavailable,
                 "the request is owned elsewhere",
--- a/coltsfoothall/src/denial.rs
+++ b/coltsfoothall/src/denial.rs
@@ -111,7 +111,7 @@
     }
 
     fn confirm(&mut self, asked: Time) {
-        let Role::Owner(owner) = &self.role else {
+        let Role::Primary(owner) = &self.role else {
             return;
         };
         let held = |item: &Item| item.seq <= owner.released && !item.unsure;
--- a/coltsfoothall/src/handoff.rs
+++ b/coltsfoothall/src/handoff.rs
@@ -33,7 +33,7 @@
     /// Stops changes of an owned slot, so that the other copies catch up.
     pub fn drain(&mut self, slot: Slot) {
         if let Some(replica) = self.replica_mut(slot)
-            && matches!(replica.role, Role::Owner(_))
+            && matches!(replica.role, Role::Primary(_))
         {
             replica.draining = true;
         }
@@ -61,7 +61,7 @@
             return None;
         }
         let replica = self.replica_mut(slot).filter(|replica| replica.drained())?;
-        let Role::Owner(owner) = &replica.role else {
+        let Role::Primary(owner) = &replica.role else {
             return None;
         };
         let Link { peer, holder, .. } = owner.successor()?.clone();
@@ -103,7 +103,7 @@
                 replica.doubt(now, handoff.epoch.next());
                 true
             }
-            Role::Owner(_) => same,
+            Role::Primary(_) => same,
             Role::Backup { .. } | Role::Learner { .. } => false,
         }
     }
@@ -147,7 +147,7 @@
                 // A process before this one may have sealed its copy and worked on alone.
                 replica.doubt(now, epoch.next());
             }
-            let Role::Owner(owner) = &mut replica.role else {
+            let Role::Primary(owner) = &mut replica.role else {
                 return;
             };
             let lost = owner.backup.take_if(|link| link.peer == *backup);
@@ -164,7 +164,7 @@
     #[must_use]
     pub fn awaits(&self, slot: Slot, backup: &id::Instance) -> bool {
         let replica = self.replica(slot).filter(|replica| replica.leads());
-        let Some(Role::Owner(owner)) = replica.map(|replica| &replica.role) else {
+        let Some(Role::Primary(owner)) = replica.map(|replica| &replica.role) else {
             return false;
         };
         !self.noted(slot)
@@ -178,7 +178,7 @@
 impl Replica {
     /// Takes on what the owner before, which gave its word, knew of its own standing.
     fn inherit(&mut self, handoff: Handoff) {
-        if let Role::Owner(owner) = &mut self.role
+        if let Role::Primary(owner) = &mut self.role
             && handoff.contested
         {
             owner.contested = true;
--- a/coltsfoothall/src/ledger.rs
+++ b/coltsfoothall/src/ledger.rs
@@ -318,7 +318,7 @@
             return Ok(Next::Nothing);
         };
         let seq = replica.seq;
-        let Role::Owner(owner) = &mut replica.role else {
+        let Role::Primary(owner) = &mut replica.role else {
             return Ok(Next::Nothing);
         };
         match ack {
@@ -354,7 +354,7 @@
     pub fn released(&self, slot: Slot) -> Option<Seq> {
         let replica = self.replica(slot).filter(|replica| replica.leads())?;
         match &replica.role {
-            Role::Owner(owner) => Some(owner.released),
+            Role::Primary(owner) => Some(owner.released),
             Role::Backup { .. } | Role::Learner { .. } => None,
         }
     }
@@ -373,7 +373,7 @@
         let Some(replica) = self.replica(slot).filter(|replica| !replica.sealed) else {
             return Vec::new();
         };
-        let Role::Owner(owner) = &replica.role else {
+        let Role::Primary(owner) = &replica.role else {
             return Vec::new();
         };
         let Some(link) = owner.links().find(|link| link.peer == *to) else {
@@ -387,7 +387,7 @@
     pub fn owed(&self) -> Vec<Owed> {
         let mut owed = Vec::new();
         for replica in self.replicas.iter().filter(|replica| !replica.sealed) {
-            let Role::Owner(owner) = &replica.role else {
+            let Role::Primary(owner) = &replica.role else {
                 continue;
             };
             for link in owner.links() {
@@ -408,7 +408,7 @@
     pub fn go_alone(&mut self, slot: Slot) {
         self.resume(slot);
         if let Some(replica) = self.replica_mut(slot)
-            && let Role::Owner(owner) = &mut replica.role
+            && let Role::Primary(owner) = &mut replica.role
         {
             // A backup that dropped its copy is not waited for at all.
             owner.alone = owner.backup.is_some() || owner.learner.is_some();
@@ -465,7 +465,7 @@
 /// has sealed it and carries idempotent work on.
 pub(crate) fn serves(replica: &Replica) -> bool {
     match replica.role {
-        Role::Owner(_) => replica.leads() && !replica.draining,
+        Role::Primary(_) => replica.leads() && !replica.draining,
         Role::Backup { .. } => replica.sealed,
         Role::Learner { .. } => false,
     }
@@ -474,7 +474,7 @@
 /// Changes of a slot that wait for a copy.
 pub(crate) fn backlog(replica: &Replica) -> usize {
     match &replica.role {
-        Role::Owner(owner) => owner.unacked.len(),
+        Role::Primary(owner) => owner.unacked.len(),
         Role::Backup { .. } | Role::Learner { .. } => 0,
     }
 }
--- a/coltsfoothall/src/replica.rs
+++ b/coltsfoothall/src/replica.rs
@@ -47,7 +47,7 @@
 
 /// What an owner keeps beyond the records.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) struct Owner {
+pub(crate) struct Primary {
     /// The copy that may take over.
     pub(crate) backup: Option<Link>,
     /// A copy being made: where, its number and its last change.
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Role {
     /// The owner.
-    Owner(Owner),
+    Primary(Primary),
     /// The second copy that may take over from `primary`.
     Backup { primary: id::Instance },
     /// A copy of `primary`'s that the table does not name yet.
@@ -187,7 +187,7 @@
     }
 }
 
-impl Owner {
+impl Primary {
     /// The copies that are kept in step. A new copy that the backup's process has in place of
     /// one that is gone stands in for it.
     pub(crate) fn links(&self) -> impl Iterator<Item = &Link> {
@@ -277,7 +277,7 @@
     /// Applies a change and numbers it.
     pub(crate) fn apply(&mut self, now: Time, name: &Name, change: Change) -> Result<Seq, Broken> {
         let seq = self.seq.next();
-        let owner = matches!(self.role, Role::Owner(_));
+        let owner = matches!(self.role, Role::Primary(_));
         match (self.find(name), change) {
             (Err(at), Change::Accept(intake)) => {
                 let record = Box::new(Record::new(*intake));
@@ -347,9 +347,9 @@
                 self.epoch = update.epoch;
                 None
             }
-            Role::Owner(_) | Role::Backup { .. } if later => Some(Ack::Gap(self.seq.next())),
+            Role::Primary(_) | Role::Backup { .. } if later => Some(Ack::Gap(self.seq.next())),
             Role::Learner { .. } if later => Some(Ack::Missing),
-            Role::Owner(_) => Some(Ack::Sealed(self.epoch)),
+            Role::Primary(_) => Some(Ack::Sealed(self.epoch)),
             Role::Backup { .. } | Role::Learner { .. } if self.sealed => {
                 Some(Ack::Sealed(self.epoch))
             }
@@ -385,7 +385,7 @@
         };
         let mut to = Vec::new();
         match &mut self.role {
-            Role::Owner(owner) => {
+            Role::Primary(owner) => {
                 to.extend(owner.links().map(|link| link.peer.clone()));
                 if !to.is_empty() || owner.copying.is_some() {
                     owner.unacked.push(update.clone());
@@ -417,7 +417,7 @@
         };
         let idempotent = item.record.intake.idempotent;
         match &self.role {
-            Role::Owner(owner) => {
+            Role::Primary(owner) => {
                 let early = idempotent && owner.unreleased(seq);
                 self.leads() && (seq <= owner.released || early)
             }
@@ -428,12 +428,12 @@
 
     /// Whether this copy is its owner's and nothing speaks against it.
     pub(crate) fn leads(&self) -> bool {
-        matches!(self.role, Role::Owner(_)) && !self.sealed && !self.told
+        matches!(self.role, Role::Primary(_)) && !self.sealed && !self.told
     }
 
     /// Whether every change is held by every other copy, and no more are made.
     pub(crate) fn drained(&self) -> bool {
-        let Role::Owner(owner) = &self.role else {
+        let Role::Primary(owner) = &self.role else {
             return false;
         };
         if !self.draining || self.doubts() {
@@ -479,7 +479,7 @@
     /// The last change that the other copies hold, as far as it matters here.
     fn held(&self) -> Seq {
         match &self.role {
-            Role::Owner(owner) => owner.released,
+            Role::Primary(owner) => owner.released,
             Role::Backup { .. } | Role::Learner { .. } => self.seq,
         }
     }
--- a/coltsfoothall/src/status.rs
+++ b/coltsfoothall/src/status.rs
@@ -31,7 +31,7 @@
     }
 
     /// Slots that this instance may serve, with their epochs.
-    pub fn owned(&self) -> impl Iterator<Item = (Slot, Epoch)> {
+    pub fn served_slots(&self) -> impl Iterator<Item = (Slot, Epoch)> {
         let serving = self.replicas.iter().filter(|replica| serves(replica));
         serving.map(|replica| (replica.slot, replica.epoch))
     }
@@ -61,7 +61,7 @@
     pub fn keeps(&self, slot: Slot, epoch: Epoch) -> bool {
         let copy = self.replica(slot).filter(|replica| replica.epoch == epoch);
         copy.is_some_and(|replica| match replica.role {
-            Role::Owner(_) => !replica.sealed,
+            Role::Primary(_) => !replica.sealed,
             Role::Backup { .. } => true,
             Role::Learner { .. } => false,
         })
--- a/coltsfoothall/src/takeover.rs
+++ b/coltsfoothall/src/takeover.rs
@@ -10,7 +10,7 @@
 use crate::key::{Epoch, Slot};
 use crate::ledger::{Error, Ledger};
 use crate::record::{Change, End, Name};
-use crate::replica::{Broken, Doubt, Holder, Item, Life, Link, Owner, Replica, Role, Source, Word};
+use crate::replica::{Broken, Doubt, Holder, Item, Life, Link, Primary, Replica, Role, Source, Word};
 use crate::slot::{Entry, FIRST, Table};
 
 /// What a new table meant for this instance.
@@ -48,7 +48,7 @@
                 replica.sealed = true;
                 Some(replica.epoch)
             }
-            Role::Owner(_) | Role::Learner { .. } => None,
+            Role::Primary(_) | Role::Learner { .. } => None,
         }
     }
 
@@ -89,7 +89,7 @@
     pub fn withdraw(&mut self, slot: Slot) {
         self.proposals.retain(|proposal| proposal.slot != slot);
         if let Some(replica) = self.replica_mut(slot)
-            && matches!(replica.role, Role::Owner(_))
+            && matches!(replica.role, Role::Primary(_))
         {
             replica.sealed = replica.yielded;
         }
@@ -113,7 +113,7 @@
             // The entry is as it was, so the owner that was to give it up goes on.
             if let Some(replica) = self.replica_mut(proposal.slot)
                 && replica.epoch.next() == proposal.entry.epoch
-                && matches!(replica.role, Role::Owner(_))
+                && matches!(replica.role, Role::Primary(_))
             {
                 replica.sealed = replica.yielded;
             }
@@ -132,12 +132,12 @@
         }
         let mine = entry.primary == self.me;
         match &replica.role {
-            Role::Owner(_) | Role::Backup { .. } if entry.cold != replica.cold => false,
-            Role::Owner(_) if mine => match &entry.backup {
+            Role::Primary(_) | Role::Backup { .. } if entry.cold != replica.cold => false,
+            Role::Primary(_) if mine => match &entry.backup {
                 Some(backup) => self.ready(slot, backup) && self.named(slot, backup, entry),
                 None => !replica.sealed,
             },
-            Role::Owner(_) => {
+            Role::Primary(_) => {
                 replica.drained() && !replica.sealed && self.named(slot, &entry.primary, entry)
             }
             Role::Backup { .. } => mine && replica.sealed && entry.backup.is_none(),
@@ -198,7 +198,7 @@
         if entry.primary != self.me || entry.cold != entry.epoch {
             return;
         }
-        let mut replica = Replica::new(slot, entry.epoch, Role::Owner(Owner::default()));
+        let mut replica = Replica::new(slot, entry.epoch, Role::Primary(Primary::default()));
         // Nobody keeps a slot at the first table's epoch, so nothing was lost.
         replica.cold_since = (entry.epoch > FIRST.next()).then_some(now);
         replica.young = replica.cold_since.is_some();
@@ -260,11 +260,11 @@
                 holder,
             }
         });
-        self.role = Role::Owner(Owner {
+        self.role = Role::Primary(Primary {
             backup,
             unacked,
             released: acked,
-            ..Owner::default()
+            ..Primary::default()
         });
         self.sealed = false;
         self.yielded = false;
@@ -281,7 +281,7 @@
         let mine = entry.primary == *me;
         let backing = entry.backup.as_ref() == Some(me);
         match &mut self.role {
-            Role::Owner(owner) if mine && proposed => {
+            Role::Primary(owner) if mine && proposed => {
                 let learner = owner.learner.take();
                 owner.backup = learner.filter(|link| Some(&link.peer) == entry.backup.as_ref());
                 owner.contested = false;
@@ -293,7 +293,7 @@
                 self.told = false;
                 Follow::Kept
             }
-            Role::Owner(owner) if backing && proposed => {
+            Role::Primary(owner) if backing && proposed => {
                 let heir = owner.links().find(|link| link.peer == entry.primary);
                 self.source = heir.map(|link| Source {
                     from: link.peer.clone(),
@@ -324,7 +324,7 @@
                 self.back(entry);
                 Follow::Backs
             }
-            Role::Owner(_) | Role::Backup { .. } | Role::Learner { .. } => Follow::Dropped,
+            Role::Primary(_) | Role::Backup { .. } | Role::Learner { .. } => Follow::Dropped,
         }
     }
 
@@ -354,7 +354,7 @@
     /// Whether the owner here has a backup. Any may have sealed its copy and worked on
     /// alone, also one that holds all changes: its owner hears of it with the next only.
     pub(crate) fn backed(&self) -> bool {
-        matches!(&self.role, Role::Owner(owner) if owner.backup.is_some())
+        matches!(&self.role, Role::Primary(owner) if owner.backup.is_some())
     }
 
     fn back(&mut self, entry: &Entry) {
--- a/coltsfoothall/src/transfer.rs
+++ b/coltsfoothall/src/transfer.rs
@@ -46,7 +46,7 @@
             copy: Some(copy),
         };
         let replica = self.replica_mut(slot).filter(|replica| !replica.sealed)?;
-        let Role::Owner(owner) = &mut replica.role else {
+        let Role::Primary(owner) = &mut replica.role else {
             return None;
         };
         owner.learner = None;
@@ -73,7 +73,7 @@
             return false;
         }
         if let Some(replica) = self.replica_mut(slot)
-            && let Role::Owner(owner) = &mut replica.role
+            && let Role::Primary(owner) = &mut replica.role
         {
             owner.copying = None;
             owner.learner = None;
@@ -86,7 +86,7 @@
     #[must_use]
     pub fn learner(&self, slot: Slot) -> Option<&id::Instance> {
         match &self.replica(slot)?.role {
-            Role::Owner(owner) => owner.learner.as_ref().map(|link| &link.peer),
+            Role::Primary(owner) => owner.learner.as_ref().map(|link| &link.peer),
             Role::Backup { .. } | Role::Learner { .. } => None,
         }
     }
@@ -107,7 +107,7 @@
         let Some(replica) = self.replica_mut(slot).filter(|replica| !replica.sealed) else {
             return Ok(None);
         };
-        let Role::Owner(owner) = &mut replica.role else {
+        let Role::Primary(owner) = &mut replica.role else {
             return Ok(None);
         };
         let Some(copying) = owner
@@ -140,7 +140,7 @@
     /// The process of `peer` that holds a copy of an owned slot, to be named in the table.
     #[must_use]
     pub fn process(&self, slot: Slot, peer: &id::Instance) -> Option<Process> {
-        let Role::Owner(owner) = &self.replica(slot)?.role else {
+        let Role::Primary(owner) = &self.replica(slot)?.role else {
             return None;
         };
         let link = owner.links().find(|link| link.peer == *peer)?;
@@ -156,7 +156,7 @@
         let Some(replica) = self.replica(slot).filter(|replica| !replica.sealed) else {
             return false;
         };
-        let Role::Owner(owner) = &replica.role else {
+        let Role::Primary(owner) = &replica.role else {
             return false;
         };
         let mut links = owner.learner.iter().filter(|link| link.peer == *to);
@@ -256,8 +256,8 @@
         let sealed = Some(Taken::Sealed(self.epoch));
         match self.role {
             _ if self.epoch > chunk.epoch => sealed,
-            Role::Owner(_) if self.epoch == chunk.epoch => sealed,
-            Role::Owner(_) => Some(Taken::More(0)),
+            Role::Primary(_) if self.epoch == chunk.epoch => sealed,
+            Role::Primary(_) => Some(Taken::More(0)),
             Role::Backup { .. } if self.epoch == chunk.epoch && self.sealed => sealed,
             Role::Backup { .. } | Role::Learner { .. } => None,
         }
--- a/coltsfoothall/tests/world/mod.rs
+++ b/coltsfoothall/tests/world/mod.rs
@@ -572,7 +572,7 @@
     }
 
     fn intake(&mut self, at: usize) -> Intake {
-        let owned: Vec<_> = self.nodes[at].ledger.owned().collect();
+        let owned: Vec<_> = self.nodes[at].ledger.served_slots().collect();
         let unique = self.rng.random();
         let key = match owned.choose(&mut self.rng) {
             Some((slot, epoch)) if unique % 2 == 0 => Key::mint(*slot, *epoch, unique),
@@ -654,7 +654,7 @@
     /// The owner carries its open requests on.
     fn work(&mut self, at: usize) {
         let ledger = &self.nodes[at].ledger;
-        let owned: Vec<_> = ledger.owned().map(|(slot, _)| slot).collect();
+        let owned: Vec<_> = ledger.served_slots().map(|(slot, _)| slot).collect();
         for slot in owned {
             let ledger = &self.nodes[at].ledger;
             let open: Vec<_> = ledger.open(slot).cloned().collect();
@@ -709,7 +709,7 @@
             return self.read(at);
         };
         let me = node.name.clone();
-        let owner = node.ledger.owned().any(|(owned, _)| owned == slot);
+        let owner = node.ledger.served_slots().any(|(owned, _)| owned == slot);
         if entry.primary == me {
             self.lead(at, slot, &entry, owner);
         } else if entry.backup.as_ref() == Some(&me) && self.passes(at, slot) {
