--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -133,7 +133,7 @@
         }
         self.resend.look(&self.node);
         self.slots.look(now, &self.members, self.leaving);
-        let taken = self.slots.take_back(now);
+        let taken = self.slots.retract(now);
         self.node.desk.adopt(&self.node, taken);
         self.node.desk.with_ledger(|ledger| ledger.retire(now));
         self.node.desk.flush_all();
--- a/coltsfoothall-entry/src/keeper.rs
+++ b/coltsfoothall-entry/src/keeper.rs
@@ -169,14 +169,14 @@
     }
 
     /// Takes back what could not be confirmed as not run.
-    pub fn take_back(&self, now: Time) -> Vec<Event> {
+    pub fn retract(&self, now: Time) -> Vec<Event> {
         let waited = if self.service {
             UNCONFIRMED
         } else {
             Duration::ZERO
         };
         let desk = &self.node.desk;
-        desk.with_ledger(|ledger| ledger.take_back(now, waited))
+        desk.with_ledger(|ledger| ledger.retract(now, waited))
     }
 
     /// Whether the table was read too long ago.
--- a/coltsfoothall/src/denial.rs
+++ b/coltsfoothall/src/denial.rs
@@ -55,7 +55,7 @@
     }
 
     /// Takes back each "not run" that has waited for the table for so long.
-    pub fn take_back(&mut self, now: Time, waited: Duration) -> Vec<Event> {
+    pub fn retract(&mut self, now: Time, waited: Duration) -> Vec<Event> {
         if !self.awaited {
             return Vec::new();
         }
--- a/coltsfoothall/tests/denial.rs
+++ b/coltsfoothall/tests/denial.rs
@@ -131,10 +131,10 @@
     let step = world.give_up(&request);
     world.wait(100);
     let waited = Duration::from_millis(200);
-    assert_eq!(world.a.take_back(world.now, waited), []);
+    assert_eq!(world.a.retract(world.now, waited), []);
     world.wait(100);
     let ended = Event::Ended(request.name.clone(), UNKNOWN);
-    assert_eq!(world.a.take_back(world.now, waited), [ended]);
+    assert_eq!(world.a.retract(world.now, waited), [ended]);
     world.wait(10);
     world.read();
     assert_eq!(world.end(&request), Some(UNKNOWN));
