--- a/coltsfoothall-entry/src/desk.rs
+++ b/coltsfoothall-entry/src/desk.rs
@@ -201,7 +201,7 @@
             }
             // A slot that is full was found above, under the same lock.
             Err(ledger::Error::NotOwner(_) | ledger::Error::Full(_)) => Some(Input::Sealed),
-            Err(ledger::Error::NotSafe(_)) => Some(Input::Alone),
+            Err(ledger::Error::NotSafe(_)) => Some(Input::Unreplicated),
             Err(ledger::Error::Broken(broken)) => {
                 drop(state);
                 node.broken("ledger_change", &broken);
--- a/coltsfoothall-entry/src/round.rs
+++ b/coltsfoothall-entry/src/round.rs
@@ -133,8 +133,8 @@
                 desk.with_ledger(|ledger| ledger.seal(*slot));
                 desk.carry_on(&node, *slot);
             }
-            Duty::Alone(slot) => {
-                desk.with_ledger(|ledger| ledger.go_alone(*slot));
+            Duty::RunUnreplicated(slot) => {
+                desk.with_ledger(|ledger| ledger.run_unreplicated(*slot));
                 desk.carry_on(&node, *slot);
             }
             Duty::Yield(slot) => self.yield_slot(*slot).await,
--- a/coltsfoothall/src/duty.rs
+++ b/coltsfoothall/src/duty.rs
@@ -76,7 +76,7 @@
     /// Take changes again.
     Resume(Slot),
     /// Let idempotent requests go on without a backup.
-    Alone(Slot),
+    RunUnreplicated(Slot),
     /// Wait no longer for a copy that the table does not name: its holder died.
     GiveUp(Slot),
 }
@@ -303,7 +303,7 @@
     /// Duties of a primary whose backup is lost or leaving, with the service down.
     fn unbacked(&self, slot: Slot, entry: &Entry, backup: &id::Instance) -> Option<Duty> {
         if !self.backed(slot, entry, backup) {
-            return Some(Duty::Alone(slot));
+            return Some(Duty::RunUnreplicated(slot));
         }
         let awaited = self.ledger.awaits(slot, backup);
         let dismiss = awaited && !self.leaving && !self.staying(backup);
--- a/coltsfoothall/src/ledger.rs
+++ b/coltsfoothall/src/ledger.rs
@@ -172,7 +172,7 @@
     pub(crate) copies: u64,
     pub(crate) arrivals: Vec<Arrival>,
     /// Changes that took effect without a second copy.
-    pub(crate) alone: u64,
+    pub(crate) unreplicated: u64,
 }
 
 impl Ledger {
@@ -193,7 +193,7 @@
             awaited: false,
             copies,
             arrivals: Vec::new(),
-            alone: 0,
+            unreplicated: 0,
         }
     }
 
@@ -405,13 +405,13 @@
     /// Lets idempotent requests go on while the backup is out of reach and the
     /// service is down. Non-idempotent ones wait. It ends once the backup holds
     /// all changes. A slot that was drained for the backup is taken up again.
-    pub fn go_alone(&mut self, slot: Slot) {
+    pub fn run_unreplicated(&mut self, slot: Slot) {
         self.resume(slot);
         if let Some(replica) = self.replica_mut(slot)
             && let Role::Primary(owner) = &mut replica.role
         {
             // A backup that dropped its copy is not waited for at all.
-            owner.alone = owner.backup.is_some() || owner.learner.is_some();
+            owner.unreplicated = owner.backup.is_some() || owner.learner.is_some();
         }
     }
 
@@ -456,7 +456,7 @@
         let step = replica.publish(seq, name, change);
         let denies = |at: usize| replica.items[at].denies();
         self.awaited |= replica.find(&step.update.name).is_ok_and(denies);
-        self.alone += u64::from(step.released);
+        self.unreplicated += u64::from(step.released);
         Ok(step)
     }
 }
--- a/coltsfoothall/src/log.rs
+++ b/coltsfoothall/src/log.rs
@@ -5,7 +5,7 @@
 pub struct Log {
     recorded: u64,
     acked: u64,
-    alone: bool,
+    unreplicated: bool,
     /// Changes that brought tokens and are not held yet, rising.
     unheld: Vec<Unheld>,
     tokens: u64,
@@ -32,7 +32,7 @@
         self.recorded += 1;
         let seq = self.recorded;
         self.unheld.push(Unheld { seq, tokens });
-        if self.alone {
+        if self.unreplicated {
             self.hold(seq);
         }
         seq
@@ -48,9 +48,9 @@
     }
 
     /// Notes whether there is no backup; without one, all changes count as held.
-    pub fn set_alone(&mut self, alone: bool) {
-        self.alone = alone;
-        if alone {
+    pub fn set_unreplicated(&mut self, unreplicated: bool) {
+        self.unreplicated = unreplicated;
+        if unreplicated {
             self.hold(self.recorded);
         }
     }
@@ -71,8 +71,8 @@
 
     /// Whether there is no backup.
     #[must_use]
-    pub fn alone(&self) -> bool {
-        self.alone
+    pub fn unreplicated(&self) -> bool {
+        self.unreplicated
     }
 
     /// Number of the last change.
--- a/coltsfoothall/src/progress.rs
+++ b/coltsfoothall/src/progress.rs
@@ -18,7 +18,7 @@
 impl Request {
     /// Asks for an endpoint.
     pub(crate) fn pick(&mut self, out: &mut Vec<Action>) -> Result<(), Broken> {
-        if !self.record.intake.idempotent && self.log.alone() {
+        if !self.record.intake.idempotent && self.log.unreplicated() {
             return self.give_up(Cause::NotSafe, out);
         }
         let mut exclude = self.gone.clone();
--- a/coltsfoothall/src/replica.rs
+++ b/coltsfoothall/src/replica.rs
@@ -59,7 +59,7 @@
     /// All changes up to here may have their effect.
     pub(crate) released: Seq,
     /// Idempotent work goes on without the backup.
-    pub(crate) alone: bool,
+    pub(crate) unreplicated: bool,
     /// The process that held the backup is gone, and may have taken the slot over before. Until
     /// the table is written from here, only idempotent work has its effect.
     pub(crate) contested: bool,
@@ -211,7 +211,7 @@
 
     /// Whether idempotent work may have its effect although the change `seq` is not released.
     fn unreleased(&self, seq: Seq) -> bool {
-        self.alone || self.contested && self.held().is_none_or(|held| seq <= held)
+        self.unreplicated || self.contested && self.held().is_none_or(|held| seq <= held)
     }
 
     /// Moves `released` up to what all copies hold; it never falls.
@@ -220,7 +220,7 @@
         if !self.contested {
             self.released = self.released.max(held);
         }
-        self.alone &= held < seq;
+        self.unreplicated &= held < seq;
         let cut = self.copying.as_ref().map_or(held, |copying| copying.seq);
         self.unacked.retain(|update| update.seq > held.min(cut));
     }
@@ -440,7 +440,7 @@
             return false;
         }
         let whole = owner.links().all(|link| link.acked == self.seq);
-        whole && (owner.renewed().is_some() || !owner.alone)
+        whole && (owner.renewed().is_some() || !owner.unreplicated)
     }
 
     /// Whether a request of this name ended and was dropped.
--- a/coltsfoothall/src/request.rs
+++ b/coltsfoothall/src/request.rs
@@ -217,7 +217,7 @@
     fn step_backup(&mut self, input: &Input, out: &mut Vec<Action>) -> Option<Result<(), Broken>> {
         let sealed = self.phase == Phase::Sealed;
         match input {
-            Input::Acked { .. } | Input::Alone | Input::Backed | Input::Doubted | Input::Sealed
+            Input::Acked { .. } | Input::Unreplicated | Input::Backed | Input::Doubted | Input::Sealed
                 if sealed =>
             {
                 Some(Ok(()))
@@ -229,9 +229,9 @@
                 Some(Ok(()))
             }
             Input::Acked { seq } => Some(self.acked(*seq)),
-            Input::Alone => Some(self.alone(out)),
+            Input::Unreplicated => Some(self.unreplicated(out)),
             Input::Backed => {
-                self.log.set_alone(false);
+                self.log.set_unreplicated(false);
                 Some(Ok(()))
             }
             Input::Sealed => {
@@ -325,12 +325,12 @@
         Err(Broken::Unrecorded(name, seq, self.log.recorded()))
     }
 
-    fn alone(&mut self, out: &mut Vec<Action>) -> Result<(), Broken> {
+    fn unreplicated(&mut self, out: &mut Vec<Action>) -> Result<(), Broken> {
         let unsafe_now = !self.record.intake.idempotent && self.running.is_none();
         if unsafe_now && self.phase == Phase::Open {
             self.give_up(Cause::NotSafe, out)?;
         }
-        self.log.set_alone(true);
+        self.log.set_unreplicated(true);
         Ok(())
     }
 
--- a/coltsfoothall/src/safety.rs
+++ b/coltsfoothall/src/safety.rs
@@ -17,7 +17,7 @@
             return Some(Begin::Lost);
         }
         let backed = match &replica.role {
-            Role::Primary(owner) => owner.backup.is_some() && !owner.alone && !owner.contested,
+            Role::Primary(owner) => owner.backup.is_some() && !owner.unreplicated && !owner.contested,
             Role::Backup { .. } | Role::Learner { .. } => false,
         };
         let known = self.known(now, intake, self.settings.retention / 2);
@@ -63,7 +63,7 @@
     pub(crate) fn safe(&self, now: Time, item: &Item, replica: &Replica, change: &Change) -> bool {
         let intake = &item.record.intake;
         let owner = match &replica.role {
-            Role::Primary(owner) => Some(owner).filter(|owner| !owner.alone),
+            Role::Primary(owner) => Some(owner).filter(|owner| !owner.unreplicated),
             Role::Backup { .. } | Role::Learner { .. } => None,
         };
         match change {
--- a/coltsfoothall/src/status.rs
+++ b/coltsfoothall/src/status.rs
@@ -81,7 +81,7 @@
 
     /// Changes that took effect without a second copy.
     #[must_use]
-    pub fn alone(&self) -> u64 {
-        self.alone
+    pub fn unreplicated(&self) -> u64 {
+        self.unreplicated
     }
 }
--- a/coltsfoothall/src/step.rs
+++ b/coltsfoothall/src/step.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
     /// Run it. For a resumed request: its record is held by the new backup, or
-    /// [`Input::Alone`] was given before.
+    /// [`Input::Unreplicated`] was given before.
     Begin,
     /// The backup holds all changes up to this number.
     Acked {
@@ -20,7 +20,7 @@
         seq: u64,
     },
     /// There is no backup now, and this instance is the owner for certain.
-    Alone,
+    Unreplicated,
     /// "Not run" could not be recorded, or was taken back, as another copy may have run
     /// the request: its end is recorded as unknown.
     Doubted,
--- a/coltsfoothall/tests/denial.rs
+++ b/coltsfoothall/tests/denial.rs
@@ -213,7 +213,7 @@
     world.back_up();
     let request = intake("mine", true);
     let step = world.give_up(&request);
-    world.a.go_alone(SLOT);
+    world.a.run_unreplicated(SLOT);
     world.wait(10);
     world.read();
     assert!(!world.leaves(&request, step.seq));
--- a/coltsfoothall/tests/duty.rs
+++ b/coltsfoothall/tests/duty.rs
@@ -313,7 +313,7 @@
 fn backup_renewed() {
     let mut world = World::new();
     world.b = ledger("b", 1);
-    world.a.go_alone(SLOT);
+    world.a.run_unreplicated(SLOT);
     let missing = [Missing {
         slot: SLOT,
         epoch: world.entry_epoch(),
@@ -362,8 +362,8 @@
         service: false,
         settled: true,
     });
-    assert_eq!(alone, [Duty::Alone(SLOT)]);
-    world.a.go_alone(SLOT);
+    assert_eq!(alone, [Duty::RunUnreplicated(SLOT)]);
+    world.a.run_unreplicated(SLOT);
     assert!(world.a.serving(SLOT));
 }
 
--- a/coltsfoothall/tests/request.rs
+++ b/coltsfoothall/tests/request.rs
@@ -354,7 +354,7 @@
         self.own(Request::resume(record, self.now, Settings::default()));
         if self.rng.random_bool(0.5) {
             self.owners[1].alone = true;
-            self.give(1, Input::Alone);
+            self.give(1, Input::Unreplicated);
         }
         self.give(1, Input::Begin);
     }
@@ -443,7 +443,7 @@
             7..10 => self.take_over(),
             10 if owner == 0 && !self.sealed => {
                 self.owners[0].alone = true;
-                self.give(0, Input::Alone);
+                self.give(0, Input::Unreplicated);
             }
             11 if owner == 0 && self.sealed => self.give(0, Input::Sealed),
             _ => {}
@@ -473,7 +473,7 @@
         let last = self.owners.len() - 1;
         self.give(last, Input::Tick);
         self.owners[last].alone = true;
-        self.give(last, Input::Alone);
+        self.give(last, Input::Unreplicated);
         assert!(
             self.owners[last].request.over(),
             "seed {}: hangs",
@@ -599,7 +599,7 @@
         choose(&mut request, attempt + 1);
     }
     give(&mut request, Input::Broke { attempt: 4 });
-    give(&mut request, Input::Alone);
+    give(&mut request, Input::Unreplicated);
     assert_eq!(request.end(), Some(End::Unknown(Cause::Failed)));
 }
 
@@ -610,6 +610,6 @@
     let input = Input::Acked { seq: 99 };
     assert!(request.handle(Time::START, input, &mut actions).is_err());
     assert_eq!(actions[0], Action::Abort { attempt: 1 });
-    give(&mut request, Input::Alone);
+    give(&mut request, Input::Unreplicated);
     assert_eq!(request.end(), Some(End::Unknown(Cause::Failed)));
 }
--- a/coltsfoothall/tests/world/mod.rs
+++ b/coltsfoothall/tests/world/mod.rs
@@ -744,7 +744,7 @@
         let other = self.rng.random_range(0..self.nodes.len());
         let backup = entry.backup.as_ref().map(|name| self.at(name));
         if self.alone && backup.is_some() && self.chance(0.02) {
-            self.nodes[at].ledger.go_alone(slot);
+            self.nodes[at].ledger.run_unreplicated(slot);
         }
         if let Some(backup) = backup {
             self.resend(at, backup, slot);
