--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -6,7 +6,7 @@
 use coltsfoothall::forward::history::Place;
 use coltsfoothall::forward::peer::TOGETHER;
 use coltsfoothall::forward::rest;
-use coltsfoothall::turn;
+use coltsfoothall::batch;
 use coltsfoothall_shell::event;
 
 use crate::border::{Error, Listing, Realm};
@@ -174,7 +174,7 @@
 /// How long an instance rests after a change, longer in a large fleet. What one reads in its
 /// rest the others have told it, and each call is paid for: a fleet of 64 made 5,900 in 76 s.
 pub fn rest(state: &State, realm: Realm) -> Duration {
-    let turns = turn::turns(state.reach().members as usize, TOGETHER) as u32;
+    let turns = batch::count(state.reach().members as usize, TOGETHER) as u32;
     match realm {
         Realm::Configuration => CONFIGURATION_REST * turns.min(LONGEST_REST),
         // Others wait for what this one reads.
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -17,7 +17,7 @@
 use coltsfoothall::forward::usage::Count;
 use coltsfoothall::id;
 use coltsfoothall::suspicion::Evidence;
-use coltsfoothall::turn;
+use coltsfoothall::batch;
 use coltsfoothall_shell::event;
 use rand::seq::IteratorRandom;
 use serde::{Deserialize, Serialize};
@@ -73,7 +73,7 @@
     /// The state as one round of turns tells it: each target has to hear of all in time.
     fn now(state: &State, round: usize) -> Self {
         let now = state.now();
-        let turns = turn::turns(state.reach().members as usize, TOGETHER);
+        let turns = batch::count(state.reach().members as usize, TOGETHER);
         let rows = ROWS / turns;
         let span = EVERY * (turns as u32 + 1) * REPEATED;
         let window = {
@@ -92,9 +92,9 @@
             loads: state.roster.borrow().own(),
             spent: state.allowance.borrow().spent(),
             counts: state.usage.borrow().own(window.saturating_sub(WINDOWS)),
-            ended: turn::due(&state.news(), rows, round),
+            ended: batch::select(&state.news(), rows, round),
             work: state.roster.borrow().work().to_vec(),
-            failed: turn::due(&state.roster.borrow().failed(), rows, round),
+            failed: batch::select(&state.roster.borrow().failed(), rows, round),
             placed,
             evidence: state.docket.borrow().part(now, rows, round),
             era: state.era(),
@@ -107,7 +107,7 @@
 /// Sends a heartbeat to everyone without waiting for their turns, as before a stop.
 pub async fn announce(state: &Rc<State>, socket: &UdpSocket) {
     let targets = targets(state);
-    for turn in 0..turn::turns(targets.len(), TOGETHER) {
+    for turn in 0..batch::count(targets.len(), TOGETHER) {
         if turn > 0 {
             tokio::time::sleep(HURRY).await;
         }
@@ -117,13 +117,13 @@
 
 /// Sends a heartbeat to those of the targets that are due in a turn.
 async fn send(state: &State, socket: &UdpSocket, targets: &[SocketAddr], turn: usize) {
-    let round = turn / turn::turns(targets.len(), TOGETHER);
+    let round = turn / batch::count(targets.len(), TOGETHER);
     let heartbeat = Heartbeat::now(state, round);
     let Ok(bytes) = rmp_serde::to_vec(&heartbeat) else {
         // Unreachable: the message has no types that the format refuses.
         return;
     };
-    for address in turn::due(targets, TOGETHER, turn) {
+    for address in batch::select(targets, TOGETHER, turn) {
         if let Err(error) = socket.send_to(&bytes, address).await {
             event::LINK_FAILED.emit(format_args!("peer={address} reason={error:?}"));
         }
--- a/coltsfoothall/src/forward/peer.rs
+++ b/coltsfoothall/src/forward/peer.rs
@@ -9,7 +9,7 @@
 use crate::forward::allowance::Reach;
 use crate::id;
 use crate::size::Megabits;
-use crate::turn;
+use crate::batch;
 
 /// Most heartbeats that one instance sends at once. 64 of 1.4 kB each overran the queue
 /// of a link of 10 Mbit/s: those sent last, always the same, were lost, and half of a
@@ -309,7 +309,7 @@
 
     fn is_heard(&self, now: Time, peer: &Peer) -> bool {
         // Three heartbeats, where the fleet is so large that they come less often.
-        let turns = turn::turns(self.peers.len(), TOGETHER) as u32;
+        let turns = batch::count(self.peers.len(), TOGETHER) as u32;
         let silent = self.settings.silent.max(self.settings.turn * turns * 3);
         peer.heard.is_some_and(|heard| now.since(heard) <= silent)
     }
--- a/coltsfoothall/src/lib.rs
+++ b/coltsfoothall/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod adoption;
 pub mod attempt;
 pub mod backoff;
+pub mod batch;
 mod branch;
 pub mod candidate;
 pub mod catalog;
@@ -68,6 +69,5 @@
 pub mod suspicion;
 pub mod takeover;
 pub mod transfer;
-pub mod turn;
 pub mod weight;
 mod wish;
--- a/coltsfoothall/src/suspicion.rs
+++ b/coltsfoothall/src/suspicion.rs
@@ -44,7 +44,7 @@
 use crate::clock::Time;
 use crate::id;
 pub use crate::print::{Evidence, Mark, Notice, Print};
-use crate::turn;
+use crate::batch;
 
 /// Batch deaths that condemn a content, and that isolate a kin.
 const BATCH_DEATHS: usize = 2;
@@ -227,8 +227,8 @@
             .entries
             .iter()
             .partition(|entry| entry.deaths.len() > 1);
-        let strong = turn::due(&strong, most.div_ceil(2), round);
-        let weak = turn::due(&weak, most.saturating_sub(strong.len()), round);
+        let strong = batch::select(&strong, most.div_ceil(2), round);
+        let weak = batch::select(&weak, most.saturating_sub(strong.len()), round);
         let entries = strong.iter().chain(&weak);
         entries.map(|entry| tell(now, entry)).collect()
     }
--- a/coltsfoothall/tests/forward_peer.rs
+++ b/coltsfoothall/tests/forward_peer.rs
@@ -9,7 +9,7 @@
 use coltsfoothall::forward::allowance::Reach;
 use coltsfoothall::forward::peer::{Peers, Profile, Settings, TOGETHER};
 use coltsfoothall::size::Megabits;
-use coltsfoothall::turn;
+use coltsfoothall::batch;
 
 fn at(millis: u64) -> Time {
     Time::START + Duration::from_millis(millis)
@@ -187,10 +187,10 @@
         let all: Vec<SocketAddr> = (0..count)
             .map(|n| SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8], 7_500)))
             .collect();
-        let turns = turn::turns(all.len(), TOGETHER);
+        let turns = batch::count(all.len(), TOGETHER);
         let mut told = Vec::new();
         for turn in 7..7 + turns {
-            let due = turn::due(&all, TOGETHER, turn);
+            let due = batch::select(&all, TOGETHER, turn);
             assert!(due.len() <= TOGETHER, "{count}: {}", due.len());
             told.extend(due);
         }
