--- a/coltsfoothall-entry/src/keeper.rs
+++ b/coltsfoothall-entry/src/keeper.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Missing, Sight, duties};
+use coltsfoothall::duty::{Missing, Context, duties};
 use coltsfoothall::id;
 use coltsfoothall::key::Slot;
 use coltsfoothall::slot::Table;
@@ -134,7 +134,7 @@
         let settled = members.settled(now);
         let me = &self.node.settings.instance;
         let sight = |ledger: &mut _| {
-            duties(&Sight {
+            duties(&Context {
                 me,
                 table: &self.table,
                 ledger,
--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -10,7 +10,7 @@
 use coltsfoothall::catalog::{Catalog, Revision, Workspace};
 use coltsfoothall::choice::{Ask, Endpoint, Router, Settings};
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Sight, duties};
+use coltsfoothall::duty::{Context, duties};
 use coltsfoothall::id;
 use coltsfoothall::index::{Change, Event};
 use coltsfoothall::key::Slot;
@@ -200,7 +200,7 @@
     });
     let me = &all[members - 1].instance;
     let ledger = Ledger::new(me.clone(), ledger::Settings::default());
-    let sight = Sight {
+    let context = Context {
         me,
         table: &table,
         ledger: &ledger,
@@ -211,7 +211,7 @@
         settled: true,
     };
     measure(&format!("members={members} duties"), |_| {
-        black_box(duties(black_box(&sight)));
+        black_box(duties(black_box(&context)));
     });
     measure(&format!("members={members} backup_for"), |round| {
         black_box(table.backup_for(Slot(round as u16 % SLOTS), &all));
--- a/coltsfoothall/src/duty.rs
+++ b/coltsfoothall/src/duty.rs
@@ -94,7 +94,7 @@
 
 /// What duties follow from.
 #[derive(Debug, Clone, Copy)]
-pub struct Sight<'a> {
+pub struct Context<'a> {
     /// This instance.
     pub me: &'a id::Instance,
     /// The newest table known.
@@ -116,36 +116,36 @@
 
 /// The duties of this instance, in the order in which they should be done.
 #[must_use]
-pub fn duties(sight: &Sight<'_>) -> Vec<Duty> {
-    let moves = sight.moves();
+pub fn duties(context: &Context<'_>) -> Vec<Duty> {
+    let moves = context.moves();
     let mut duties = Vec::new();
-    for (slot, entry) in sight.table.iter() {
-        let next = if entry.primary == *sight.me {
+    for (slot, entry) in context.table.iter() {
+        let next = if entry.primary == *context.me {
             let to = moves.iter().find(|m| m.slot == slot).map(|m| &m.to);
-            sight.lead(slot, entry, to)
-        } else if entry.backup.as_ref() == Some(sight.me) {
-            sight.back(slot, entry)
+            context.lead(slot, entry, to)
+        } else if entry.backup.as_ref() == Some(context.me) {
+            context.back(slot, entry)
         } else {
-            sight.watch(slot, entry)
+            context.watch(slot, entry)
         };
         duties.extend(next);
     }
-    if sight.service {
-        spread_backups(sight, &moves, &mut duties);
+    if context.service {
+        spread_backups(context, &moves, &mut duties);
     }
     bound_copies(duties)
 }
 
 /// Chooses backups so that those chosen in this round count for the next choice;
 /// else the one with the least copies would get them all.
-fn spread_backups(sight: &Sight<'_>, moves: &[Move], duties: &mut [Duty]) {
+fn spread_backups(context: &Context<'_>, moves: &[Move], duties: &mut [Duty]) {
     let moved = |slot: Slot| moves.iter().any(|step| step.slot == slot);
-    let mut planned = sight.table.clone();
+    let mut planned = context.table.clone();
     for duty in duties {
         let (slot, to) = match duty {
             Duty::Name { slot, backup } => (*slot, backup.clone()),
             Duty::Copy { slot, to } if !moved(*slot) => {
-                if let Some(best) = planned.backup_for(*slot, sight.live) {
+                if let Some(best) = planned.backup_for(*slot, context.live) {
                     *to = best;
                 }
                 (*slot, to.clone())
@@ -165,7 +165,7 @@
     duties.into_iter().filter(|duty| keep(duty)).collect()
 }
 
-impl Sight<'_> {
+impl Context<'_> {
     /// Slots that are to change hands now.
     fn moves(&self) -> Vec<Move> {
         if !self.service || !self.settled {
--- a/coltsfoothall/tests/balance.rs
+++ b/coltsfoothall/tests/balance.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Duty, Sight, duties};
+use coltsfoothall::duty::{Duty, Context, duties};
 use coltsfoothall::id::Instance;
 use coltsfoothall::key::Slot;
 use coltsfoothall::ledger::{Ledger, Settings};
@@ -153,7 +153,7 @@
 
     fn duties(&self, at: usize) -> Vec<Duty> {
         let node = &self.nodes[at];
-        duties(&Sight {
+        duties(&Context {
             me: &node.me.instance,
             table: &node.table,
             ledger: &node.ledger,
--- a/coltsfoothall/tests/duty.rs
+++ b/coltsfoothall/tests/duty.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Duty, MOVED, Missing, Sight, duties};
+use coltsfoothall::duty::{Duty, MOVED, Missing, Context, duties};
 use coltsfoothall::id;
 use coltsfoothall::key::{Key, Slot};
 use coltsfoothall::ledger::{Ledger, Life, Settings};
@@ -86,7 +86,7 @@
     }
 
     fn duties(&self, me: &str, live: &[Candidate], missing: &[Missing]) -> Vec<Duty> {
-        duties(&Sight {
+        duties(&Context {
             me: &name(me),
             table: &self.table,
             ledger: if me == "a" { &self.a } else { &self.b },
@@ -100,7 +100,7 @@
 
     /// Duties of an instance that leaves while the key-value service is down.
     fn leaving(&self, me: &str, missing: &[Missing]) -> Vec<Duty> {
-        duties(&Sight {
+        duties(&Context {
             me: &name(me),
             table: &self.table,
             ledger: if me == "a" { &self.a } else { &self.b },
@@ -352,7 +352,7 @@
 fn heir_dead() {
     let mut world = World::new();
     world.a.drain(SLOT);
-    let alone = duties(&Sight {
+    let alone = duties(&Context {
         me: &name("a"),
         table: &world.table,
         ledger: &world.a,
@@ -421,7 +421,7 @@
             }
         }
     }
-    let sight = Sight {
+    let context = Context {
         me: &me,
         table: &table,
         ledger: &owner,
@@ -431,7 +431,7 @@
         service: true,
         settled: true,
     };
-    duties(&sight).len()
+    duties(&context).len()
 }
 
 fn intake(key: Key, body: usize) -> Intake {
