--- a/coltsfoothall-entry/src/death.rs
+++ b/coltsfoothall-entry/src/death.rs
@@ -11,7 +11,7 @@
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 use coltsfoothall::print::{Evidence, Mark, Print};
-use coltsfoothall::suspicion::{Docket, Settings, Verdict};
+use coltsfoothall::suspicion::{Tracker, Settings, Verdict};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -100,7 +100,7 @@
 /// Trials of endpoints, and the docket of requests.
 #[derive(Debug)]
 pub struct Judge {
-    docket: Docket,
+    docket: Tracker,
     /// Sorted by endpoint.
     trials: Vec<Trial>,
     /// Sorted by endpoint.
@@ -116,7 +116,7 @@
 impl Default for Judge {
     fn default() -> Self {
         Self {
-            docket: Docket::new(Settings::default()),
+            docket: Tracker::new(Settings::default()),
             trials: Vec::new(),
             dead: Vec::new(),
             runs: Vec::new(),
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -21,7 +21,7 @@
 use coltsfoothall::forward::upgrade;
 use coltsfoothall::forward::usage;
 use coltsfoothall::id;
-use coltsfoothall::suspicion::{self, Docket, Print};
+use coltsfoothall::suspicion::{self, Tracker, Print};
 use coltsfoothall_shell::event;
 use coltsfoothall_shell::metric::Board;
 use rand::Rng;
@@ -126,7 +126,7 @@
     /// Calls to the store.
     pub calls: Calls,
     /// Evidence against requests that crash endpoints.
-    pub docket: RefCell<Docket>,
+    pub docket: RefCell<Tracker>,
     attempts: Cell<u64>,
     /// Requests under way.
     pub open: Cell<usize>,
@@ -179,7 +179,7 @@
             risen: Notify::new(),
             reported: Cell::default(),
             calls: Calls::default(),
-            docket: RefCell::new(Docket::new(suspicion::Settings::default())),
+            docket: RefCell::new(Tracker::new(suspicion::Settings::default())),
             attempts: Cell::new(boot),
             open: Cell::new(0),
             board,
--- a/coltsfoothall/src/suspicion.rs
+++ b/coltsfoothall/src/suspicion.rs
@@ -2,7 +2,7 @@
 //!
 //! A key does not help: callers send such a request again under a new one. So
 //! each death of an endpoint is evidence against all contents that ran there.
-//! A death that was announced says nothing; the caller of [`Docket::died`]
+//! A death that was announced says nothing; the caller of [`Tracker::died`]
 //! also leaves out the loss of a whole failure domain.
 //!
 //! | evidence | verdict |
@@ -34,7 +34,7 @@
 //! first death and its arrival. With variations, the kin costs two for each of
 //! the first variations until it is condemned. Evidence is kept [`Settings::keep`]
 //! after the death, so the cost comes again once in that time at most.
-//! A full docket forgets the oldest evidence first.
+//! A full tracker forgets the oldest evidence first.
 //!
 //! Not bounded: variations without a common head, and non-idempotent variations
 //! sent once each whose kin is cleared by innocent ones in between.
@@ -115,7 +115,7 @@
 
 /// Evidence against contents, and the attempts of this instance that run.
 #[derive(Debug, Clone)]
-pub struct Docket {
+pub struct Tracker {
     settings: Settings,
     /// Sorted by mark.
     entries: Vec<Entry>,
@@ -123,8 +123,8 @@
     runs: Vec<Run>,
 }
 
-impl Docket {
-    /// A docket without evidence.
+impl Tracker {
+    /// A tracker without evidence.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -233,7 +233,7 @@
         entries.map(|entry| tell(now, entry)).collect()
     }
 
-    /// The evidence against some marks, such as those of [`Docket::died`].
+    /// The evidence against some marks, such as those of [`Tracker::died`].
     #[must_use]
     pub fn about(&self, now: Time, marks: &[Mark]) -> Vec<Evidence> {
         let found = marks.iter().filter_map(|mark| self.find(*mark).ok());
--- a/coltsfoothall/tests/suspicion.rs
+++ b/coltsfoothall/tests/suspicion.rs
@@ -8,7 +8,7 @@
 use coltsfoothall::id::Endpoint;
 use coltsfoothall::record::{Class, Intake, Name, Work};
 use coltsfoothall::size::Millis;
-use coltsfoothall::suspicion::{Docket, Evidence, Print, Settings, Verdict};
+use coltsfoothall::suspicion::{Tracker, Evidence, Print, Settings, Verdict};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -39,64 +39,64 @@
     format!("e{number}").parse().unwrap()
 }
 
-fn die(docket: &mut Docket, millis: u64, attempt: u64, print: Print, alone: bool) {
-    docket.started(at(millis), attempt, endpoint(attempt), print, alone);
-    docket.died(at(millis + 10), &endpoint(attempt), false);
+fn die(tracker: &mut Tracker, millis: u64, attempt: u64, print: Print, alone: bool) {
+    tracker.started(at(millis), attempt, endpoint(attempt), print, alone);
+    tracker.died(at(millis + 10), &endpoint(attempt), false);
 }
 
 #[test]
 fn neighbour_cleared() {
-    let mut docket = Docket::new(Settings::default());
+    let mut tracker = Tracker::new(Settings::default());
     let (bad, good) = (print("bad"), print("good"));
-    docket.started(at(0), 1, endpoint(1), bad, false);
-    docket.started(at(0), 2, endpoint(1), good, false);
-    assert_eq!(docket.died(at(5), &endpoint(1), false).len(), 4);
-    assert_eq!(docket.verdict(at(6), good), Verdict::Alone);
-    docket.started(at(7), 3, endpoint(2), good, true);
-    assert_eq!(docket.verdict(at(8), good), Verdict::Later);
-    docket.ended(at(9), 3, true);
-    assert_eq!(docket.verdict(at(10), good), Verdict::Free);
-    die(&mut docket, 11, 4, bad, true);
-    assert_eq!(docket.verdict(at(30), bad), Verdict::Poisonous);
+    tracker.started(at(0), 1, endpoint(1), bad, false);
+    tracker.started(at(0), 2, endpoint(1), good, false);
+    assert_eq!(tracker.died(at(5), &endpoint(1), false).len(), 4);
+    assert_eq!(tracker.verdict(at(6), good), Verdict::Alone);
+    tracker.started(at(7), 3, endpoint(2), good, true);
+    assert_eq!(tracker.verdict(at(8), good), Verdict::Later);
+    tracker.ended(at(9), 3, true);
+    assert_eq!(tracker.verdict(at(10), good), Verdict::Free);
+    die(&mut tracker, 11, 4, bad, true);
+    assert_eq!(tracker.verdict(at(30), bad), Verdict::Poisonous);
 }
 
 #[test]
 fn notice_excused() {
-    let mut docket = Docket::new(Settings::default());
-    docket.started(at(0), 1, endpoint(1), print("x"), false);
-    assert_eq!(docket.died(at(5), &endpoint(1), true), []);
-    assert_eq!(docket.verdict(at(6), print("x")), Verdict::Free);
+    let mut tracker = Tracker::new(Settings::default());
+    tracker.started(at(0), 1, endpoint(1), print("x"), false);
+    assert_eq!(tracker.died(at(5), &endpoint(1), true), []);
+    assert_eq!(tracker.verdict(at(6), print("x")), Verdict::Free);
 }
 
 #[test]
 fn together_counts_once() {
-    let mut docket = Docket::new(Settings::default());
+    let mut tracker = Tracker::new(Settings::default());
     let common = print("ping");
     for attempt in 1..=3 {
-        docket.started(at(0), attempt, endpoint(attempt), common, false);
+        tracker.started(at(0), attempt, endpoint(attempt), common, false);
     }
     for attempt in 1..=3 {
-        docket.died(at(5 + attempt), &endpoint(attempt), false);
+        tracker.died(at(5 + attempt), &endpoint(attempt), false);
     }
-    assert_eq!(docket.verdict(at(20), common), Verdict::Alone);
-    die(&mut docket, 21, 9, common, false);
-    assert_eq!(docket.verdict(at(40), common), Verdict::Poisonous);
+    assert_eq!(tracker.verdict(at(20), common), Verdict::Alone);
+    die(&mut tracker, 21, 9, common, false);
+    assert_eq!(tracker.verdict(at(40), common), Verdict::Poisonous);
 }
 
 #[test]
 fn variations_condemned() {
-    let mut docket = Docket::new(Settings::default());
+    let mut tracker = Tracker::new(Settings::default());
     let mut lost = 0;
     for variation in 0..50 {
         let print = print(&format!("{} {variation}", "crash ".repeat(300)));
         for _ in 0..4 {
-            let verdict = docket.verdict(at(lost * 100), print);
+            let verdict = tracker.verdict(at(lost * 100), print);
             if verdict == Verdict::Poisonous {
                 break;
             }
             lost += 1;
             let alone = verdict == Verdict::Alone;
-            die(&mut docket, lost * 100, lost, print, alone);
+            die(&mut tracker, lost * 100, lost, print, alone);
         }
     }
     assert!(lost <= 6, "{lost} endpoints lost");
@@ -108,26 +108,26 @@
         entries: 8,
         ..Settings::default()
     };
-    let mut docket = Docket::new(settings);
+    let mut tracker = Tracker::new(settings);
     for number in 0..40 {
         die(
-            &mut docket,
+            &mut tracker,
             number * 100,
             number,
             print(&format!("{number}")),
             true,
         );
     }
-    assert!(docket.len() <= 8);
-    docket.expire(at(4_000) + settings.keep);
-    assert!(docket.is_empty());
+    assert!(tracker.len() <= 8);
+    tracker.expire(at(4_000) + settings.keep);
+    assert!(tracker.is_empty());
 }
 
 #[test]
 fn merge_converges() {
     for seed in 0..200 {
         let mut rng = Pcg64::seed_from_u64(seed);
-        let mut from = Docket::new(Settings::default());
+        let mut from = Tracker::new(Settings::default());
         for attempt in 0..6 {
             let print = print(&format!("{}", rng.random_range(0..3)));
             die(
@@ -139,7 +139,7 @@
             );
         }
         let told = from.evidence(at(500));
-        let mut twice = Docket::new(Settings::default());
+        let mut twice = Tracker::new(Settings::default());
         for evidence in told.iter().rev().chain(&told) {
             twice.merge(at(500), std::slice::from_ref(evidence));
         }
@@ -154,7 +154,7 @@
     let gossip = rng.random_range(1..400);
     let run = rng.random_range(20..200);
     let settings = Settings::default;
-    let mut dockets: Vec<Docket> = (0..instances).map(|_| Docket::new(settings())).collect();
+    let mut trackers: Vec<Tracker> = (0..instances).map(|_| Tracker::new(settings())).collect();
     let mut mail: Vec<(u64, usize, Vec<Evidence>)> = Vec::new();
     let (mut now, mut lost) = (0, 0);
     let bad = print("crash");
@@ -163,22 +163,22 @@
         loop {
             for (due, to, evidence) in &mail {
                 if *due <= now {
-                    let docket: &mut Docket = &mut dockets[*to];
-                    docket.merge(at(now), evidence);
+                    let tracker: &mut Tracker = &mut trackers[*to];
+                    tracker.merge(at(now), evidence);
                 }
             }
             mail.retain(|(due, ..)| *due > now);
-            let verdict = dockets[by].verdict(at(now), bad);
+            let verdict = trackers[by].verdict(at(now), bad);
             if verdict == Verdict::Poisonous {
                 break;
             }
             lost += 1;
             let alone = verdict == Verdict::Alone;
-            dockets[by].started(at(now), lost, endpoint(lost), bad, alone);
+            trackers[by].started(at(now), lost, endpoint(lost), bad, alone);
             now += run;
-            dockets[by].died(at(now), &endpoint(lost), false);
+            trackers[by].died(at(now), &endpoint(lost), false);
             for to in (0..instances).filter(|to| *to != by) {
-                mail.push((now + gossip, to, dockets[by].evidence(at(now))));
+                mail.push((now + gossip, to, trackers[by].evidence(at(now))));
             }
         }
         now += 1;
@@ -199,10 +199,10 @@
 /// are in each, and all is told within a few turns.
 #[test]
 fn told_in_parts() {
-    let mut docket = Docket::new(Settings::default());
+    let mut tracker = Tracker::new(Settings::default());
     for attempt in 0..100 {
         die(
-            &mut docket,
+            &mut tracker,
             0,
             attempt,
             print(&format!("one {attempt}")),
@@ -210,12 +210,12 @@
         );
     }
     let bad = print("bad");
-    die(&mut docket, 20, 200, bad, false);
-    die(&mut docket, 40, 201, bad, false);
-    let all = docket.evidence(at(60));
+    die(&mut tracker, 20, 200, bad, false);
+    die(&mut tracker, 40, 201, bad, false);
+    let all = tracker.evidence(at(60));
     let mut told: Vec<Evidence> = Vec::new();
     for turn in 5..5 + all.len() {
-        let part = docket.part(at(60), 16, turn);
+        let part = tracker.part(at(60), 16, turn);
         assert!(part.len() <= 16);
         assert!(part.iter().any(|evidence| evidence.deaths.len() > 1));
         told.extend(part);
