--- a/coltsfoothall-entry/src/death.rs
+++ b/coltsfoothall-entry/src/death.rs
@@ -10,7 +10,7 @@
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
-use coltsfoothall::print::{Evidence, Mark, Print};
+use coltsfoothall::fingerprint::{Evidence, Mark, Fingerprint};
 use coltsfoothall::suspicion::{Tracker, Settings, Verdict};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -83,7 +83,7 @@
 struct Run {
     attempt: u64,
     endpoint: id::Endpoint,
-    print: Print,
+    fingerprint: Fingerprint,
     /// The process of the endpoint as it was known when the attempt began.
     boot: Option<Boot>,
 }
@@ -129,9 +129,9 @@
 impl Judge {
     /// How a request may run now.
     #[must_use]
-    pub fn verdict(&self, now: Time, print: Print) -> Verdict {
-        let verdict = self.docket.verdict(now, print);
-        let tried = |run: &Run| run.print.content == print.content && self.tries(&run.endpoint);
+    pub fn verdict(&self, now: Time, fingerprint: Fingerprint) -> Verdict {
+        let verdict = self.docket.verdict(now, fingerprint);
+        let tried = |run: &Run| run.fingerprint.content == fingerprint.content && self.tries(&run.endpoint);
         let early = verdict == Verdict::Alone && now < self.settled;
         if early || (verdict < Verdict::Later && self.runs.iter().any(tried)) {
             return Verdict::Later;
@@ -145,11 +145,11 @@
         now: Time,
         attempt: u64,
         endpoint: &id::Endpoint,
-        print: Print,
+        fingerprint: Fingerprint,
         alone: bool,
     ) {
         self.docket
-            .started(now, attempt, endpoint.clone(), print, alone);
+            .started(now, attempt, endpoint.clone(), fingerprint, alone);
         if let Err(at) = self.find(attempt) {
             let boot = self.boot(endpoint);
             self.runs.insert(
@@ -157,7 +157,7 @@
                 Run {
                     attempt,
                     endpoint: endpoint.clone(),
-                    print,
+                    fingerprint,
                     boot,
                 },
             );
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -12,7 +12,7 @@
 use coltsfoothall::id;
 use coltsfoothall::limit::{self, Decision, Gate, Number, Outcome, Refusal, Ticket};
 use coltsfoothall::load::Report;
-use coltsfoothall::print::Mark;
+use coltsfoothall::fingerprint::Mark;
 use coltsfoothall::record::Cause;
 use coltsfoothall::retry::Verdict;
 use coltsfoothall::size::Tokens;
@@ -181,7 +181,7 @@
 
     /// Chooses an endpoint, at once or when the request's turn comes.
     pub fn pick(&mut self, now: Time, pick: Pick, reply: UnboundedSender<Input>) {
-        if self.judge.verdict(now, pick.print) == suspicion::Verdict::Poisonous {
+        if self.judge.verdict(now, pick.fingerprint) == suspicion::Verdict::Poisonous {
             tell(&reply, Input::Poisoned);
             return;
         }
@@ -331,7 +331,7 @@
         if self.leaving && !waiting.pick.idempotent {
             return self.stop(now, &waiting, not_safe());
         }
-        let alone = match self.judge.verdict(now, waiting.pick.print) {
+        let alone = match self.judge.verdict(now, waiting.pick.fingerprint) {
             suspicion::Verdict::Poisonous => return self.stop(now, &waiting, Input::Poisoned),
             suspicion::Verdict::Later => return self.stop(now, &waiting, no_pick(LATER)),
             suspicion::Verdict::Alone => true,
@@ -346,7 +346,7 @@
         let run = self.router.began(now, &chosen.endpoint, &ask);
         let (attempt, reply) = (waiting.pick.attempt, waiting.reply.clone());
         self.judge
-            .started(now, attempt, &chosen.endpoint, waiting.pick.print, alone);
+            .started(now, attempt, &chosen.endpoint, waiting.pick.fingerprint, alone);
         self.retries.sent(now, &waiting.pick.ticket.service);
         self.attempts.begin(waiting.open(run));
         tell(
--- a/coltsfoothall-entry/src/members.rs
+++ b/coltsfoothall-entry/src/members.rs
@@ -7,7 +7,7 @@
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 use coltsfoothall::member::{self, Digest, Event, Heartbeat, Table};
-use coltsfoothall::print::Evidence;
+use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::size::Millis;
 use coltsfoothall::slot::Candidate;
 use coltsfoothall::stall::{self, Watch};
--- a/coltsfoothall-entry/src/message.rs
+++ b/coltsfoothall-entry/src/message.rs
@@ -14,7 +14,7 @@
 use coltsfoothall::limit::{Number, Refusal, Ticket};
 use coltsfoothall::load::Report;
 use coltsfoothall::member::Heartbeat;
-use coltsfoothall::print::Evidence;
+use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::size::Tokens;
 use coltsfoothall::slot::Table;
 use coltsfoothall::step::Input;
--- a/coltsfoothall-entry/src/peer.rs
+++ b/coltsfoothall-entry/src/peer.rs
@@ -20,7 +20,7 @@
 use coltsfoothall::id;
 use coltsfoothall::key::{Epoch, Slot};
 use coltsfoothall::member::Heartbeat;
-use coltsfoothall::print::Evidence;
+use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::record::Name;
 use coltsfoothall::replica::{Ack, Chunk, Life, Taken, Update};
 use coltsfoothall::slot::Table;
--- a/coltsfoothall-entry/src/pick.rs
+++ b/coltsfoothall-entry/src/pick.rs
@@ -7,7 +7,7 @@
 use coltsfoothall::id;
 use coltsfoothall::limit::{Number, Ticket};
 use coltsfoothall::prefix::{self, Block};
-use coltsfoothall::print::Print;
+use coltsfoothall::fingerprint::Fingerprint;
 use coltsfoothall::record::{Intake, Work};
 use coltsfoothall::size::Tokens;
 
@@ -29,7 +29,7 @@
     /// Endpoints that are not to be chosen, sorted.
     pub exclude: Vec<id::Endpoint>,
     /// The marks of its content.
-    pub print: Print,
+    pub fingerprint: Fingerprint,
     /// Whether it may run more than once.
     pub idempotent: bool,
     model: Option<id::Model>,
@@ -50,13 +50,13 @@
     ) -> Self {
         // One that is carried on is owed its place until its deadline.
         let ticket = demand(intake, deadline);
-        let print = Print::new(intake);
+        let fingerprint = Fingerprint::new(intake);
         let bare = Self {
             number: None,
             ticket,
             attempt,
             exclude,
-            print,
+            fingerprint,
             idempotent: intake.idempotent,
             model: None,
             blocks: Vec::new(),
--- a/coltsfoothall-entry/src/trial.rs
+++ b/coltsfoothall-entry/src/trial.rs
@@ -4,7 +4,7 @@
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
-use coltsfoothall::print::Evidence;
+use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::step::Input;
 use coltsfoothall_shell::event;
 use coltsfoothall_wire::cloud::Machine;
--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -12,7 +12,7 @@
 use coltsfoothall::forward::upgrade::Versions;
 use coltsfoothall::id;
 use coltsfoothall::size::Tokens;
-use coltsfoothall::suspicion::Print;
+use coltsfoothall::suspicion::Fingerprint;
 use http::request::Parts;
 use http::{Request, Response, Uri};
 use hyper::body::Incoming;
@@ -41,7 +41,7 @@
     /// Memory of one engine, if engines run it.
     pub memory: Option<Tokens>,
     /// What it is known by if it crashes endpoints.
-    pub print: Print,
+    pub fingerprint: Fingerprint,
     /// When its head was read.
     pub begun: Time,
     /// When its final answer is due.
@@ -82,7 +82,7 @@
 pub struct Share {
     state: Rc<State>,
     run: Option<Run>,
-    print: Print,
+    fingerprint: Fingerprint,
     route: std::sync::Arc<Route>,
     service: id::Service,
     version: Option<id::Version>,
@@ -106,7 +106,7 @@
         Self {
             state: Rc::clone(state),
             run: Some(run),
-            print: job.print,
+            fingerprint: job.fingerprint,
             route: std::sync::Arc::clone(&job.route),
             service: job.service.clone(),
             version: pick.version.clone(),
@@ -151,7 +151,7 @@
         if let Some(run) = self.run.take() {
             let now = self.state.now();
             self.state.roster.borrow_mut().finish(now, &run, end);
-            self.state.testify(&self.endpoint, self.print, end);
+            self.state.testify(&self.endpoint, self.fingerprint, end);
         }
     }
 }
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -7,7 +7,7 @@
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::table::{Route, Table};
 use coltsfoothall::id;
-use coltsfoothall::suspicion::{Print, Verdict};
+use coltsfoothall::suspicion::{Fingerprint, Verdict};
 use coltsfoothall_shell::event;
 use coltsfoothall_wire::http as body;
 use futures_util::future::LocalBoxFuture;
@@ -171,8 +171,8 @@
     };
     let holder = workspace.as_ref().map_or("", id::Workspace::as_str);
     let asked = head.uri.path_and_query().map_or("", |asked| asked.as_str());
-    let print = Print::of_call(holder, head.method.as_str(), asked, &body);
-    let verdict = state.docket.borrow().verdict(state.now(), print);
+    let fingerprint = Fingerprint::of_call(holder, head.method.as_str(), asked, &body);
+    let verdict = state.docket.borrow().verdict(state.now(), fingerprint);
     if verdict == Verdict::Poisonous {
         return Err(full("such requests crashed endpoints", POISONOUS));
     }
@@ -192,7 +192,7 @@
         body,
         workspace,
         rank,
-        print,
+        fingerprint,
         begun,
         due,
     };
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -21,7 +21,7 @@
 use coltsfoothall::forward::upgrade;
 use coltsfoothall::forward::usage;
 use coltsfoothall::id;
-use coltsfoothall::suspicion::{self, Tracker, Print};
+use coltsfoothall::suspicion::{self, Tracker, Fingerprint};
 use coltsfoothall_shell::event;
 use coltsfoothall_shell::metric::Board;
 use rand::Rng;
@@ -291,20 +291,20 @@
     /// A run ended. One that broke off is evidence if its endpoint turns out to be gone; a
     /// whole answer clears its like. Endpoints that leave without a word go on serving, so
     /// runs that did not break are no evidence.
-    pub fn testify(&self, endpoint: &id::Endpoint, print: Print, end: End) {
+    pub fn testify(&self, endpoint: &id::Endpoint, fingerprint: Fingerprint, end: End) {
         let now = self.now();
         let mut docket = self.docket.borrow_mut();
         let attempt = self.attempts.get();
         match end {
             End::Whole if docket.is_empty() => {}
             End::Whole => {
-                docket.started(now, attempt, endpoint.clone(), print, false);
+                docket.started(now, attempt, endpoint.clone(), fingerprint, false);
                 docket.ended(now, attempt, true);
             }
             End::Failed => {
                 // The fleet's attempts differ, since each boot counts from a number of its own.
                 self.attempts.set(attempt.wrapping_add(1));
-                docket.started(now, attempt, endpoint.clone(), print, false);
+                docket.started(now, attempt, endpoint.clone(), fingerprint, false);
             }
             End::Refused | End::Unreachable | End::Abandoned => {}
         }
--- a/coltsfoothall-wire/src/peer.rs
+++ b/coltsfoothall-wire/src/peer.rs
@@ -14,7 +14,7 @@
 use coltsfoothall::id;
 use coltsfoothall::key::{Epoch, Slot};
 use coltsfoothall::member::Heartbeat;
-use coltsfoothall::print::Evidence;
+use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::record::{Answer, End, Finish, Intake, Name};
 use coltsfoothall::replica::{Ack, Chunk, Life, Taken, Update};
 use coltsfoothall::size::Millis;
--- a/coltsfoothall/src/print.rs
+++ b/coltsfoothall/src/fingerprint.rs
@@ -19,14 +19,14 @@
 
 /// The marks of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Print {
+pub struct Fingerprint {
     /// Its content.
     pub content: Mark,
     /// Its kin.
     pub kin: Mark,
 }
 
-impl Print {
+impl Fingerprint {
     /// The marks of a request that is forwarded as it came: whose it is, what it asks, and
     /// its body. Such requests have no kin, since their content is not read.
     #[must_use]
--- a/coltsfoothall/src/suspicion.rs
+++ b/coltsfoothall/src/suspicion.rs
@@ -43,7 +43,7 @@
 
 use crate::clock::Time;
 use crate::id;
-pub use crate::print::{Evidence, Mark, Notice, Print};
+pub use crate::fingerprint::{Evidence, Mark, Notice, Fingerprint};
 use crate::batch;
 
 /// Batch deaths that condemn a content, and that isolate a kin.
@@ -108,7 +108,7 @@
 struct Run {
     attempt: u64,
     endpoint: id::Endpoint,
-    print: Print,
+    fingerprint: Fingerprint,
     began: Time,
     alone: bool,
 }
@@ -136,12 +136,12 @@
 
     /// How a request may run now.
     #[must_use]
-    pub fn verdict(&self, now: Time, print: Print) -> Verdict {
-        let content = self.grade(now, print.content);
-        let kin = self.grade(now, print.kin);
+    pub fn verdict(&self, now: Time, fingerprint: Fingerprint) -> Verdict {
+        let content = self.grade(now, fingerprint.content);
+        let kin = self.grade(now, fingerprint.kin);
         let verdict = content.max(kin);
         let tried = self.runs.iter().any(|run| {
-            run.alone && (run.print.content == print.content || run.print.kin == print.kin)
+            run.alone && (run.fingerprint.content == fingerprint.content || run.fingerprint.kin == fingerprint.kin)
         });
         if verdict == Verdict::Alone && tried {
             return Verdict::Later;
@@ -155,13 +155,13 @@
         now: Time,
         attempt: u64,
         endpoint: id::Endpoint,
-        print: Print,
+        fingerprint: Fingerprint,
         alone: bool,
     ) {
         let run = Run {
             attempt,
             endpoint,
-            print,
+            fingerprint,
             began: now,
             alone,
         };
@@ -178,8 +178,8 @@
         };
         let run = self.runs.remove(at);
         if whole {
-            self.clear(now, run.print.content);
-            self.clear(now, run.print.kin);
+            self.clear(now, run.fingerprint.content);
+            self.clear(now, run.fingerprint.kin);
         }
     }
 
@@ -203,7 +203,7 @@
                 at: now,
                 alone: run.alone && only,
             };
-            for mark in [run.print.content, run.print.kin] {
+            for mark in [run.fingerprint.content, run.fingerprint.kin] {
                 self.add(now, mark, death);
                 if let Err(at) = marks.binary_search(&mark) {
                     marks.insert(at, mark);
--- a/coltsfoothall/tests/suspicion.rs
+++ b/coltsfoothall/tests/suspicion.rs
@@ -8,12 +8,12 @@
 use coltsfoothall::id::Endpoint;
 use coltsfoothall::record::{Class, Intake, Name, Work};
 use coltsfoothall::size::Millis;
-use coltsfoothall::suspicion::{Tracker, Evidence, Print, Settings, Verdict};
+use coltsfoothall::suspicion::{Tracker, Evidence, Fingerprint, Settings, Verdict};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-fn print(prompt: &str) -> Print {
-    Print::new(&Intake {
+fn fingerprint(prompt: &str) -> Fingerprint {
+    Fingerprint::new(&Intake {
         name: Name {
             workspace: "w".parse().unwrap(),
             key: "k".parse().unwrap(),
@@ -39,15 +39,15 @@
     format!("e{number}").parse().unwrap()
 }
 
-fn die(tracker: &mut Tracker, millis: u64, attempt: u64, print: Print, alone: bool) {
-    tracker.started(at(millis), attempt, endpoint(attempt), print, alone);
+fn die(tracker: &mut Tracker, millis: u64, attempt: u64, fingerprint: Fingerprint, alone: bool) {
+    tracker.started(at(millis), attempt, endpoint(attempt), fingerprint, alone);
     tracker.died(at(millis + 10), &endpoint(attempt), false);
 }
 
 #[test]
 fn neighbour_cleared() {
     let mut tracker = Tracker::new(Settings::default());
-    let (bad, good) = (print("bad"), print("good"));
+    let (bad, good) = (fingerprint("bad"), fingerprint("good"));
     tracker.started(at(0), 1, endpoint(1), bad, false);
     tracker.started(at(0), 2, endpoint(1), good, false);
     assert_eq!(tracker.died(at(5), &endpoint(1), false).len(), 4);
@@ -63,15 +63,15 @@
 #[test]
 fn notice_excused() {
     let mut tracker = Tracker::new(Settings::default());
-    tracker.started(at(0), 1, endpoint(1), print("x"), false);
+    tracker.started(at(0), 1, endpoint(1), fingerprint("x"), false);
     assert_eq!(tracker.died(at(5), &endpoint(1), true), []);
-    assert_eq!(tracker.verdict(at(6), print("x")), Verdict::Free);
+    assert_eq!(tracker.verdict(at(6), fingerprint("x")), Verdict::Free);
 }
 
 #[test]
 fn together_counts_once() {
     let mut tracker = Tracker::new(Settings::default());
-    let common = print("ping");
+    let common = fingerprint("ping");
     for attempt in 1..=3 {
         tracker.started(at(0), attempt, endpoint(attempt), common, false);
     }
@@ -88,15 +88,15 @@
     let mut tracker = Tracker::new(Settings::default());
     let mut lost = 0;
     for variation in 0..50 {
-        let print = print(&format!("{} {variation}", "crash ".repeat(300)));
+        let fingerprint = fingerprint(&format!("{} {variation}", "crash ".repeat(300)));
         for _ in 0..4 {
-            let verdict = tracker.verdict(at(lost * 100), print);
+            let verdict = tracker.verdict(at(lost * 100), fingerprint);
             if verdict == Verdict::Poisonous {
                 break;
             }
             lost += 1;
             let alone = verdict == Verdict::Alone;
-            die(&mut tracker, lost * 100, lost, print, alone);
+            die(&mut tracker, lost * 100, lost, fingerprint, alone);
         }
     }
     assert!(lost <= 6, "{lost} endpoints lost");
@@ -114,7 +114,7 @@
             &mut tracker,
             number * 100,
             number,
-            print(&format!("{number}")),
+            fingerprint(&format!("{number}")),
             true,
         );
     }
@@ -129,12 +129,12 @@
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut from = Tracker::new(Settings::default());
         for attempt in 0..6 {
-            let print = print(&format!("{}", rng.random_range(0..3)));
+            let fingerprint = fingerprint(&format!("{}", rng.random_range(0..3)));
             die(
                 &mut from,
                 attempt * 20,
                 attempt,
-                print,
+                fingerprint,
                 rng.random_bool(0.2),
             );
         }
@@ -157,7 +157,7 @@
     let mut trackers: Vec<Tracker> = (0..instances).map(|_| Tracker::new(settings())).collect();
     let mut mail: Vec<(u64, usize, Vec<Evidence>)> = Vec::new();
     let (mut now, mut lost) = (0, 0);
-    let bad = print("crash");
+    let bad = fingerprint("crash");
     for _ in 0..100 {
         let by = rng.random_range(0..instances);
         loop {
@@ -205,11 +205,11 @@
             &mut tracker,
             0,
             attempt,
-            print(&format!("one {attempt}")),
+            fingerprint(&format!("one {attempt}")),
             false,
         );
     }
-    let bad = print("bad");
+    let bad = fingerprint("bad");
     die(&mut tracker, 20, 200, bad, false);
     die(&mut tracker, 40, 201, bad, false);
     let all = tracker.evidence(at(60));
