--- a/coltsfoothall-entry/src/members.rs
+++ b/coltsfoothall-entry/src/members.rs
@@ -10,7 +10,7 @@
 use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::size::Millis;
 use coltsfoothall::slot::Candidate;
-use coltsfoothall::stall::{self, Watch};
+use coltsfoothall::stall::{self, Monitor};
 use coltsfoothall_shell::event;
 use coltsfoothall_shell::metric::Flow;
 use coltsfoothall_wire::caller::{Address, Addresses};
@@ -41,7 +41,7 @@
 pub struct Members {
     node: Arc<Node>,
     table: Table,
-    watch: Watch,
+    watch: Monitor,
     /// Addresses for peers from the instance list, sorted.
     seeds: Vec<String>,
     /// When it last could not be told whether others or this instance stalled.
@@ -90,7 +90,7 @@
         };
         Self {
             table: Table::new(me, limits),
-            watch: Watch::new(node.now(), stall),
+            watch: Monitor::new(node.now(), stall),
             seeds: Vec::new(),
             doubted: None,
             starts: Vec::new(),
@@ -149,7 +149,7 @@
 
     /// Takes in a heartbeat; true if somebody joined or is leaving.
     pub fn hear(&mut self, now: Time, heartbeat: Heartbeat) -> bool {
-        self.watch.heard(now);
+        self.watch.record_message(now);
         let events = self.table.merge(now, heartbeat);
         for event in &events {
             if let Event::Joined(instance) = event {
--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -21,7 +21,7 @@
 use coltsfoothall::record::Class;
 use coltsfoothall::size::{Price, Rate, Tokens};
 use coltsfoothall::slot::{Candidate, Process, SLOTS, Table};
-use coltsfoothall::stall::{self, Watch};
+use coltsfoothall::stall::{self, Monitor};
 use coltsfoothall::weight::Risk;
 
 /// Failure domains at the size to design for.
@@ -128,7 +128,7 @@
 fn membership(members: usize) {
     weigh(&format!("members={members} table"), || table_of(members));
     let mut table = table_of(members);
-    let mut watch = Watch::new(at(0), stall::Settings::default());
+    let mut watch = Monitor::new(at(0), stall::Settings::default());
     measure(&format!("members={members} heartbeat"), |round| {
         black_box(table.heartbeat(at(20 + round as u64)));
     });
@@ -143,7 +143,7 @@
     });
     measure(&format!("members={members} expire"), |round| {
         let now = at(200 + round as u64);
-        watch.heard(now);
+        watch.record_message(now);
         watch.tick(now);
         black_box(table.expire(now, &watch));
     });
--- a/coltsfoothall/src/member.rs
+++ b/coltsfoothall/src/member.rs
@@ -17,7 +17,7 @@
 use crate::id;
 use crate::size::{Bytes, Millis};
 use crate::slot::Candidate;
-use crate::stall::{Verdict, Watch};
+use crate::stall::{Verdict, Monitor};
 
 pub use crate::digest::{Address, Addresses, DEATH, DIGEST, Death, Digest, HEARTBEAT, Heartbeat};
 
@@ -212,7 +212,7 @@
 
     /// Judges members that were not heard in time. Call once a control tick,
     /// after the watch's own tick.
-    pub fn expire(&mut self, now: Time, watch: &Watch) -> Vec<Event> {
+    pub fn expire(&mut self, now: Time, watch: &Monitor) -> Vec<Event> {
         let forget = self.settings.forget;
         let gone = |dead: Time| now.since(dead) >= forget;
         self.members.retain(|member| !member.dead.is_some_and(gone));
--- a/coltsfoothall/src/stall.rs
+++ b/coltsfoothall/src/stall.rs
@@ -2,7 +2,7 @@
 //!
 //! Silence looks the same whether a peer died or its listener stood still or
 //! was cut off. Before a missed heartbeat leads to something that cannot be
-//! undone, [`Watch::judge`] asks what this instance can show for itself: its
+//! undone, [`Monitor::judge`] asks what this instance can show for itself: its
 //! control ticks came on time, and it heard from somebody after the peer went
 //! overdue.
 
@@ -53,7 +53,7 @@
 
 /// What this instance knows about itself.
 #[derive(Debug)]
-pub struct Watch {
+pub struct Monitor {
     settings: Settings,
     /// The last control tick.
     ticked: Time,
@@ -63,7 +63,7 @@
     heard: Time,
 }
 
-impl Watch {
+impl Monitor {
     /// A watch that begins now.
     #[must_use]
     pub fn new(now: Time, settings: Settings) -> Self {
@@ -89,7 +89,7 @@
     /// Notes that somebody was heard: a peer's message, not one's own timer. The
     /// first message after a long silence ends a cut, which is like a stall:
     /// the others need a moment to be heard again.
-    pub fn heard(&mut self, now: Time) {
+    pub fn record_message(&mut self, now: Time) {
         if now.since(self.heard) >= self.settings.timeout / 2 {
             self.stalled = Some(now);
         }
--- a/coltsfoothall/tests/member.rs
+++ b/coltsfoothall/tests/member.rs
@@ -6,7 +6,7 @@
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::member::{Death, Digest, Event, Heartbeat, Settings, Table};
-use coltsfoothall::stall::{self, Watch};
+use coltsfoothall::stall::{self, Monitor};
 
 fn digest(at: usize, incarnation: u64) -> Digest {
     Digest {
@@ -43,7 +43,7 @@
 /// Runs heartbeats for some seconds; returns the members that died by mistake.
 fn beat(
     tables: &mut [Table],
-    watches: &mut [Watch],
+    watches: &mut [Monitor],
     from: u64,
     to: u64,
     dead: Option<usize>,
@@ -57,7 +57,7 @@
                 let to: usize = peer.instance.as_str()[1..].parse().unwrap();
                 if Some(to) != dead {
                     tables[to].merge(now, heartbeat.clone());
-                    watches[to].heard(now);
+                    watches[to].record_message(now);
                 }
             }
         }
@@ -71,14 +71,14 @@
     died
 }
 
-fn watches(count: usize, timeout: u64) -> Vec<Watch> {
+fn watches(count: usize, timeout: u64) -> Vec<Monitor> {
     let settings = stall::Settings {
         tick: Duration::from_secs(1),
         timeout: Duration::from_secs(timeout),
         ..stall::Settings::default()
     };
     (0..count)
-        .map(|_| Watch::new(Time::START, settings.clone()))
+        .map(|_| Monitor::new(Time::START, settings.clone()))
         .collect()
 }
 
@@ -209,7 +209,7 @@
         .map(|a| a.weight)
         .collect();
     assert_eq!(weights, [500, 100]);
-    let watch = Watch::new(Time::START, stall::Settings::default());
+    let watch = Monitor::new(Time::START, stall::Settings::default());
     table.expire(Time::START, &watch);
     let later = table.addresses(second(3000));
     assert_eq!(later.addresses.len(), 1, "only itself was heard lately");
--- a/coltsfoothall/tests/stall.rs
+++ b/coltsfoothall/tests/stall.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::stall::{Settings, Verdict, Watch};
+use coltsfoothall::stall::{Settings, Verdict, Monitor};
 
 const PEERS: usize = 8;
 
@@ -13,7 +13,7 @@
 enum Rule {
     Timeout,
     Paper,
-    Watch,
+    Monitor,
 }
 
 /// What happens, in milliseconds since the start.
@@ -36,7 +36,7 @@
 fn run(rule: Rule, case: Case, seed: u64) -> (usize, Option<u64>) {
     let settings = Settings::default();
     let at = |ms: u64| Time::START + Duration::from_millis(ms);
-    let mut watch = Watch::new(at(0), settings.clone());
+    let mut watch = Monitor::new(at(0), settings.clone());
     let mut last = [0; PEERS];
     let mut dead = [false; PEERS];
     let (mut heard, mut first, mut batch) = (0, None, 0);
@@ -57,7 +57,7 @@
             };
             if beat && !gone {
                 (*last, heard) = (ms, ms);
-                watch.heard(at(ms));
+                watch.record_message(at(ms));
             }
         }
         if ms % 200 != 0 {
@@ -74,7 +74,7 @@
                     let stalled = matches!(case, Case::Stall) && batch < END && ms >= END;
                     ms >= due && (!stalled && batch >= due || ms >= due + 30_000)
                 }
-                Rule::Watch => watch.judge(at(ms), at(last[peer]), PEERS) == Verdict::Dead,
+                Rule::Monitor => watch.judge(at(ms), at(last[peer]), PEERS) == Verdict::Dead,
             };
             if drop {
                 dead[peer] = true;
@@ -95,7 +95,7 @@
 #[test]
 fn three_rules() {
     for case in [Case::Death, Case::Stall, Case::Cut, Case::Fleet] {
-        for rule in [Rule::Timeout, Rule::Paper, Rule::Watch] {
+        for rule in [Rule::Timeout, Rule::Paper, Rule::Monitor] {
             println!("{case:?} {rule:?}: {:?}", worst(rule, case));
         }
     }
@@ -104,7 +104,7 @@
 #[test]
 fn single_death() {
     assert_eq!(
-        worst(Rule::Watch, Case::Death),
+        worst(Rule::Monitor, Case::Death),
         worst(Rule::Timeout, Case::Death)
     );
 }
@@ -112,18 +112,18 @@
 #[test]
 fn own_stall() {
     assert_eq!(worst(Rule::Timeout, Case::Stall).0, PEERS);
-    assert_eq!(worst(Rule::Watch, Case::Stall).0, 0);
+    assert_eq!(worst(Rule::Monitor, Case::Stall).0, 0);
 }
 
 #[test]
 fn cut_off() {
     assert_eq!(worst(Rule::Timeout, Case::Cut).0, PEERS);
-    assert_eq!(worst(Rule::Watch, Case::Cut).0, 0);
+    assert_eq!(worst(Rule::Monitor, Case::Cut).0, 0);
 }
 
 #[test]
 fn whole_fleet() {
-    let (lost, late) = worst(Rule::Watch, Case::Fleet);
+    let (lost, late) = worst(Rule::Monitor, Case::Fleet);
     assert_eq!(lost, PEERS);
     assert!(late <= 34_000);
 }
