--- a/coltsfoothall-entry/benches/message.rs
+++ b/coltsfoothall-entry/benches/message.rs
@@ -16,7 +16,7 @@
 use coltsfoothall::member::{self, Digest, Heartbeat};
 use coltsfoothall::record::{Change, Class, End, Finish, Intake, Name, Part, Work};
 use coltsfoothall::size::{Bytes, Millis, Price, Rate, Tokens};
-use coltsfoothall::slot::{Candidate, Process, SLOTS, Table};
+use coltsfoothall::slot::{Candidate, Process, SLOT_COUNT, Table};
 use coltsfoothall_entry::view::{Peer, Place, Token, View};
 use coltsfoothall_wire::caller::{Address, Addresses};
 use coltsfoothall_wire::cloud::{Lend, Machine, Machines, Phase};
@@ -119,8 +119,8 @@
         leaving: false,
     };
     let all: Vec<Candidate> = (0..members).map(candidate).collect();
-    let mut table = Table::first(SLOTS, &all).expect("there are candidates");
-    for number in 0..SLOTS {
+    let mut table = Table::first(SLOT_COUNT, &all).expect("there are candidates");
+    for number in 0..SLOT_COUNT {
         let slot = Slot(number);
         let entry = table.entry(slot).expect("it is in the table").clone();
         let backup = table.backup_for(slot, &all);
--- a/coltsfoothall-entry/src/round.rs
+++ b/coltsfoothall-entry/src/round.rs
@@ -12,7 +12,7 @@
 use coltsfoothall::ledger::Ledger;
 use coltsfoothall::record::Record;
 use coltsfoothall::replica::{Taken, Whole};
-use coltsfoothall::slot::{Candidate, Process, Refused, SLOTS, Table};
+use coltsfoothall::slot::{Candidate, Process, Refused, SLOT_COUNT, Table};
 use coltsfoothall::step::Input;
 use coltsfoothall_shell::event;
 use coltsfoothall_wire::http;
@@ -259,7 +259,7 @@
             return Ok(None);
         }
         // Each instance named in it then claims its slots, known to be empty.
-        let Ok(table) = Table::first(SLOTS, live) else {
+        let Ok(table) = Table::first(SLOT_COUNT, live) else {
             return Ok(None);
         };
         self.put(&table, 0).await
--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -20,7 +20,7 @@
 use coltsfoothall::prefix::Block;
 use coltsfoothall::record::Class;
 use coltsfoothall::size::{Price, Rate, Tokens};
-use coltsfoothall::slot::{Candidate, Process, SLOTS, Table};
+use coltsfoothall::slot::{Candidate, Process, SLOT_COUNT, Table};
 use coltsfoothall::stall::{self, Monitor};
 use coltsfoothall::weight::Risk;
 
@@ -166,8 +166,8 @@
 
 /// A table in which each slot has an owner and a backup.
 fn backed(all: &[Candidate]) -> Table {
-    let mut table = Table::first(SLOTS, all).expect("there are candidates");
-    for number in 0..SLOTS {
+    let mut table = Table::first(SLOT_COUNT, all).expect("there are candidates");
+    for number in 0..SLOT_COUNT {
         let slot = Slot(number);
         let backup = table.backup_for(slot, all);
         let entry = table.entry(slot).expect("it is in the table").clone();
@@ -194,7 +194,7 @@
         black_box(read.is_ok());
     });
     measure(&format!("members={members} slot_table_change"), |round| {
-        let slot = Slot(round as u16 % SLOTS);
+        let slot = Slot(round as u16 % SLOT_COUNT);
         let entry = table.entry(slot).expect("it is in the table");
         black_box(table.claim(slot, entry.epoch, &entry.primary).is_ok());
     });
@@ -214,7 +214,7 @@
         black_box(duties(black_box(&context)));
     });
     measure(&format!("members={members} backup_for"), |round| {
-        black_box(table.backup_for(Slot(round as u16 % SLOTS), &all));
+        black_box(table.backup_for(Slot(round as u16 % SLOT_COUNT), &all));
     });
 }
 
--- a/coltsfoothall/src/attempt.rs
+++ b/coltsfoothall/src/attempt.rs
@@ -4,7 +4,7 @@
 use crate::record::{Answer, Intake, Part, Record, Work};
 
 /// Most bytes of one answer; it stops an endpoint from filling the ledgers.
-pub const ANSWER_LEN: usize = 16 << 20;
+pub const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// A try of a request at one endpoint.
 #[derive(Debug, Clone)]
@@ -71,7 +71,7 @@
             return Worth::Malformed;
         };
         let silent = part.tokens == 0 && !part.text.is_empty();
-        if silent || end > limit || record.text.len() + part.text.len() > ANSWER_LEN {
+        if silent || end > limit || record.text.len() + part.text.len() > MAX_ANSWER_BYTES {
             return Worth::Malformed;
         }
         if let Some(last) = &self.last {
@@ -100,7 +100,7 @@
     #[must_use]
     pub fn takes(&self, record: &Record, answer: &Answer) -> bool {
         let call = matches!(record.intake.work, Work::Call { .. });
-        call && self.answer.is_none() && answer.body.len() <= ANSWER_LEN
+        call && self.answer.is_none() && answer.body.len() <= MAX_ANSWER_BYTES
     }
 }
 
--- a/coltsfoothall/src/duty.rs
+++ b/coltsfoothall/src/duty.rs
@@ -7,18 +7,18 @@
 use crate::id;
 use crate::key::{Epoch, Slot};
 use crate::ledger::Ledger;
-use crate::slot::{Candidate, Entry, FIRST, Move, Table};
+use crate::slot::{Candidate, Entry, FIRST_EPOCH, Move, Table};
 
 /// Most copies started in one round; it keeps a change of members from
 /// crowding out requests.
-pub const COPIES: usize = 32;
+pub const MAX_COPIES_PER_ROUND: usize = 32;
 
 /// Bytes of records in the slots that are moved at once, beyond the first few; it
 /// keeps moves from taking the bandwidth of requests: 5 MB/s at five rounds a second.
-pub const MOVED: usize = 1 << 20;
+pub const MAX_MOVED_BYTES: usize = 1 << 20;
 
 /// Slots that are moved at once however large they are.
-const FEW: usize = 4;
+const MIN_MOVES: usize = 4;
 
 /// A step for one slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -160,7 +160,7 @@
     let mut copies = 0;
     let mut keep = |duty: &Duty| {
         copies += usize::from(matches!(duty, Duty::Copy { .. }));
-        copies <= COPIES || !matches!(duty, Duty::Copy { .. })
+        copies <= MAX_COPIES_PER_ROUND || !matches!(duty, Duty::Copy { .. })
     };
     duties.into_iter().filter(|duty| keep(duty)).collect()
 }
@@ -175,9 +175,9 @@
         let mut bytes = 0;
         let small = moves.iter().take_while(|step| {
             bytes += self.ledger.size(step.slot);
-            bytes <= MOVED
+            bytes <= MAX_MOVED_BYTES
         });
-        let most = small.count().max(FEW);
+        let most = small.count().max(MIN_MOVES);
         moves.truncate(most);
         let staying = self.live.iter().filter(|c| !c.leaving).count();
         let fair = self.table.entries.len() / staying.max(1);
@@ -236,7 +236,7 @@
                 to: backup.clone(),
             });
         }
-        let lost = self.settled || entry.epoch == FIRST;
+        let lost = self.settled || entry.epoch == FIRST_EPOCH;
         let claim = lost && self.service && !self.leaving;
         claim.then_some(Duty::Claim(slot))
     }
--- a/coltsfoothall/src/slot.rs
+++ b/coltsfoothall/src/slot.rs
@@ -13,18 +13,18 @@
 
 /// Slots of a new table. At 330 instances most hold one or two copies; the
 /// whole table stays under 64 KB, far from the service's limit of a megabyte.
-pub const SLOTS: u16 = 256;
+pub const SLOT_COUNT: u16 = 256;
 
 /// Most slots that one instance gives away in one table. A move takes three rounds
 /// of duties: a member that owned all 256 slots shared them out to five others in 6 s and
 /// 29 writes; at 4 it took 29 s and 142, each of which may stop another's write
-/// (measured). Their records are bounded apart, see [`crate::duty::MOVED`].
-pub const MOVES: usize = 32;
+/// (measured). Their records are bounded apart, see [`crate::duty::MAX_MOVED_BYTES`].
+pub const MAX_MOVES: usize = 32;
 
 /// Epoch of a first table's entries. The instances named there still claim
 /// them, since an instance that began anew could not tell otherwise whether it
 /// kept requests before.
-pub const FIRST: Epoch = Epoch(1);
+pub const FIRST_EPOCH: Epoch = Epoch(1);
 
 /// Who keeps one slot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -136,9 +136,9 @@
             primary: staying[usize::from(index) % staying.len()].instance.clone(),
             backup: None,
             holder: None,
-            epoch: FIRST,
-            cold: FIRST,
-            sure: FIRST,
+            epoch: FIRST_EPOCH,
+            cold: FIRST_EPOCH,
+            sure: FIRST_EPOCH,
         };
         Ok(Self {
             version: 1,
@@ -166,7 +166,7 @@
     /// Slots that somebody keeps, with their epochs. At the first epoch nobody
     /// does yet, and whoever claims the slot takes keys of that epoch for lost.
     pub fn claimed(&self) -> impl Iterator<Item = (Slot, Epoch)> {
-        let claimed = self.iter().filter(|(_, entry)| entry.epoch > FIRST);
+        let claimed = self.iter().filter(|(_, entry)| entry.epoch > FIRST_EPOCH);
         claimed.map(|(slot, entry)| (slot, entry.epoch))
     }
 
@@ -315,7 +315,7 @@
     }
 
     /// Slots that `from` should give away: all if it is leaving, else those
-    /// above its fair share, to members under theirs; at most [`MOVES`].
+    /// above its fair share, to members under theirs; at most [`MAX_MOVES`].
     #[must_use]
     pub fn moves(&self, from: &id::Instance, candidates: &[Candidate]) -> Vec<Move> {
         let staying: Vec<_> = candidates.iter().filter(|c| !c.leaving).collect();
@@ -339,7 +339,7 @@
             let Some(to) = least else { break };
             let wanted =
                 leaving || (have > fair && loads[to] + 1 < have && loads[to] < fair.max(1));
-            if !wanted || moves.len() == MOVES {
+            if !wanted || moves.len() == MAX_MOVES {
                 break;
             }
             loads[to] += 1;
--- a/coltsfoothall/src/takeover.rs
+++ b/coltsfoothall/src/takeover.rs
@@ -11,7 +11,7 @@
 use crate::ledger::{Error, Ledger};
 use crate::record::{Change, End, Name};
 use crate::replica::{Broken, Doubt, Holder, Item, Life, Link, Primary, Replica, Role, Source, Word};
-use crate::slot::{Entry, FIRST, Table};
+use crate::slot::{Entry, FIRST_EPOCH, Table};
 
 /// What a new table meant for this instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -125,7 +125,7 @@
     /// Whether the copy here allows the entry to be written.
     fn allows(&self, slot: Slot, entry: &Entry) -> bool {
         let Some(replica) = self.replica(slot) else {
-            return entry.primary == self.me && entry.cold == entry.epoch && entry.epoch > FIRST;
+            return entry.primary == self.me && entry.cold == entry.epoch && entry.epoch > FIRST_EPOCH;
         };
         if entry.epoch != replica.epoch.next() {
             return false;
@@ -200,7 +200,7 @@
         }
         let mut replica = Replica::new(slot, entry.epoch, Role::Primary(Primary::default()));
         // Nobody keeps a slot at the first table's epoch, so nothing was lost.
-        replica.cold_since = (entry.epoch > FIRST.next()).then_some(now);
+        replica.cold_since = (entry.epoch > FIRST_EPOCH.next()).then_some(now);
         replica.young = replica.cold_since.is_some();
         if let Err(at) = self.replicas.binary_search_by_key(&slot, |r| r.slot) {
             self.replicas.insert(at, replica);
--- a/coltsfoothall/src/transfer.rs
+++ b/coltsfoothall/src/transfer.rs
@@ -17,7 +17,7 @@
 
 /// Bytes of records in a piece, beyond the first record; it keeps a copy from
 /// blocking the connection for requests.
-pub const CHUNK: usize = 64 << 10;
+pub const MAX_CHUNK_BYTES: usize = 64 << 10;
 
 /// Tombstones in a piece, for the same reason.
 pub const MAX_TOMBSTONES_PER_CHUNK: usize = 4096;
@@ -358,7 +358,7 @@
     let mut chunks = vec![empty(0)];
     let mut bytes = 0;
     for item in &replica.items {
-        if bytes > 0 && bytes + item.record.size() > CHUNK {
+        if bytes > 0 && bytes + item.record.size() > MAX_CHUNK_BYTES {
             chunks.push(empty(chunks.len()));
             bytes = 0;
         }
--- a/coltsfoothall/tests/balance.rs
+++ b/coltsfoothall/tests/balance.rs
@@ -12,7 +12,7 @@
 use coltsfoothall::key::Slot;
 use coltsfoothall::ledger::{Ledger, Settings};
 use coltsfoothall::replica::Taken;
-use coltsfoothall::slot::{Candidate, Refused, SLOTS, Table};
+use coltsfoothall::slot::{Candidate, Refused, SLOT_COUNT, Table};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -74,7 +74,7 @@
     fn new(seed: u64, count: usize, first: usize) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let all: Vec<_> = (0..count).map(candidate).collect();
-        let service = Table::first(SLOTS, &all[..first]).unwrap();
+        let service = Table::first(SLOT_COUNT, &all[..first]).unwrap();
         let node = |(at, me): (usize, Candidate)| {
             let start = if at < first {
                 0
--- a/coltsfoothall/tests/duty.rs
+++ b/coltsfoothall/tests/duty.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Duty, MOVED, Missing, Context, duties};
+use coltsfoothall::duty::{Duty, MAX_MOVED_BYTES, Missing, Context, duties};
 use coltsfoothall::id;
 use coltsfoothall::key::{Key, Slot};
 use coltsfoothall::ledger::{Ledger, Life, Settings};
@@ -457,7 +457,7 @@
 #[test]
 fn moved_by_size() {
     assert_eq!(moved(100), 32);
-    let some = moved(MOVED / 10);
+    let some = moved(MAX_MOVED_BYTES / 10);
     assert!((5..=10).contains(&some), "{some}");
-    assert_eq!(moved(MOVED / 4), 4);
+    assert_eq!(moved(MAX_MOVED_BYTES / 4), 4);
 }
--- a/coltsfoothall/tests/slot.rs
+++ b/coltsfoothall/tests/slot.rs
@@ -5,7 +5,7 @@
 use coltsfoothall::id::Instance;
 use coltsfoothall::key::{Epoch, Slot};
 use coltsfoothall::ledger::Life;
-use coltsfoothall::slot::{Candidate, MOVES, Process, Refused, SLOTS, Table};
+use coltsfoothall::slot::{Candidate, MAX_MOVES, Process, Refused, SLOT_COUNT, Table};
 
 fn candidates(count: usize, domains: usize) -> Vec<Candidate> {
     let candidate = |at: usize| Candidate {
@@ -68,12 +68,12 @@
 #[test]
 fn fair_share() {
     let mut all = candidates(9, 3);
-    let mut table = Table::first(SLOTS, &all[..1]).unwrap();
+    let mut table = Table::first(SLOT_COUNT, &all[..1]).unwrap();
     all[0].leaving = true;
     for _ in 0..200 {
         for from in 0..9 {
             let moves = table.moves(&name(from), &all);
-            assert!(moves.len() <= MOVES);
+            assert!(moves.len() <= MAX_MOVES);
             for step in moves {
                 let epoch = table.entry(step.slot).unwrap().epoch;
                 table = table
