--- a/coltsfoothall-entry/src/relay.rs
+++ b/coltsfoothall-entry/src/relay.rs
@@ -388,7 +388,7 @@
 fn name(dropped: Dropped) -> &'static str {
     match dropped {
         Dropped::Superseded => "superseded",
-        Dropped::Doubled => "doubled",
+        Dropped::Duplicate => "doubled",
         Dropped::Late => "late",
         Dropped::Gap => "gap",
         Dropped::Malformed => "malformed",
--- a/coltsfoothall/src/attempt.rs
+++ b/coltsfoothall/src/attempt.rs
@@ -29,7 +29,7 @@
 
 /// What a piece is worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Worth {
+pub enum ChunkKind {
     /// It continues the answer.
     Next,
     /// It continues and ends the answer.
@@ -37,7 +37,7 @@
     /// It holds nothing.
     Empty,
     /// It came before.
-    Doubled,
+    Duplicate,
     /// Something before it is missing.
     Gap,
     /// It makes no sense.
@@ -62,37 +62,37 @@
 
     /// Weighs a piece against what is recorded.
     #[must_use]
-    pub fn weigh(&self, record: &Record, part: &Part) -> Worth {
+    pub fn classify(&self, record: &Record, part: &Part) -> ChunkKind {
         let have = record.tokens();
         let Some(limit) = limit(&record.intake) else {
-            return Worth::Malformed;
+            return ChunkKind::Malformed;
         };
         let Some(end) = part.offset.checked_add(part.tokens) else {
-            return Worth::Malformed;
+            return ChunkKind::Malformed;
         };
         let silent = part.tokens == 0 && !part.text.is_empty();
         if silent || end > limit || record.text.len() + part.text.len() > MAX_ANSWER_BYTES {
-            return Worth::Malformed;
+            return ChunkKind::Malformed;
         }
         if let Some(last) = &self.last {
             return behind(last, part);
         }
         if part.offset > have {
-            return Worth::Gap;
+            return ChunkKind::Gap;
         }
         if part.offset < have {
             // A piece that only partly came before was cut elsewhere: a mixed-up answer.
             let known = end <= have && part.finish.is_none();
             return if known {
-                Worth::Doubled
+                ChunkKind::Duplicate
             } else {
-                Worth::Malformed
+                ChunkKind::Malformed
             };
         }
         match (part.finish, part.tokens) {
-            (Some(_), _) => Worth::Last,
-            (None, 0) => Worth::Empty,
-            (None, _) => Worth::Next,
+            (Some(_), _) => ChunkKind::Last,
+            (None, 0) => ChunkKind::Empty,
+            (None, _) => ChunkKind::Next,
         }
     }
 
@@ -105,12 +105,12 @@
 }
 
 /// What a piece after the last one is worth.
-fn behind(last: &Part, part: &Part) -> Worth {
+fn behind(last: &Part, part: &Part) -> ChunkKind {
     let known = part.offset < last.offset && part.finish.is_none();
     if part == last || known {
-        Worth::Doubled
+        ChunkKind::Duplicate
     } else {
-        Worth::Malformed
+        ChunkKind::Malformed
     }
 }
 
--- a/coltsfoothall/src/progress.rs
+++ b/coltsfoothall/src/progress.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use crate::attempt::{Attempt, Worth};
+use crate::attempt::{Attempt, ChunkKind};
 use crate::clock::Time;
 use crate::id;
 use crate::record::{Answer, Cause, Change, End, Part};
@@ -136,15 +136,15 @@
             return Ok(());
         };
         running.begun = true;
-        match running.weigh(&self.record, &part) {
-            Worth::Next => {
+        match running.classify(&self.record, &part) {
+            ChunkKind::Next => {
                 self.change(Change::Part(part), out)?;
             }
-            Worth::Last => running.last = Some(part),
-            Worth::Empty => {}
-            Worth::Doubled => out.push(Action::Count(Dropped::Doubled)),
-            Worth::Gap => return self.spoiled(Dropped::Gap, out),
-            Worth::Malformed => return self.spoiled(Dropped::Malformed, out),
+            ChunkKind::Last => running.last = Some(part),
+            ChunkKind::Empty => {}
+            ChunkKind::Duplicate => out.push(Action::Count(Dropped::Duplicate)),
+            ChunkKind::Gap => return self.spoiled(Dropped::Gap, out),
+            ChunkKind::Malformed => return self.spoiled(Dropped::Malformed, out),
         }
         Ok(())
     }
@@ -159,7 +159,7 @@
         };
         running.begun = true;
         if running.answer.as_ref() == Some(&answer) {
-            out.push(Action::Count(Dropped::Doubled));
+            out.push(Action::Count(Dropped::Duplicate));
             return Ok(());
         }
         if !running.takes(&self.record, &answer) {
--- a/coltsfoothall/src/step.rs
+++ b/coltsfoothall/src/step.rs
@@ -175,7 +175,7 @@
     /// From an attempt that another has replaced.
     Superseded,
     /// A piece that had arrived before.
-    Doubled,
+    Duplicate,
     /// For a request that has ended or is sealed.
     Late,
     /// A piece that does not follow the one before; it broke its attempt.
