--- a/coltsfoothall/src/record.rs
+++ b/coltsfoothall/src/record.rs
@@ -305,7 +305,7 @@
 
     /// Whether the answer is whole.
     #[must_use]
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.finish.is_some() || self.answer.is_some()
     }
 
@@ -403,7 +403,7 @@
     fn check(&self, end: End) -> Result<(), Broken> {
         let name = &self.intake.name;
         match end {
-            End::Done if !self.whole() => Err(Broken::Partial(name.clone())),
+            End::Done if !self.is_complete() => Err(Broken::Partial(name.clone())),
             End::NotRun(_) if self.begun() => Err(Broken::Ran(name.clone())),
             End::Done | End::NotRun(_) | End::Unknown(_) => Ok(()),
         }
--- a/coltsfoothall/src/replica.rs
+++ b/coltsfoothall/src/replica.rs
@@ -327,7 +327,7 @@
         begun
             .map(|record| {
                 let unknown = End::Unknown(Cause::OwnerLost);
-                let end = if record.whole() { End::Done } else { unknown };
+                let end = if record.is_complete() { End::Done } else { unknown };
                 (record.intake.name.clone(), end)
             })
             .collect()
--- a/coltsfoothall/src/request.rs
+++ b/coltsfoothall/src/request.rs
@@ -308,7 +308,7 @@
             self.phase = Phase::Ending(0);
             return Ok(());
         }
-        if self.record.whole() {
+        if self.record.is_complete() {
             return self.finish(End::Done, out);
         }
         if self.record.begun() && !self.record.intake.idempotent {
--- a/coltsfoothall/tests/world/mod.rs
+++ b/coltsfoothall/tests/world/mod.rs
@@ -473,7 +473,7 @@
         let ledger = &self.nodes[at].ledger;
         let open = ledger
             .record(slot, name)
-            .is_some_and(|r| r.end.is_none() && !r.whole());
+            .is_some_and(|r| r.end.is_none() && !r.is_complete());
         if open {
             let answer = Answer {
                 status: 200,
@@ -661,7 +661,7 @@
             for record in open {
                 let name = record.intake.name.clone();
                 let mine = self.nodes[at].pending.iter().position(|p| p.name == name);
-                if record.whole() {
+                if record.is_complete() {
                     self.end(at, slot, &name, End::Done);
                 } else if let Some(place) = mine {
                     if self.chance(0.01) {
