--- a/coltsfoothall-entry/benches/message.rs
+++ b/coltsfoothall-entry/benches/message.rs
@@ -316,7 +316,7 @@
     let me: id::Instance = name("entry", 0);
     let wide = Settings {
         bytes: Bytes(1 << 40),
-        unacked: usize::MAX,
+        max_unacked: usize::MAX,
         ..Settings::default()
     };
     let mut ledger = Ledger::new(me.clone(), wide);
--- a/coltsfoothall-entry/src/keeper.rs
+++ b/coltsfoothall-entry/src/keeper.rs
@@ -146,7 +146,7 @@
             })
         };
         let duties = self.node.desk.with_ledger(sight);
-        let open = self.node.desk.with_ledger(|ledger| ledger.proposing());
+        let open = self.node.desk.with_ledger(|ledger| ledger.has_proposals());
         let read = self.read || open || self.aged(now) || !self.service || self.table.version == 0;
         if duties.is_empty() && !read {
             return;
--- a/coltsfoothall-entry/src/resend.rs
+++ b/coltsfoothall-entry/src/resend.rs
@@ -4,20 +4,20 @@
 //! nothing, and in a quiet slot no later one makes up for it. What is still
 //! missing one look later is therefore sent again; a copy that has it says so.
 
-use coltsfoothall::ledger::Owed;
+use coltsfoothall::ledger::Lag;
 
 use crate::node::Node;
 
 /// What was missing at the last look.
 #[derive(Debug, Default)]
 pub struct Resend {
-    last: Vec<Owed>,
+    last: Vec<Lag>,
 }
 
 impl Resend {
     /// Sends again what was missing at the last look already.
     pub fn look(&mut self, node: &Node) {
-        let owed = node.desk.with_ledger(|ledger| ledger.owed());
+        let owed = node.desk.with_ledger(|ledger| ledger.lags());
         for old in owed.iter().filter(|owed| self.last.contains(owed)) {
             let missing = node
                 .desk
--- a/coltsfoothall-entry/src/round.rs
+++ b/coltsfoothall-entry/src/round.rs
@@ -84,7 +84,7 @@
         let asked = self.node.now();
         // A write whose outcome is not known blocks its slot until a later
         // version of the table settles it, so there has to be one.
-        let open = self.node.desk.with_ledger(|ledger| ledger.proposing());
+        let open = self.node.desk.with_ledger(|ledger| ledger.has_proposals());
         let outcome = if open {
             Some(self.write(&changed).await)
         } else if self.read {
@@ -232,7 +232,7 @@
         let entry = table.entry(slot)?.clone();
         let base = self.base.version;
         let (known, noted) = self.node.desk.with_ledger(|ledger| {
-            let known = ledger.noted(slot);
+            let known = ledger.has_proposal(slot);
             (known, ledger.propose(slot, base, entry))
         });
         if noted.is_ok() && !known {
--- a/coltsfoothall/src/denial.rs
+++ b/coltsfoothall/src/denial.rs
@@ -23,7 +23,7 @@
             return;
         }
         self.confirmed = asked;
-        if self.observed.since(asked) > self.settings.fresh {
+        if self.observed.since(asked) > self.settings.confirmation_ttl {
             return;
         }
         let owned = self.replicas.iter_mut().filter(|replica| replica.leads());
@@ -40,7 +40,7 @@
     /// Lets a "not run" that was confirmed long ago, or elsewhere, wait for the table
     /// anew before it is told: the slot may have been claimed since.
     pub fn recheck(&mut self, now: Time, slot: Slot, name: &Name) {
-        let fresh = self.settings.fresh;
+        let fresh = self.settings.confirmation_ttl;
         let Some(replica) = self.replica_mut(slot).filter(|replica| replica.leads()) else {
             return;
         };
@@ -83,7 +83,7 @@
     /// How long the owner before may still tell "not run" after a claim: one `fresh` until
     /// its read is answered, one until its word is out.
     pub(crate) fn wait(&self) -> Duration {
-        self.settings.fresh * 2
+        self.settings.confirmation_ttl * 2
     }
 
     /// Lets older keys of a claimed slot run once its former owner tells "not run" no more.
--- a/coltsfoothall/src/handoff.rs
+++ b/coltsfoothall/src/handoff.rs
@@ -167,7 +167,7 @@
         let Some(Role::Primary(owner)) = replica.map(|replica| &replica.role) else {
             return false;
         };
-        !self.noted(slot)
+        !self.has_proposal(slot)
             && owner
                 .backup
                 .as_ref()
--- a/coltsfoothall/src/ledger.rs
+++ b/coltsfoothall/src/ledger.rs
@@ -45,13 +45,13 @@
     /// it, so that no key outlives what is known about it.
     pub retention: Duration,
     /// How long the name of an ended non-idempotent request is kept.
-    pub names: Duration,
+    pub tombstone_retention: Duration,
     /// Bytes of all records, backup copies included; it stops slow callers and
     /// long answers from filling the memory. The oldest ended records go first.
     pub bytes: Bytes,
     /// Changes of a slot that wait for a copy; it stops a dead backup from
     /// filling the memory.
-    pub unacked: usize,
+    pub max_unacked: usize,
     /// Names of ended requests in a slot, 16 bytes each; it stops a flood of
     /// short requests from filling the memory. The oldest go first.
     pub tombstones: usize,
@@ -59,7 +59,7 @@
     /// request, from when it was sent; whoever claims a slot waits twice as long before it
     /// runs older keys. It has to be well above the service's usual answer of a few
     /// milliseconds, and twice it below the 2 s for which a new request waits for an owner.
-    pub fresh: Duration,
+    pub confirmation_ttl: Duration,
     /// Tells this process from the one before it of the same name: a number drawn
     /// at its start.
     pub life: Life,
@@ -69,11 +69,11 @@
     fn default() -> Self {
         Self {
             retention: Duration::from_secs(600),
-            names: Duration::from_secs(86_400),
+            tombstone_retention: Duration::from_secs(86_400),
             bytes: Bytes(24 << 20),
-            unacked: 4096,
+            max_unacked: 4096,
             tombstones: 16_384,
-            fresh: Duration::from_millis(750),
+            confirmation_ttl: Duration::from_millis(750),
             life: Life::default(),
         }
     }
@@ -143,7 +143,7 @@
 
 /// A copy that lacks changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Owed {
+pub struct Lag {
     /// The slot.
     pub slot: Slot,
     /// Who keeps the copy.
@@ -225,7 +225,7 @@
         {
             return Ok(refused);
         }
-        if backlog(replica) >= self.settings.unacked {
+        if backlog(replica) >= self.settings.max_unacked {
             return Ok(Begin::Behind);
         }
         let name = intake.name.clone();
@@ -260,7 +260,7 @@
         if !self.safe(now, &replica.items[at], replica, &change) {
             return Err(Error::NotSafe(name));
         }
-        if backlog(replica) >= self.settings.unacked {
+        if backlog(replica) >= self.settings.max_unacked {
             return Err(Error::Full(slot));
         }
         self.step(now, slot, name, change)
@@ -313,7 +313,7 @@
         from: &id::Instance,
         ack: Ack,
     ) -> Result<Next, Broken> {
-        let writing = self.noted(slot);
+        let writing = self.has_proposal(slot);
         let Some(replica) = self.replica_mut(slot).filter(|r| r.epoch == epoch) else {
             return Ok(Next::Nothing);
         };
@@ -384,22 +384,22 @@
 
     /// Copies that lack changes, with the first change that each lacks.
     #[must_use]
-    pub fn owed(&self) -> Vec<Owed> {
-        let mut owed = Vec::new();
+    pub fn lags(&self) -> Vec<Lag> {
+        let mut lags = Vec::new();
         for replica in self.replicas.iter().filter(|replica| !replica.sealed) {
             let Role::Primary(owner) = &replica.role else {
                 continue;
             };
             for link in owner.links() {
                 let first = owner.since(link.acked).next();
-                owed.extend(first.map(|update| Owed {
+                lags.extend(first.map(|update| Lag {
                     slot: replica.slot,
                     to: link.peer.clone(),
                     seq: update.seq,
                 }));
             }
         }
-        owed
+        lags
     }
 
     /// Lets idempotent requests go on while the backup is out of reach and the
@@ -422,7 +422,7 @@
         let wait = self.wait();
         for replica in &mut self.replicas {
             replica.ripen(now, wait);
-            replica.retire(now, settings.retention, settings.names, settings.tombstones);
+            replica.retire(now, settings.retention, settings.tombstone_retention, settings.tombstones);
         }
         self.make_room(now);
     }
@@ -431,7 +431,7 @@
     #[must_use]
     pub fn behind(&self, slot: Slot) -> bool {
         let replica = self.replica(slot);
-        replica.is_some_and(|replica| backlog(replica) >= self.settings.unacked)
+        replica.is_some_and(|replica| backlog(replica) >= self.settings.max_unacked)
     }
 
     pub(crate) fn replica(&self, slot: Slot) -> Option<&Replica> {
--- a/coltsfoothall/src/status.rs
+++ b/coltsfoothall/src/status.rs
@@ -45,7 +45,7 @@
 
     /// Whether a write of the table is noted that may still take effect.
     #[must_use]
-    pub fn proposing(&self) -> bool {
+    pub fn has_proposals(&self) -> bool {
         !self.proposals.is_empty()
     }
 
--- a/coltsfoothall/src/takeover.rs
+++ b/coltsfoothall/src/takeover.rs
@@ -80,7 +80,7 @@
 
     /// Whether a change of the slot's entry is noted that may take effect.
     #[must_use]
-    pub fn noted(&self, slot: Slot) -> bool {
+    pub fn has_proposal(&self, slot: Slot) -> bool {
         self.proposals.iter().any(|proposal| proposal.slot == slot)
     }
 
--- a/coltsfoothall/tests/balance.rs
+++ b/coltsfoothall/tests/balance.rs
@@ -171,7 +171,7 @@
         let now = self.now;
         let node = &mut self.nodes[at];
         node.look = now + LOOK;
-        if duties.is_empty() && !node.read && !node.ledger.proposing() {
+        if duties.is_empty() && !node.read && !node.ledger.has_proposals() {
             return;
         }
         node.read |= !duties.is_empty();
@@ -298,7 +298,7 @@
     fn read(&mut self, at: usize) {
         self.call(at);
         let node = &self.nodes[at];
-        if node.ledger.proposing() && node.base.version == self.service.version {
+        if node.ledger.has_proposals() && node.base.version == self.service.version {
             let table = node.base.merge(&node.changed);
             return self.nodes[at].round.push_back(Step::Put(table));
         }
--- a/coltsfoothall/tests/denial.rs
+++ b/coltsfoothall/tests/denial.rs
@@ -54,7 +54,7 @@
     let request = intake("mine", false);
     let step = world.give_up(&request);
     assert!(!world.a.unconfirmed());
-    let found = world.a.owed();
+    let found = world.a.lags();
     let updates = world.a.resend(SLOT, &found[0].to);
     let epoch = updates[0].epoch;
     for update in updates {
--- a/coltsfoothall/tests/duty.rs
+++ b/coltsfoothall/tests/duty.rs
@@ -248,11 +248,11 @@
         .table
         .replace_backup(SLOT, world.entry_epoch(), &name("a"), None);
     assert!(world.propose(&alone));
-    assert!(world.a.proposing());
+    assert!(world.a.has_proposals());
     assert!(world.a.export(NOW, SLOT, &name("c")).is_none());
     let bumped = world.table.merge(&[]);
     world.settle(bumped);
-    assert!(!world.a.proposing());
+    assert!(!world.a.has_proposals());
     assert!(world.a.export(NOW, SLOT, &name("c")).is_some());
 }
 
--- a/coltsfoothall/tests/world/mod.rs
+++ b/coltsfoothall/tests/world/mod.rs
@@ -268,7 +268,7 @@
         };
         let base = self.nodes[at].table.version;
         let entry = table.entry(slot).unwrap().clone();
-        let known = self.nodes[at].ledger.noted(slot);
+        let known = self.nodes[at].ledger.has_proposal(slot);
         if self.nodes[at].ledger.propose(slot, base, entry).is_err() {
             return false;
         }
