--- a/coltsfoothall-entry/src/death.rs
+++ b/coltsfoothall-entry/src/death.rs
@@ -132,7 +132,7 @@
     pub fn verdict(&self, now: Time, fingerprint: Fingerprint) -> Verdict {
         let verdict = self.docket.verdict(now, fingerprint);
         let tried = |run: &Run| run.fingerprint.content == fingerprint.content && self.tries(&run.endpoint);
-        let early = verdict == Verdict::Alone && now < self.settled;
+        let early = verdict == Verdict::Isolated && now < self.settled;
         if early || (verdict < Verdict::Later && self.runs.iter().any(tried)) {
             return Verdict::Later;
         }
@@ -149,7 +149,7 @@
         alone: bool,
     ) {
         self.docket
-            .started(now, attempt, endpoint.clone(), fingerprint, alone);
+            .record_start(now, attempt, endpoint.clone(), fingerprint, alone);
         if let Err(at) = self.find(attempt) {
             let boot = self.boot(endpoint);
             self.runs.insert(
@@ -166,7 +166,7 @@
 
     /// An attempt ended by itself, `whole` if with its whole answer.
     pub fn ended(&mut self, now: Time, attempt: u64, whole: bool) {
-        self.docket.ended(now, attempt, whole);
+        self.docket.record_end(now, attempt, whole);
         if let Ok(at) = self.find(attempt) {
             self.runs.remove(at);
         }
@@ -264,7 +264,7 @@
             );
         }
         self.runs.retain(|run| run.endpoint != *endpoint);
-        let marks = self.docket.died(now, endpoint, announced);
+        let marks = self.docket.record_death(now, endpoint, announced);
         if !marks.is_empty() {
             self.settled = now + SETTLE;
         }
@@ -309,7 +309,7 @@
     /// The evidence against some marks.
     #[must_use]
     pub fn about(&self, now: Time, marks: &[Mark]) -> Vec<Evidence> {
-        self.docket.about(now, marks)
+        self.docket.evidence_for(now, marks)
     }
 
     /// All evidence, for an instance that has none.
@@ -330,9 +330,9 @@
     /// Takes in what a peer told. Returns what was new, to be told on.
     pub fn merge(&mut self, now: Time, told: &[Evidence]) -> Vec<Evidence> {
         let marks: Vec<Mark> = told.iter().map(|told| told.mark).collect();
-        let before = self.docket.about(now, &marks);
+        let before = self.docket.evidence_for(now, &marks);
         self.docket.merge(now, told);
-        let after = self.docket.about(now, &marks);
+        let after = self.docket.evidence_for(now, &marks);
         let new = |after: &Evidence| !before.iter().any(|before| same(before, after));
         let news: Vec<Evidence> = after.into_iter().filter(new).collect();
         if !news.is_empty() {
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -334,7 +334,7 @@
         let alone = match self.judge.verdict(now, waiting.pick.fingerprint) {
             suspicion::Verdict::Poisonous => return self.stop(now, &waiting, Input::Poisoned),
             suspicion::Verdict::Later => return self.stop(now, &waiting, no_pick(LATER)),
-            suspicion::Verdict::Alone => true,
+            suspicion::Verdict::Isolated => true,
             suspicion::Verdict::Free => false,
         };
         let exclude = self.unfit(now, &waiting.pick, alone);
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -96,7 +96,7 @@
             work: state.roster.borrow().work().to_vec(),
             failed: batch::select(&state.roster.borrow().failed(), rows, round),
             placed,
-            evidence: state.docket.borrow().part(now, rows, round),
+            evidence: state.docket.borrow().evidence_batch(now, rows, round),
             era: state.era(),
             reported: state.reported(),
             upgrades: state.upgrades.borrow().told(now),
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -298,13 +298,13 @@
         match end {
             End::Whole if docket.is_empty() => {}
             End::Whole => {
-                docket.started(now, attempt, endpoint.clone(), fingerprint, false);
-                docket.ended(now, attempt, true);
+                docket.record_start(now, attempt, endpoint.clone(), fingerprint, false);
+                docket.record_end(now, attempt, true);
             }
             End::Failed => {
                 // The fleet's attempts differ, since each boot counts from a number of its own.
                 self.attempts.set(attempt.wrapping_add(1));
-                docket.started(now, attempt, endpoint.clone(), fingerprint, false);
+                docket.record_start(now, attempt, endpoint.clone(), fingerprint, false);
             }
             End::Refused | End::Unreachable | End::Abandoned => {}
         }
@@ -316,7 +316,7 @@
         let mut docket = self.docket.borrow_mut();
         docket.abandon(now - EVIDENCE);
         docket.expire(now);
-        let marks = docket.died(now, id, announced);
+        let marks = docket.record_death(now, id, announced);
         if !marks.is_empty() {
             event::ENDPOINT_DIED.emit(format_args!(
                 "endpoint={id} announced={announced} suspects={}",
--- a/coltsfoothall/src/fingerprint.rs
+++ b/coltsfoothall/src/fingerprint.rs
@@ -90,7 +90,8 @@
     /// Time since the death was known.
     pub age: Millis,
     /// Whether nothing else ran there.
-    pub alone: bool,
+    #[serde(rename = "alone")]
+    pub isolated: bool,
 }
 
 /// The evidence against a mark, as peers are told.
--- a/coltsfoothall/src/suspicion.rs
+++ b/coltsfoothall/src/suspicion.rs
@@ -2,13 +2,13 @@
 //!
 //! A key does not help: callers send such a request again under a new one. So
 //! each death of an endpoint is evidence against all contents that ran there.
-//! A death that was announced says nothing; the caller of [`Tracker::died`]
+//! A death that was announced says nothing; the caller of [`Tracker::record_death`]
 //! also leaves out the loss of a whole failure domain.
 //!
 //! | evidence | verdict |
 //! | --- | --- |
 //! | none | [`Verdict::Free`] |
-//! | one death with others in the batch | [`Verdict::Alone`]: it runs where nothing else runs, one copy at a time |
+//! | one death with others in the batch | [`Verdict::Isolated`]: it runs where nothing else runs, one copy at a time |
 //! | two such deaths, the second run begun after the first death was known, or one death alone | [`Verdict::Poisonous`] |
 //!
 //! Deaths of copies that ran at the same time count as one, so that a common
@@ -32,7 +32,7 @@
 //! One caller that sends again after each death so costs 2 + min(2(F - 1),
 //! ceil(G/D)) endpoints; C copies at once cost C + F if none begins between the
 //! first death and its arrival. With variations, the kin costs two for each of
-//! the first variations until it is condemned. Evidence is kept [`Settings::keep`]
+//! the first variations until it is condemned. Evidence is kept [`Settings::retention`]
 //! after the death, so the cost comes again once in that time at most.
 //! A full tracker forgets the oldest evidence first.
 //!
@@ -57,16 +57,16 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
     /// How long a death counts.
-    pub keep: Duration,
+    pub retention: Duration,
     /// Most marks with evidence; it stops a mass loss from filling memory and messages.
-    pub entries: usize,
+    pub max_marks: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            keep: Duration::from_secs(900),
-            entries: 1024,
+            retention: Duration::from_secs(900),
+            max_marks: 1024,
         }
     }
 }
@@ -77,7 +77,7 @@
     /// Anywhere.
     Free,
     /// Only where nothing else runs, and nothing may join it.
-    Alone,
+    Isolated,
     /// Not now: a copy of it runs alone, whose outcome decides.
     Later,
     /// Never; its final answer is given at once.
@@ -91,7 +91,7 @@
     attempt: u64,
     began: Time,
     at: Time,
-    alone: bool,
+    isolated: bool,
 }
 
 #[derive(Debug, Clone)]
@@ -110,7 +110,7 @@
     endpoint: id::Endpoint,
     fingerprint: Fingerprint,
     began: Time,
-    alone: bool,
+    isolated: bool,
 }
 
 /// Evidence against contents, and the attempts of this instance that run.
@@ -141,29 +141,29 @@
         let kin = self.grade(now, fingerprint.kin);
         let verdict = content.max(kin);
         let tried = self.runs.iter().any(|run| {
-            run.alone && (run.fingerprint.content == fingerprint.content || run.fingerprint.kin == fingerprint.kin)
+            run.isolated && (run.fingerprint.content == fingerprint.content || run.fingerprint.kin == fingerprint.kin)
         });
-        if verdict == Verdict::Alone && tried {
+        if verdict == Verdict::Isolated && tried {
             return Verdict::Later;
         }
         verdict
     }
 
-    /// An attempt starts; `alone` if it was chosen to run where nothing else runs.
-    pub fn started(
+    /// An attempt starts; `isolated` if it was chosen to run where nothing else runs.
+    pub fn record_start(
         &mut self,
         now: Time,
         attempt: u64,
         endpoint: id::Endpoint,
         fingerprint: Fingerprint,
-        alone: bool,
+        isolated: bool,
     ) {
         let run = Run {
             attempt,
             endpoint,
             fingerprint,
             began: now,
-            alone,
+            isolated,
         };
         match self.runs.binary_search_by_key(&attempt, |run| run.attempt) {
             Ok(at) => self.runs[at] = run,
@@ -172,7 +172,7 @@
     }
 
     /// An attempt ended while its endpoint lives; `whole` if it gave its whole answer.
-    pub fn ended(&mut self, now: Time, attempt: u64, whole: bool) {
+    pub fn record_end(&mut self, now: Time, attempt: u64, whole: bool) {
         let Ok(at) = self.runs.binary_search_by_key(&attempt, |run| run.attempt) else {
             return;
         };
@@ -185,7 +185,7 @@
 
     /// An endpoint died; `announced` if it had been given notice, or its whole
     /// failure domain is lost. Returns the marks to tell peers of.
-    pub fn died(&mut self, now: Time, endpoint: &id::Endpoint, announced: bool) -> Vec<Mark> {
+    pub fn record_death(&mut self, now: Time, endpoint: &id::Endpoint, announced: bool) -> Vec<Mark> {
         let mut marks = Vec::new();
         let (lost, kept) = std::mem::take(&mut self.runs)
             .into_iter()
@@ -201,7 +201,7 @@
                 attempt: run.attempt,
                 began: run.began,
                 at: now,
-                alone: run.alone && only,
+                isolated: run.isolated && only,
             };
             for mark in [run.fingerprint.content, run.fingerprint.kin] {
                 self.add(now, mark, death);
@@ -222,7 +222,7 @@
     /// At most `most` of the evidence, for one message of many: half of it against marks
     /// with several deaths, as far as there are any, and all of it in its turn.
     #[must_use]
-    pub fn part(&self, now: Time, most: usize, round: usize) -> Vec<Evidence> {
+    pub fn evidence_batch(&self, now: Time, most: usize, round: usize) -> Vec<Evidence> {
         let (strong, weak): (Vec<&Entry>, Vec<&Entry>) = self
             .entries
             .iter()
@@ -233,9 +233,9 @@
         entries.map(|entry| tell(now, entry)).collect()
     }
 
-    /// The evidence against some marks, such as those of [`Tracker::died`].
+    /// The evidence against some marks, such as those of [`Tracker::record_death`].
     #[must_use]
-    pub fn about(&self, now: Time, marks: &[Mark]) -> Vec<Evidence> {
+    pub fn evidence_for(&self, now: Time, marks: &[Mark]) -> Vec<Evidence> {
         let found = marks.iter().filter_map(|mark| self.find(*mark).ok());
         found.map(|at| tell(now, &self.entries[at])).collect()
     }
@@ -248,7 +248,7 @@
                     attempt: notice.attempt,
                     began: now - notice.began.duration(),
                     at: now - notice.age.duration(),
-                    alone: notice.alone,
+                    isolated: notice.isolated,
                 };
                 self.add(now, told.mark, death);
             }
@@ -260,9 +260,9 @@
 
     /// Drops what has expired.
     pub fn expire(&mut self, now: Time) {
-        let keep = self.settings.keep;
+        let retention = self.settings.retention;
         for entry in &mut self.entries {
-            entry.deaths.retain(|death| now.since(death.at) < keep);
+            entry.deaths.retain(|death| now.since(death.at) < retention);
         }
         self.entries.retain(|entry| !entry.deaths.is_empty());
     }
@@ -293,8 +293,8 @@
             return Verdict::Free;
         };
         let entry = &self.entries[at];
-        let live = |death: &&Death| now.since(death.at) < self.settings.keep;
-        let alone = entry.deaths.iter().filter(live).filter(|d| d.alone).count();
+        let live = |death: &&Death| now.since(death.at) < self.settings.retention;
+        let isolated = entry.deaths.iter().filter(live).filter(|d| d.isolated).count();
         let batch = apart(
             entry
                 .deaths
@@ -303,23 +303,23 @@
                 .filter(|d| counts(entry, d)),
         );
         let (poisonous, suspect) = match mark {
-            Mark::Content(_) => (alone > 0 || batch >= BATCH_DEATHS, batch > 0),
-            Mark::Kin(_) => (alone >= KIN_DEATHS, alone > 0 || batch >= BATCH_DEATHS),
+            Mark::Content(_) => (isolated > 0 || batch >= BATCH_DEATHS, batch > 0),
+            Mark::Kin(_) => (isolated >= KIN_DEATHS, isolated > 0 || batch >= BATCH_DEATHS),
         };
         match (poisonous, suspect) {
             (true, _) => Verdict::Poisonous,
-            (false, true) => Verdict::Alone,
+            (false, true) => Verdict::Isolated,
             (false, false) => Verdict::Free,
         }
     }
 
     fn add(&mut self, now: Time, mark: Mark, death: Death) {
-        if now.since(death.at) >= self.settings.keep {
+        if now.since(death.at) >= self.settings.retention {
             return;
         }
         let at = match self.find(mark) {
             Ok(at) => at,
-            Err(_) if self.settings.entries == 0 => return,
+            Err(_) if self.settings.max_marks == 0 => return,
             Err(_) => {
                 self.make_room();
                 let at = self.find(mark).unwrap_or_else(|at| at);
@@ -342,14 +342,14 @@
         deaths.insert(place, death);
         if deaths.len() > MAX_DEATHS {
             // A death alone weighs more, so it is kept longest.
-            let spare = deaths.iter().position(|death| !death.alone).unwrap_or(0);
+            let spare = deaths.iter().position(|death| !death.isolated).unwrap_or(0);
             deaths.remove(spare);
         }
     }
 
     /// Drops the entry whose last death is the oldest, if there is no room.
     fn make_room(&mut self) {
-        if self.entries.len() < self.settings.entries {
+        if self.entries.len() < self.settings.max_marks {
             return;
         }
         let last = |entry: &Entry| entry.deaths.last().map(|death| death.at);
@@ -369,7 +369,7 @@
 
 /// Whether a death in a batch still counts.
 fn counts(entry: &Entry, death: &Death) -> bool {
-    death.alone || entry.cleared.is_none_or(|cleared| death.at > cleared)
+    death.isolated || entry.cleared.is_none_or(|cleared| death.at > cleared)
 }
 
 /// Deaths of runs that each began after the death before was known.
@@ -390,7 +390,7 @@
         attempt: death.attempt,
         began: now.since(death.began).into(),
         age: now.since(death.at).into(),
-        alone: death.alone,
+        isolated: death.isolated,
     });
     Evidence {
         mark: entry.mark,
--- a/coltsfoothall/tests/suspicion.rs
+++ b/coltsfoothall/tests/suspicion.rs
@@ -39,22 +39,22 @@
     format!("e{number}").parse().unwrap()
 }
 
-fn die(tracker: &mut Tracker, millis: u64, attempt: u64, fingerprint: Fingerprint, alone: bool) {
-    tracker.started(at(millis), attempt, endpoint(attempt), fingerprint, alone);
-    tracker.died(at(millis + 10), &endpoint(attempt), false);
+fn die(tracker: &mut Tracker, millis: u64, attempt: u64, fingerprint: Fingerprint, isolated: bool) {
+    tracker.record_start(at(millis), attempt, endpoint(attempt), fingerprint, isolated);
+    tracker.record_death(at(millis + 10), &endpoint(attempt), false);
 }
 
 #[test]
 fn neighbour_cleared() {
     let mut tracker = Tracker::new(Settings::default());
     let (bad, good) = (fingerprint("bad"), fingerprint("good"));
-    tracker.started(at(0), 1, endpoint(1), bad, false);
-    tracker.started(at(0), 2, endpoint(1), good, false);
-    assert_eq!(tracker.died(at(5), &endpoint(1), false).len(), 4);
-    assert_eq!(tracker.verdict(at(6), good), Verdict::Alone);
-    tracker.started(at(7), 3, endpoint(2), good, true);
+    tracker.record_start(at(0), 1, endpoint(1), bad, false);
+    tracker.record_start(at(0), 2, endpoint(1), good, false);
+    assert_eq!(tracker.record_death(at(5), &endpoint(1), false).len(), 4);
+    assert_eq!(tracker.verdict(at(6), good), Verdict::Isolated);
+    tracker.record_start(at(7), 3, endpoint(2), good, true);
     assert_eq!(tracker.verdict(at(8), good), Verdict::Later);
-    tracker.ended(at(9), 3, true);
+    tracker.record_end(at(9), 3, true);
     assert_eq!(tracker.verdict(at(10), good), Verdict::Free);
     die(&mut tracker, 11, 4, bad, true);
     assert_eq!(tracker.verdict(at(30), bad), Verdict::Poisonous);
@@ -63,8 +63,8 @@
 #[test]
 fn notice_excused() {
     let mut tracker = Tracker::new(Settings::default());
-    tracker.started(at(0), 1, endpoint(1), fingerprint("x"), false);
-    assert_eq!(tracker.died(at(5), &endpoint(1), true), []);
+    tracker.record_start(at(0), 1, endpoint(1), fingerprint("x"), false);
+    assert_eq!(tracker.record_death(at(5), &endpoint(1), true), []);
     assert_eq!(tracker.verdict(at(6), fingerprint("x")), Verdict::Free);
 }
 
@@ -73,12 +73,12 @@
     let mut tracker = Tracker::new(Settings::default());
     let common = fingerprint("ping");
     for attempt in 1..=3 {
-        tracker.started(at(0), attempt, endpoint(attempt), common, false);
+        tracker.record_start(at(0), attempt, endpoint(attempt), common, false);
     }
     for attempt in 1..=3 {
-        tracker.died(at(5 + attempt), &endpoint(attempt), false);
+        tracker.record_death(at(5 + attempt), &endpoint(attempt), false);
     }
-    assert_eq!(tracker.verdict(at(20), common), Verdict::Alone);
+    assert_eq!(tracker.verdict(at(20), common), Verdict::Isolated);
     die(&mut tracker, 21, 9, common, false);
     assert_eq!(tracker.verdict(at(40), common), Verdict::Poisonous);
 }
@@ -95,8 +95,8 @@
                 break;
             }
             lost += 1;
-            let alone = verdict == Verdict::Alone;
-            die(&mut tracker, lost * 100, lost, fingerprint, alone);
+            let isolated = verdict == Verdict::Isolated;
+            die(&mut tracker, lost * 100, lost, fingerprint, isolated);
         }
     }
     assert!(lost <= 6, "{lost} endpoints lost");
@@ -119,7 +119,7 @@
         );
     }
     assert!(tracker.len() <= 8);
-    tracker.expire(at(4_000) + settings.keep);
+    tracker.expire(at(4_000) + settings.retention);
     assert!(tracker.is_empty());
 }
 
@@ -173,10 +173,10 @@
                 break;
             }
             lost += 1;
-            let alone = verdict == Verdict::Alone;
-            trackers[by].started(at(now), lost, endpoint(lost), bad, alone);
+            let isolated = verdict == Verdict::Isolated;
+            trackers[by].record_start(at(now), lost, endpoint(lost), bad, isolated);
             now += run;
-            trackers[by].died(at(now), &endpoint(lost), false);
+            trackers[by].record_death(at(now), &endpoint(lost), false);
             for to in (0..instances).filter(|to| *to != by) {
                 mail.push((now + gossip, to, trackers[by].evidence(at(now))));
             }
@@ -215,7 +215,7 @@
     let all = tracker.evidence(at(60));
     let mut told: Vec<Evidence> = Vec::new();
     for turn in 5..5 + all.len() {
-        let part = tracker.part(at(60), 16, turn);
+        let part = tracker.evidence_batch(at(60), 16, turn);
         assert!(part.len() <= 16);
         assert!(part.iter().any(|evidence| evidence.deaths.len() > 1));
         told.extend(part);
