--- a/coltsfoothall-entry/src/open.rs
+++ b/coltsfoothall-entry/src/open.rs
@@ -107,7 +107,7 @@
         if record.is_none_or(|record| !record.intake.idempotent) {
             return made;
         }
-        let _ended = live.signals.send(Input::Doubted);
+        let _ended = live.signals.send(Input::Retracted);
         let end = Change::End(end);
         self.ledger.change(now, live.slot, live.name.clone(), end)
     }
@@ -184,7 +184,7 @@
             && let (Some(pending), Some(seq)) = (self.live[at].pending.last_mut(), seq)
         {
             pending.seq = seq;
-            let _ended = self.live[at].signals.send(Input::Doubted);
+            let _ended = self.live[at].signals.send(Input::Retracted);
         }
         true
     }
--- a/coltsfoothall-entry/src/retries.rs
+++ b/coltsfoothall-entry/src/retries.rs
@@ -41,7 +41,7 @@
 
     /// An attempt was sent.
     pub fn sent(&mut self, now: Time, service: &id::Service) {
-        self.row(service).budget.sent(now);
+        self.row(service).budget.record_first_attempt(now);
     }
 
     /// Requests whose endpoint died are owed a retry each.
--- a/coltsfoothall-forward/src/retries.rs
+++ b/coltsfoothall-forward/src/retries.rs
@@ -40,7 +40,7 @@
 
     /// A request goes to a service for the first time.
     pub fn sent(&mut self, now: Time, service: &id::Service, members: u32) {
-        self.budget(service, members).sent(now);
+        self.budget(service, members).record_first_attempt(now);
     }
 
     /// Whether a request may go to one more endpoint of a service; takes it from the budget.
--- a/coltsfoothall/src/request.rs
+++ b/coltsfoothall/src/request.rs
@@ -217,12 +217,12 @@
     fn step_backup(&mut self, input: &Input, out: &mut Vec<Action>) -> Option<Result<(), Broken>> {
         let sealed = self.phase == Phase::Sealed;
         match input {
-            Input::Acked { .. } | Input::Unreplicated | Input::Backed | Input::Doubted | Input::Sealed
+            Input::Acked { .. } | Input::Unreplicated | Input::Replicated | Input::Retracted | Input::Sealed
                 if sealed =>
             {
                 Some(Ok(()))
             }
-            Input::Doubted => {
+            Input::Retracted => {
                 if let Some(End::NotRun(cause)) = self.record.end {
                     self.record.end = Some(End::Unknown(cause));
                 }
@@ -230,7 +230,7 @@
             }
             Input::Acked { seq } => Some(self.acked(*seq)),
             Input::Unreplicated => Some(self.unreplicated(out)),
-            Input::Backed => {
+            Input::Replicated => {
                 self.log.set_unreplicated(false);
                 Some(Ok(()))
             }
--- a/coltsfoothall/src/retry.rs
+++ b/coltsfoothall/src/retry.rs
@@ -84,7 +84,7 @@
     }
 
     /// Notes a first attempt.
-    pub fn sent(&mut self, now: Time) {
+    pub fn record_first_attempt(&mut self, now: Time) {
         self.advance(now);
         self.saved = (self.saved + self.settings.ratio).min(self.settings.burst);
     }
@@ -108,7 +108,7 @@
 
     /// Retries that are left.
     #[must_use]
-    pub fn left(&self) -> f64 {
+    pub fn remaining(&self) -> f64 {
         self.saved
     }
 
--- a/coltsfoothall/src/step.rs
+++ b/coltsfoothall/src/step.rs
@@ -23,9 +23,9 @@
     Unreplicated,
     /// "Not run" could not be recorded, or was taken back, as another copy may have run
     /// the request: its end is recorded as unknown.
-    Doubted,
+    Retracted,
     /// A new backup holds a copy of the record and gets each change after it.
-    Backed,
+    Replicated,
     /// Another owner has taken over.
     Sealed,
     /// An endpoint was chosen.
--- a/coltsfoothall/tests/retry.rs
+++ b/coltsfoothall/tests/retry.rs
@@ -17,7 +17,7 @@
     let mut budget = Budget::new(Settings::default());
     let mut sent = 0;
     for n in 0..10_000 {
-        budget.sent(at(n));
+        budget.record_first_attempt(at(n));
         sent += 1;
         let mut attempts = 1;
         while let Verdict::After(_) = budget.retry(at(n), attempts, &mut random) {
