--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -163,7 +163,11 @@
         let board = &self.node.board;
         board.members(self.members.count() as u64);
         board.queued(self.dispatch.queued() as u64);
-        board.slots(self.node.desk.with_ledger(|ledger| ledger.served_slots().count()) as u64);
+        board.slots(
+            self.node
+                .desk
+                .with_ledger(|ledger| ledger.served_slots().count()) as u64,
+        );
     }
 
     /// Takes in what a peer said of itself and others.
--- a/coltsfoothall-entry/src/death.rs
+++ b/coltsfoothall-entry/src/death.rs
@@ -9,9 +9,9 @@
 //! Until then a request that ran there is started nowhere else.
 
 use coltsfoothall::clock::Time;
+use coltsfoothall::fingerprint::{Evidence, Fingerprint, Mark};
 use coltsfoothall::id;
-use coltsfoothall::fingerprint::{Evidence, Mark, Fingerprint};
-use coltsfoothall::suspicion::{Tracker, Settings, Verdict};
+use coltsfoothall::suspicion::{Settings, Tracker, Verdict};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -131,7 +131,8 @@
     #[must_use]
     pub fn verdict(&self, now: Time, fingerprint: Fingerprint) -> Verdict {
         let verdict = self.docket.verdict(now, fingerprint);
-        let tried = |run: &Run| run.fingerprint.content == fingerprint.content && self.tries(&run.endpoint);
+        let tried =
+            |run: &Run| run.fingerprint.content == fingerprint.content && self.tries(&run.endpoint);
         let early = verdict == Verdict::Isolated && now < self.settled;
         if early || (verdict < Verdict::Later && self.runs.iter().any(tried)) {
             return Verdict::Later;
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -9,10 +9,10 @@
 use coltsfoothall::catalog::Workspace;
 use coltsfoothall::choice::{self, Endpoint, Router};
 use coltsfoothall::clock::Time;
+use coltsfoothall::fingerprint::Mark;
 use coltsfoothall::id;
 use coltsfoothall::limit::{self, Decision, Gate, Number, Outcome, Refusal, Ticket};
 use coltsfoothall::load::Report;
-use coltsfoothall::fingerprint::Mark;
 use coltsfoothall::record::Cause;
 use coltsfoothall::retry::Verdict;
 use coltsfoothall::size::Tokens;
@@ -345,8 +345,13 @@
         };
         let run = self.router.began(now, &chosen.endpoint, &ask);
         let (attempt, reply) = (waiting.pick.attempt, waiting.reply.clone());
-        self.judge
-            .started(now, attempt, &chosen.endpoint, waiting.pick.fingerprint, alone);
+        self.judge.started(
+            now,
+            attempt,
+            &chosen.endpoint,
+            waiting.pick.fingerprint,
+            alone,
+        );
         self.retries.sent(now, &waiting.pick.ticket.service);
         self.attempts.begin(waiting.open(run));
         tell(
--- a/coltsfoothall-entry/src/keeper.rs
+++ b/coltsfoothall-entry/src/keeper.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Missing, Context, duties};
+use coltsfoothall::duty::{Context, Missing, duties};
 use coltsfoothall::id;
 use coltsfoothall::key::Slot;
 use coltsfoothall::slot::Table;
--- a/coltsfoothall-entry/src/members.rs
+++ b/coltsfoothall-entry/src/members.rs
@@ -5,9 +5,9 @@
 
 use coltsfoothall::catalog::Revision;
 use coltsfoothall::clock::Time;
+use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::id;
 use coltsfoothall::member::{self, Digest, Event, Heartbeat, Table};
-use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::size::Millis;
 use coltsfoothall::slot::Candidate;
 use coltsfoothall::stall::{self, Monitor};
--- a/coltsfoothall-entry/src/message.rs
+++ b/coltsfoothall-entry/src/message.rs
@@ -7,6 +7,7 @@
 
 use coltsfoothall::adoption::Source;
 use coltsfoothall::catalog::{Catalog, Revision};
+use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::handoff::Handoff;
 use coltsfoothall::id;
 use coltsfoothall::index;
@@ -14,7 +15,6 @@
 use coltsfoothall::limit::{Number, Refusal, Ticket};
 use coltsfoothall::load::Report;
 use coltsfoothall::member::Heartbeat;
-use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::size::Tokens;
 use coltsfoothall::slot::Table;
 use coltsfoothall::step::Input;
--- a/coltsfoothall-entry/src/peer.rs
+++ b/coltsfoothall-entry/src/peer.rs
@@ -16,11 +16,11 @@
 use tokio_serde::formats::MessagePack;
 use tokio_util::codec::Framed;
 
+use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::handoff::Handoff;
 use coltsfoothall::id;
 use coltsfoothall::key::{Epoch, Slot};
 use coltsfoothall::member::Heartbeat;
-use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::record::Name;
 use coltsfoothall::replica::{Ack, Chunk, Life, Taken, Update};
 use coltsfoothall::slot::Table;
--- a/coltsfoothall-entry/src/pick.rs
+++ b/coltsfoothall-entry/src/pick.rs
@@ -4,10 +4,10 @@
 
 use coltsfoothall::choice::{self, Ask};
 use coltsfoothall::clock::Time;
+use coltsfoothall::fingerprint::Fingerprint;
 use coltsfoothall::id;
 use coltsfoothall::limit::{Number, Ticket};
 use coltsfoothall::prefix::{self, Block};
-use coltsfoothall::fingerprint::Fingerprint;
 use coltsfoothall::record::{Intake, Work};
 use coltsfoothall::size::Tokens;
 
--- a/coltsfoothall-entry/src/trial.rs
+++ b/coltsfoothall-entry/src/trial.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::id;
 use coltsfoothall::fingerprint::Evidence;
+use coltsfoothall::id;
 use coltsfoothall::step::Input;
 use coltsfoothall_shell::event;
 use coltsfoothall_wire::cloud::Machine;
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
+use coltsfoothall::batch;
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::history::Place;
 use coltsfoothall::forward::peer::TOGETHER;
 use coltsfoothall::forward::rest;
-use coltsfoothall::batch;
 use coltsfoothall_shell::event;
 
 use crate::border::{Error, Listing, Realm};
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -7,6 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use coltsfoothall::batch;
 use coltsfoothall::forward::allowance::Spent;
 use coltsfoothall::forward::gossip::Count as Counted;
 use coltsfoothall::forward::history::{Era, Place};
@@ -17,7 +18,6 @@
 use coltsfoothall::forward::usage::Count;
 use coltsfoothall::id;
 use coltsfoothall::suspicion::Evidence;
-use coltsfoothall::batch;
 use coltsfoothall_shell::event;
 use rand::seq::IteratorRandom;
 use serde::{Deserialize, Serialize};
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -21,7 +21,7 @@
 use coltsfoothall::forward::upgrade;
 use coltsfoothall::forward::usage;
 use coltsfoothall::id;
-use coltsfoothall::suspicion::{self, Tracker, Fingerprint};
+use coltsfoothall::suspicion::{self, Fingerprint, Tracker};
 use coltsfoothall_shell::event;
 use coltsfoothall_shell::metric::Board;
 use rand::Rng;
--- a/coltsfoothall-wire/src/peer.rs
+++ b/coltsfoothall-wire/src/peer.rs
@@ -10,11 +10,11 @@
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
 use coltsfoothall::catalog::Catalog;
+use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::handoff::Handoff;
 use coltsfoothall::id;
 use coltsfoothall::key::{Epoch, Slot};
 use coltsfoothall::member::Heartbeat;
-use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::record::{Answer, End, Finish, Intake, Name};
 use coltsfoothall::replica::{Ack, Chunk, Life, Taken, Update};
 use coltsfoothall::size::Millis;
--- a/coltsfoothall/src/forward/peer.rs
+++ b/coltsfoothall/src/forward/peer.rs
@@ -5,11 +5,11 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::batch;
 use crate::clock::Time;
 use crate::forward::allowance::Reach;
 use crate::id;
 use crate::size::Megabits;
-use crate::batch;
 
 /// Most heartbeats that one instance sends at once. 64 of 1.4 kB each overran the queue
 /// of a link of 10 Mbit/s: those sent last, always the same, were lost, and half of a
--- a/coltsfoothall/src/ledger.rs
+++ b/coltsfoothall/src/ledger.rs
@@ -422,7 +422,12 @@
         let wait = self.wait();
         for replica in &mut self.replicas {
             replica.ripen(now, wait);
-            replica.retire(now, settings.retention, settings.tombstone_retention, settings.tombstones);
+            replica.retire(
+                now,
+                settings.retention,
+                settings.tombstone_retention,
+                settings.tombstones,
+            );
         }
         self.make_room(now);
     }
--- a/coltsfoothall/src/member.rs
+++ b/coltsfoothall/src/member.rs
@@ -17,7 +17,7 @@
 use crate::id;
 use crate::size::{Bytes, Millis};
 use crate::slot::Candidate;
-use crate::stall::{Verdict, Monitor};
+use crate::stall::{Monitor, Verdict};
 
 pub use crate::digest::{Address, Addresses, DEATH, DIGEST, Death, Digest, HEARTBEAT, Heartbeat};
 
--- a/coltsfoothall/src/replica.rs
+++ b/coltsfoothall/src/replica.rs
@@ -14,7 +14,7 @@
 use crate::record::{Cause, Change, End, Name, Record};
 
 pub use crate::copy::{
-    Ack, Broken, Chunk, Holder, Life, Row, Seq, Step, Tombstone, Taken, Unsure, Update, Whole,
+    Ack, Broken, Chunk, Holder, Life, Row, Seq, Step, Taken, Tombstone, Unsure, Update, Whole,
 };
 
 /// Another copy, as the owner sees it.
@@ -327,7 +327,11 @@
         begun
             .map(|record| {
                 let unknown = End::Unknown(Cause::OwnerLost);
-                let end = if record.is_complete() { End::Done } else { unknown };
+                let end = if record.is_complete() {
+                    End::Done
+                } else {
+                    unknown
+                };
                 (record.intake.name.clone(), end)
             })
             .collect()
@@ -455,7 +459,8 @@
         let old = |item: &Item| item.ended.is_some_and(|ended| now.since(ended) >= keep);
         let dropped: Vec<_> = self.items.extract_if(.., |item| old(item)).collect();
         self.bury(now, dropped);
-        self.tombstones.retain(|tombstone| now.since(tombstone.since) < names);
+        self.tombstones
+            .retain(|tombstone| now.since(tombstone.since) < names);
         self.cap(most);
     }
 
@@ -497,7 +502,11 @@
     /// Keeps the youngest `most` tombstones.
     fn cap(&mut self, most: usize) {
         if self.tombstones.len() > most {
-            let mut since: Vec<_> = self.tombstones.iter().map(|tombstone| tombstone.since).collect();
+            let mut since: Vec<_> = self
+                .tombstones
+                .iter()
+                .map(|tombstone| tombstone.since)
+                .collect();
             since.sort_unstable();
             let limit = since[since.len() - most];
             self.tombstones.retain(|tombstone| tombstone.since >= limit);
@@ -505,7 +514,10 @@
     }
 
     fn remember(&mut self, hash: u64, since: Time) {
-        if let Err(at) = self.tombstones.binary_search_by_key(&hash, |tombstone| tombstone.hash) {
+        if let Err(at) = self
+            .tombstones
+            .binary_search_by_key(&hash, |tombstone| tombstone.hash)
+        {
             self.tombstones.insert(at, TimedTombstone { hash, since });
         }
     }
--- a/coltsfoothall/src/request.rs
+++ b/coltsfoothall/src/request.rs
@@ -217,7 +217,11 @@
     fn step_backup(&mut self, input: &Input, out: &mut Vec<Action>) -> Option<Result<(), Broken>> {
         let sealed = self.phase == Phase::Sealed;
         match input {
-            Input::Acked { .. } | Input::Unreplicated | Input::Replicated | Input::Retracted | Input::Sealed
+            Input::Acked { .. }
+            | Input::Unreplicated
+            | Input::Replicated
+            | Input::Retracted
+            | Input::Sealed
                 if sealed =>
             {
                 Some(Ok(()))
--- a/coltsfoothall/src/safety.rs
+++ b/coltsfoothall/src/safety.rs
@@ -17,7 +17,9 @@
             return Some(Begin::Lost);
         }
         let backed = match &replica.role {
-            Role::Primary(owner) => owner.backup.is_some() && !owner.unreplicated && !owner.contested,
+            Role::Primary(owner) => {
+                owner.backup.is_some() && !owner.unreplicated && !owner.contested
+            }
             Role::Backup { .. } | Role::Learner { .. } => false,
         };
         let known = self.known(now, intake, self.settings.retention / 2);
--- a/coltsfoothall/src/suspicion.rs
+++ b/coltsfoothall/src/suspicion.rs
@@ -41,10 +41,10 @@
 
 use std::time::Duration;
 
+use crate::batch;
 use crate::clock::Time;
+pub use crate::fingerprint::{Evidence, Fingerprint, Mark, Notice};
 use crate::id;
-pub use crate::fingerprint::{Evidence, Mark, Notice, Fingerprint};
-use crate::batch;
 
 /// Batch deaths that condemn a content, and that isolate a kin.
 const BATCH_DEATHS: usize = 2;
@@ -141,7 +141,9 @@
         let kin = self.grade(now, fingerprint.kin);
         let verdict = content.max(kin);
         let tried = self.runs.iter().any(|run| {
-            run.isolated && (run.fingerprint.content == fingerprint.content || run.fingerprint.kin == fingerprint.kin)
+            run.isolated
+                && (run.fingerprint.content == fingerprint.content
+                    || run.fingerprint.kin == fingerprint.kin)
         });
         if verdict == Verdict::Isolated && tried {
             return Verdict::Later;
@@ -185,7 +187,12 @@
 
     /// An endpoint died; `announced` if it had been given notice, or its whole
     /// failure domain is lost. Returns the marks to tell peers of.
-    pub fn record_death(&mut self, now: Time, endpoint: &id::Endpoint, announced: bool) -> Vec<Mark> {
+    pub fn record_death(
+        &mut self,
+        now: Time,
+        endpoint: &id::Endpoint,
+        announced: bool,
+    ) -> Vec<Mark> {
         let mut marks = Vec::new();
         let (lost, kept) = std::mem::take(&mut self.runs)
             .into_iter()
@@ -294,7 +301,12 @@
         };
         let entry = &self.entries[at];
         let live = |death: &&Death| now.since(death.at) < self.settings.retention;
-        let isolated = entry.deaths.iter().filter(live).filter(|d| d.isolated).count();
+        let isolated = entry
+            .deaths
+            .iter()
+            .filter(live)
+            .filter(|d| d.isolated)
+            .count();
         let batch = apart(
             entry
                 .deaths
@@ -304,7 +316,10 @@
         );
         let (poisonous, suspect) = match mark {
             Mark::Content(_) => (isolated > 0 || batch >= BATCH_DEATHS, batch > 0),
-            Mark::Kin(_) => (isolated >= KIN_DEATHS, isolated > 0 || batch >= BATCH_DEATHS),
+            Mark::Kin(_) => (
+                isolated >= KIN_DEATHS,
+                isolated > 0 || batch >= BATCH_DEATHS,
+            ),
         };
         match (poisonous, suspect) {
             (true, _) => Verdict::Poisonous,
--- a/coltsfoothall/src/takeover.rs
+++ b/coltsfoothall/src/takeover.rs
@@ -10,7 +10,9 @@
 use crate::key::{Epoch, Slot};
 use crate::ledger::{Error, Ledger};
 use crate::record::{Change, End, Name};
-use crate::replica::{Broken, Doubt, Holder, Item, Life, Link, Primary, Replica, Role, Source, Word};
+use crate::replica::{
+    Broken, Doubt, Holder, Item, Life, Link, Primary, Replica, Role, Source, Word,
+};
 use crate::slot::{Entry, FIRST_EPOCH, Table};
 
 /// What a new table meant for this instance.
@@ -125,7 +127,9 @@
     /// Whether the copy here allows the entry to be written.
     fn allows(&self, slot: Slot, entry: &Entry) -> bool {
         let Some(replica) = self.replica(slot) else {
-            return entry.primary == self.me && entry.cold == entry.epoch && entry.epoch > FIRST_EPOCH;
+            return entry.primary == self.me
+                && entry.cold == entry.epoch
+                && entry.epoch > FIRST_EPOCH;
         };
         if entry.epoch != replica.epoch.next() {
             return false;
--- a/coltsfoothall/src/transfer.rs
+++ b/coltsfoothall/src/transfer.rs
@@ -9,8 +9,8 @@
 use crate::key::Slot;
 use crate::ledger::Ledger;
 use crate::replica::{
-    Broken, Chunk, Copying, Doubt, Holder, Item, Link, TimedTombstone, Replica, Role, Row, Seq, Source, Tombstone,
-    Taken, Unsure, Update, Whole, Word,
+    Broken, Chunk, Copying, Doubt, Holder, Item, Link, Replica, Role, Row, Seq, Source, Taken,
+    TimedTombstone, Tombstone, Unsure, Update, Whole, Word,
 };
 use crate::size::Millis;
 use crate::slot::Process;
@@ -309,10 +309,12 @@
         replica.items.extend(rows);
         let added = replica.items[first..].iter().map(|item| item.record.size());
         replica.bytes += added.sum::<usize>();
-        replica.tombstones.extend(chunk.tombstones.iter().map(|tombstone| TimedTombstone {
-            hash: tombstone.hash,
-            since: now - tombstone.age.duration(),
-        }));
+        replica
+            .tombstones
+            .extend(chunk.tombstones.iter().map(|tombstone| TimedTombstone {
+                hash: tombstone.hash,
+                since: now - tombstone.age.duration(),
+            }));
         self.next += 1;
     }
 }
--- a/coltsfoothall/tests/balance.rs
+++ b/coltsfoothall/tests/balance.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Duty, Context, duties};
+use coltsfoothall::duty::{Context, Duty, duties};
 use coltsfoothall::id::Instance;
 use coltsfoothall::key::Slot;
 use coltsfoothall::ledger::{Ledger, Settings};
--- a/coltsfoothall/tests/duty.rs
+++ b/coltsfoothall/tests/duty.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Duty, MAX_MOVED_BYTES, Missing, Context, duties};
+use coltsfoothall::duty::{Context, Duty, MAX_MOVED_BYTES, Missing, duties};
 use coltsfoothall::id;
 use coltsfoothall::key::{Key, Slot};
 use coltsfoothall::ledger::{Ledger, Life, Settings};
--- a/coltsfoothall/tests/forward_peer.rs
+++ b/coltsfoothall/tests/forward_peer.rs
@@ -5,11 +5,11 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
+use coltsfoothall::batch;
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::allowance::Reach;
 use coltsfoothall::forward::peer::{Peers, Profile, Settings, TOGETHER};
 use coltsfoothall::size::Megabits;
-use coltsfoothall::batch;
 
 fn at(millis: u64) -> Time {
     Time::START + Duration::from_millis(millis)
--- a/coltsfoothall/tests/stall.rs
+++ b/coltsfoothall/tests/stall.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::stall::{Settings, Verdict, Monitor};
+use coltsfoothall::stall::{Monitor, Settings, Verdict};
 
 const PEERS: usize = 8;
 
--- a/coltsfoothall/tests/suspicion.rs
+++ b/coltsfoothall/tests/suspicion.rs
@@ -8,7 +8,7 @@
 use coltsfoothall::id::Endpoint;
 use coltsfoothall::record::{Class, Intake, Name, Work};
 use coltsfoothall::size::Millis;
-use coltsfoothall::suspicion::{Tracker, Evidence, Fingerprint, Settings, Verdict};
+use coltsfoothall::suspicion::{Evidence, Fingerprint, Settings, Tracker, Verdict};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -40,7 +40,13 @@
 }
 
 fn die(tracker: &mut Tracker, millis: u64, attempt: u64, fingerprint: Fingerprint, isolated: bool) {
-    tracker.record_start(at(millis), attempt, endpoint(attempt), fingerprint, isolated);
+    tracker.record_start(
+        at(millis),
+        attempt,
+        endpoint(attempt),
+        fingerprint,
+        isolated,
+    );
     tracker.record_death(at(millis + 10), &endpoint(attempt), false);
 }
 
@@ -105,7 +111,7 @@
 #[test]
 fn evidence_expires() {
     let settings = Settings {
-        entries: 8,
+        max_marks: 8,
         ..Settings::default()
     };
     let mut tracker = Tracker::new(settings);
