--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -133,7 +133,7 @@
         }
         self.resend.look(&self.node);
         self.slots.look(now, &self.members, self.leaving);
-        let taken = self.slots.take_back(now);
+        let taken = self.slots.retract(now);
         self.node.desk.adopt(&self.node, taken);
         self.node.desk.with_ledger(|ledger| ledger.retire(now));
         self.node.desk.flush_all();
@@ -163,7 +163,11 @@
         let board = &self.node.board;
         board.members(self.members.count() as u64);
         board.queued(self.dispatch.queued() as u64);
-        board.slots(self.node.desk.with_ledger(|ledger| ledger.owned().count()) as u64);
+        board.slots(
+            self.node
+                .desk
+                .with_ledger(|ledger| ledger.served_slots().count()) as u64,
+        );
     }
 
     /// Takes in what a peer said of itself and others.
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
+use coltsfoothall::batch;
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::history::Place;
 use coltsfoothall::forward::peer::TOGETHER;
 use coltsfoothall::forward::rest;
-use coltsfoothall::turn;
 use coltsfoothall_shell::event;
 
 use crate::adapter::{Error, Keyspace, Listing};
@@ -176,7 +176,7 @@
 /// How long an instance rests after a change, longer in a large fleet. What one reads in its
 /// rest the others have told it, and each call is paid for: a fleet of 64 made 5,900 in 76 s.
 pub fn poll_delay(state: &State, keyspace: Keyspace) -> Duration {
-    let turns = turn::turns(state.reach().members as usize, TOGETHER) as u32;
+    let turns = batch::count(state.reach().members as usize, TOGETHER) as u32;
     match keyspace {
         Keyspace::Configuration => {
             CONFIGURATION_POLL_DELAY * turns.min(MAX_CONFIGURATION_POLL_FACTOR)
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -21,7 +21,7 @@
 use coltsfoothall::forward::upgrade;
 use coltsfoothall::forward::usage;
 use coltsfoothall::id;
-use coltsfoothall::suspicion::{self, Docket, Print};
+use coltsfoothall::suspicion::{self, Fingerprint, Tracker};
 use coltsfoothall_shell::event;
 use coltsfoothall_shell::metric::Board;
 use rand::Rng;
@@ -126,7 +126,7 @@
     /// Calls to the store.
     pub calls: Calls,
     /// Evidence against requests that crash endpoints.
-    pub suspicions: RefCell<Docket>,
+    pub suspicions: RefCell<Tracker>,
     next_attempt: Cell<u64>,
     /// Requests under way.
     pub open: Cell<usize>,
@@ -179,7 +179,7 @@
             era_changed: Notify::new(),
             reported: Cell::default(),
             calls: Calls::default(),
-            suspicions: RefCell::new(Docket::new(suspicion::Settings::default())),
+            suspicions: RefCell::new(Tracker::new(suspicion::Settings::default())),
             next_attempt: Cell::new(boot),
             open: Cell::new(0),
             board,
@@ -291,20 +291,20 @@
     /// A run ended. One that broke off is evidence if its endpoint turns out to be gone; a
     /// whole answer clears its like. Endpoints that leave without a word go on serving, so
     /// runs that did not break are no evidence.
-    pub fn record_evidence(&self, endpoint: &id::Endpoint, print: Print, end: End) {
+    pub fn record_evidence(&self, endpoint: &id::Endpoint, fingerprint: Fingerprint, end: End) {
         let now = self.now();
         let mut suspicions = self.suspicions.borrow_mut();
         let attempt = self.next_attempt.get();
         match end {
             End::Whole if suspicions.is_empty() => {}
             End::Whole => {
-                suspicions.started(now, attempt, endpoint.clone(), print, false);
-                suspicions.ended(now, attempt, true);
+                suspicions.record_start(now, attempt, endpoint.clone(), fingerprint, false);
+                suspicions.record_end(now, attempt, true);
             }
             End::Failed => {
                 // The fleet's attempts differ, since each boot counts from a number of its own.
                 self.next_attempt.set(attempt.wrapping_add(1));
-                suspicions.started(now, attempt, endpoint.clone(), print, false);
+                suspicions.record_start(now, attempt, endpoint.clone(), fingerprint, false);
             }
             End::Refused | End::Unreachable | End::Abandoned => {}
         }
@@ -316,7 +316,7 @@
         let mut suspicions = self.suspicions.borrow_mut();
         suspicions.abandon(now - EVIDENCE_RETENTION);
         suspicions.expire(now);
-        let marks = suspicions.died(now, id, announced);
+        let marks = suspicions.record_death(now, id, announced);
         if !marks.is_empty() {
             event::ENDPOINT_DIED.emit(format_args!(
                 "endpoint={id} announced={announced} suspects={}",
