--- a/coltsfoothall-forward/src/border.rs
+++ b/coltsfoothall-forward/src/border.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use coltsfoothall::forward::choice::Part;
-use coltsfoothall::forward::history::{Era, Fence, Lease, Place};
+use coltsfoothall::forward::history::{Era, Fence, Lease, Position};
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::forward::order::Order;
 use coltsfoothall::forward::table::Table;
@@ -138,9 +138,9 @@
     /// Its value; none if it was removed.
     pub value: Option<Bytes>,
     /// This change.
-    pub place: Place,
+    pub place: Position,
     /// The change that created it; the first place of all if it was removed.
-    pub created: Place,
+    pub created: Position,
 }
 
 /// Values of a realm, or changes of them, up to a place in the store's history.
@@ -149,7 +149,7 @@
     /// The values or changes in their order.
     pub items: Vec<Item>,
     /// The last change at the store; those after it are not in here.
-    pub place: Place,
+    pub place: Position,
 }
 
 /// A change of the realms that are the instances' own, made whole or not at all. Names
@@ -189,9 +189,9 @@
     /// Reads a whole realm.
     fn list(&self, realm: Realm) -> LocalBoxFuture<'_, Result<Listing, Error>>;
     /// Waits for changes of a realm after a place.
-    fn watch(&self, realm: Realm, after: Place) -> LocalBoxFuture<'_, Result<Listing, Error>>;
+    fn watch(&self, realm: Realm, after: Position) -> LocalBoxFuture<'_, Result<Listing, Error>>;
     /// Writes to the instances' own realms; returns the place of the change.
-    fn write(&self, write: Write) -> LocalBoxFuture<'_, Result<Place, Error>>;
+    fn write(&self, write: Write) -> LocalBoxFuture<'_, Result<Position, Error>>;
     /// Takes a lease.
     fn lease(&self, term: Duration) -> LocalBoxFuture<'_, Result<Lease, Error>>;
     /// Renews a lease; one of a former era is gone.
@@ -216,15 +216,15 @@
     fn report<'a>(
         &'a self,
         service: &'a id::Service,
-    ) -> LocalBoxFuture<'a, Result<Option<(Report, Place)>, Error>>;
+    ) -> LocalBoxFuture<'a, Result<Option<(Report, Position)>, Error>>;
     /// Tells the operators of a service's move, if nothing was told since `had`. Returns the
     /// place of the change.
     fn tell<'a>(
         &'a self,
         service: &'a id::Service,
         report: &'a Report,
-        had: Option<Place>,
-    ) -> LocalBoxFuture<'a, Result<Place, Error>>;
+        had: Option<Position>,
+    ) -> LocalBoxFuture<'a, Result<Position, Error>>;
     /// Reads an endpoint's registration.
     ///
     /// # Errors
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::history::Place;
+use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::peer::TOGETHER;
 use coltsfoothall::forward::rest;
 use coltsfoothall::turn;
@@ -49,14 +49,14 @@
     /// When the first call was made that got no answer since the last one that did.
     lost: Option<Time>,
     /// The last change that is known; none before a whole list was read.
-    after: Option<Place>,
+    after: Option<Position>,
     pause: Duration,
 }
 
 impl Follower {
     /// One that goes on from a place up to which all is known; none if nothing is.
     #[must_use]
-    pub fn new(realm: Realm, after: Option<Place>) -> Self {
+    pub fn new(realm: Realm, after: Option<Position>) -> Self {
         Self {
             realm,
             lost: None,
@@ -67,7 +67,7 @@
 
     /// The place up to which all is known.
     #[must_use]
-    pub fn after(&self) -> Option<Place> {
+    pub fn after(&self) -> Option<Position> {
         self.after
     }
 
@@ -80,7 +80,7 @@
     pub async fn step(&mut self, state: &State) -> Option<News> {
         let realm = self.realm;
         let asked = state.now();
-        let replaced = |after: &mut Place| Some(after.era) < state.era();
+        let replaced = |after: &mut Position| Some(after.era) < state.era();
         if self.after.take_if(replaced).is_some() {
             event::STORE.emit(format_args!("realm={realm:?} state=history_replaced"));
         }
@@ -166,7 +166,7 @@
 }
 
 /// Whether a listing is of the newest era, and of the one that it was asked in.
-fn is_current(state: &State, after: Option<Place>, listing: &Listing) -> bool {
+fn is_current(state: &State, after: Option<Position>, listing: &Listing) -> bool {
     let era = listing.place.era;
     Some(era) >= state.era() && after.is_none_or(|after| after.era == era)
 }
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -9,7 +9,7 @@
 
 use coltsfoothall::forward::allowance::Spent;
 use coltsfoothall::forward::gossip::Count as Counted;
-use coltsfoothall::forward::history::{Era, Place};
+use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::Load;
 use coltsfoothall::forward::peer::{Profile, TOGETHER};
 use coltsfoothall::forward::roster::Ended;
@@ -216,7 +216,7 @@
     roster.hear_placed(now, &heartbeat.placed);
     drop(roster);
     for event in restarted {
-        state.note(Some(event), Place::default(), "peer");
+        state.note(Some(event), Position::default(), "peer");
     }
     state.docket.borrow_mut().merge(now, &heartbeat.evidence);
     state.allowance.borrow_mut().hear(boot, &heartbeat.spent);
--- a/coltsfoothall-forward/src/passed.rs
+++ b/coltsfoothall-forward/src/passed.rs
@@ -1,7 +1,7 @@
 //! Registrations as they were read, for instances that hear of them from this one.
 
 use bytes::Bytes;
-use coltsfoothall::forward::history::Place;
+use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::size::Millis;
 use serde::{Deserialize, Serialize};
@@ -34,7 +34,7 @@
     /// What became of it.
     pub change: Change,
     /// When that was written.
-    pub place: Place,
+    pub place: Position,
 }
 
 /// What changed after a number.
@@ -45,7 +45,7 @@
     /// The number to go on from.
     pub next: u64,
     /// The last change at the store that the reader knows of.
-    pub place: Place,
+    pub place: Position,
     /// Age in milliseconds of what the reader knows; none if the store does not answer it.
     pub age_ms: Option<u64>,
     /// The changes.
@@ -60,7 +60,7 @@
     /// Number of its last change of any account.
     number: u64,
     /// When that was written, or earlier.
-    changed: Place,
+    changed: Position,
 }
 
 /// From where an instance goes on.
@@ -69,7 +69,7 @@
     /// From a number that this process told.
     Number(u64),
     /// From a place in the store's history up to which it has read itself.
-    Place(Place),
+    Place(Position),
 }
 
 /// All registrations, with changes numbered. An endpoint that writes again what stood there
@@ -79,7 +79,7 @@
     /// Sorted by name.
     kept: Vec<Kept>,
     number: u64,
-    place: Place,
+    place: Position,
 }
 
 impl Passed {
@@ -95,7 +95,7 @@
             place: item.place,
         };
         let says = Entry {
-            place: Place::default(),
+            place: Position::default(),
             ..entry.clone()
         };
         match self.find(&item.name) {
@@ -108,7 +108,7 @@
 
     /// An endpoint is about to leave, as of then; that it still is when it writes again is no
     /// change.
-    pub fn left(&mut self, name: &str, leaves: Option<Millis>, at: Place) {
+    pub fn left(&mut self, name: &str, leaves: Option<Millis>, at: Position) {
         let row = Row {
             name: name.to_owned(),
             change: Change::Leaving { leaves },
@@ -124,7 +124,7 @@
     }
 
     /// A registration is gone, as of then.
-    pub fn remove(&mut self, name: &str, at: Place) {
+    pub fn remove(&mut self, name: &str, at: Position) {
         let row = Row {
             name: name.to_owned(),
             change: Change::Removed,
@@ -139,13 +139,13 @@
     }
 
     /// All changes at the store up to there are in here.
-    pub fn read_to(&mut self, place: Place) {
+    pub fn read_to(&mut self, place: Position) {
         self.place = self.place.max(place);
     }
 
     /// The last change at the store that is in here.
     #[must_use]
-    pub fn place(&self) -> Place {
+    pub fn place(&self) -> Position {
         self.place
     }
 
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coltsfoothall::forward::history::Place;
+use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::forward::peer::Profile;
 use coltsfoothall::forward::reader::{Budget, Candidate, Reading, Source};
@@ -113,8 +113,8 @@
     state: &Rc<State>,
     client: &Client,
     had: Heard,
-    known: Place,
-) -> Option<(Heard, Place)> {
+    known: Position,
+) -> Option<(Heard, Position)> {
     let lost = |reason: &str, age: Option<Duration>| {
         let reader = &had.reader;
         event::STORE.emit(format_args!(
@@ -157,7 +157,7 @@
     client: &Client,
     reader: &Profile,
     had: &Heard,
-    known: Place,
+    known: Position,
 ) -> Option<Part> {
     let by_place = After::Place(known);
     let after = had.next.map_or(by_place, After::Number);
@@ -200,7 +200,7 @@
                     name,
                     value: Some(value),
                     place,
-                    created: Place::default(),
+                    created: Position::default(),
                 };
                 register(state, &item, PEER);
             }
@@ -284,7 +284,7 @@
 }
 
 /// A reader says that an endpoint is about to leave.
-fn leave(state: &State, name: &str, leaves: Option<Millis>, at: Place) {
+fn leave(state: &State, name: &str, leaves: Option<Millis>, at: Position) {
     let Ok(id) = name.parse::<id::Endpoint>() else {
         event::STORE_FAILED.emit(format_args!("endpoint={name:?} reason=\"not a name\""));
         return;
@@ -296,7 +296,7 @@
 }
 
 /// A registration is gone; after the store was away it may only have lapsed.
-fn remove(state: &Rc<State>, name: &str, at: Place) {
+fn remove(state: &Rc<State>, name: &str, at: Position) {
     let Ok(id) = name.parse::<id::Endpoint>() else {
         event::STORE_FAILED.emit(format_args!("endpoint={name:?} reason=\"not a name\""));
         return;
@@ -313,7 +313,7 @@
 }
 
 /// No endpoint is registered under an id, as of then.
-fn forget(state: &State, id: &id::Endpoint, at: Place, source: &str) {
+fn forget(state: &State, id: &id::Endpoint, at: Position, source: &str) {
     let event = state.roster.borrow_mut().removed(id, at);
     state.note(event, at, source);
 }
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -11,7 +11,7 @@
 use coltsfoothall::forward::allowance::{self, Reach};
 use coltsfoothall::forward::choice;
 use coltsfoothall::forward::duration;
-use coltsfoothall::forward::history::{Era, Fence, Place};
+use coltsfoothall::forward::history::{Era, Fence, Position};
 use coltsfoothall::forward::leader::Leader;
 use coltsfoothall::forward::order::{self, Meter};
 use coltsfoothall::forward::peer::{self, Peers, Profile};
@@ -374,7 +374,7 @@
     }
 
     /// Acts on a change in the list of endpoints.
-    pub fn note(&self, event: Option<Event>, place: Place, source: &str) {
+    pub fn note(&self, event: Option<Event>, place: Position, source: &str) {
         match event {
             None => {}
             Some(Event::Added(id)) => {
@@ -417,7 +417,7 @@
         self.news.borrow().iter().any(|news| news.ended.id == *id)
     }
 
-    fn tell(&self, id: id::Endpoint, place: Place) {
+    fn tell(&self, id: id::Endpoint, place: Position) {
         let at = self.now();
         let ended = Ended { id, place };
         self.news.borrow_mut().push(News { ended, at });
--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -1,7 +1,7 @@
 //! Services that move to another version: orders are taken over, candidates judged, and operators
 //! told.
 
-use coltsfoothall::forward::history::Place;
+use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::upgrade::{Change, Order, Stage, View};
 use coltsfoothall::id;
 use coltsfoothall_shell::event;
@@ -107,8 +107,8 @@
 struct Line {
     service: id::Service,
     /// The order that it is about.
-    order: Place,
-    told: Option<(Report, Place)>,
+    order: Position,
+    told: Option<(Report, Position)>,
 }
 
 /// Moves services on and tells operators, while this instance acts for all.
--- a/coltsfoothall/benches/gossip.rs
+++ b/coltsfoothall/benches/gossip.rs
@@ -8,7 +8,7 @@
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::choice::{Ask, Part, Settings};
 use coltsfoothall::forward::gossip::Count;
-use coltsfoothall::forward::history::Place;
+use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::node::{Entry, Load};
 use coltsfoothall::forward::roster::Roster;
 use coltsfoothall::forward::upgrade::Versions;
@@ -57,7 +57,7 @@
         leaving: false,
         leaves: None,
         reclaimable: true,
-        place: Place::default(),
+        place: Position::default(),
     }
 }
 
--- a/coltsfoothall/src/forward/history.rs
+++ b/coltsfoothall/src/forward/history.rs
@@ -18,7 +18,7 @@
             display("era {text:?} is not a whole number")
         }
         /// It is not an era and a revision.
-        Place(text: String) {
+        Position(text: String) {
             display("place {text:?} is not an era, a dot and a revision")
         }
     }
@@ -56,24 +56,24 @@
 
 /// A change in the store's history; those of a later era come after all of an earlier one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Place {
+pub struct Position {
     /// The copy that it was made in.
     pub era: Era,
     /// Its revision there.
     pub revision: u64,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.era, self.revision)
     }
 }
 
-impl FromStr for Place {
+impl FromStr for Position {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let wrong = || Error::Place(text.into());
+        let wrong = || Error::Position(text.into());
         let (era, revision) = text.split_once('.').ok_or_else(wrong)?;
         let revision = revision.parse().map_err(|_error| wrong())?;
         Ok(Self {
@@ -100,9 +100,9 @@
     }
 }
 
-impl From<Place> for Fence {
+impl From<Position> for Fence {
     /// The fence of the claim that was made at this place.
-    fn from(place: Place) -> Self {
+    fn from(place: Position) -> Self {
         let last = (1 << REVISION_BITS) - 1;
         Self(place.era.0.min(LAST_ERA) << REVISION_BITS | place.revision.min(last))
     }
@@ -155,20 +155,20 @@
     }
 
     /// An answer of this era tells the store's revision.
-    pub fn at(&mut self, era: Era, revision: u64) -> Place {
+    pub fn at(&mut self, era: Era, revision: u64) -> Position {
         if self.newest == Some(era) {
             self.first.get_or_insert(revision);
         }
-        Place { era, revision }
+        Position { era, revision }
     }
 
     /// When a value was written that an answer of this era holds. What the copy held, and what
     /// may have been written before the first answer, is dated to the era before.
     #[must_use]
-    pub fn written(&self, era: Era, revision: u64) -> Place {
+    pub fn written(&self, era: Era, revision: u64) -> Position {
         let first = self.first.unwrap_or(0);
         let old = self.newest == Some(era) && self.rose && revision <= first;
         let era = if old { era.before() } else { era };
-        Place { era, revision }
+        Position { era, revision }
     }
 }
--- a/coltsfoothall/src/forward/leader.rs
+++ b/coltsfoothall/src/forward/leader.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::forward::history::{Era, Fence, Lease, Place};
+use crate::forward::history::{Era, Fence, Lease, Position};
 
 /// A lease that this instance holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Held {
     lease: Lease,
     /// When the key was created.
-    created: Place,
+    created: Position,
     /// Until when the lease surely runs.
     until: Time,
 }
@@ -59,7 +59,7 @@
     }
 
     /// The key stands at the store, and was created then.
-    pub fn taken(&mut self, created: Place) {
+    pub fn taken(&mut self, created: Position) {
         self.taken = true;
         // Another holder's key means that ours is gone.
         if self.held.is_some_and(|held| held.created != created) {
@@ -75,7 +75,7 @@
     }
 
     /// A claim succeeded; the lease was asked for at `asked`.
-    pub fn claimed(&mut self, asked: Time, lease: Lease, created: Place) {
+    pub fn claimed(&mut self, asked: Time, lease: Lease, created: Position) {
         self.taken = true;
         self.held = Some(Held {
             lease,
--- a/coltsfoothall/src/forward/node.rs
+++ b/coltsfoothall/src/forward/node.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::Time;
 use crate::forward::gossip::Count;
-use crate::forward::history::Place;
+use crate::forward::history::Position;
 use crate::id;
 use crate::size::Millis;
 
@@ -51,7 +51,7 @@
     /// Whether it can be reclaimed.
     pub reclaimable: bool,
     /// When the registration was written.
-    pub place: Place,
+    pub place: Position,
 }
 
 /// Work open at an endpoint.
--- a/coltsfoothall/src/forward/roster.rs
+++ b/coltsfoothall/src/forward/roster.rs
@@ -7,7 +7,7 @@
 use crate::clock::Time;
 use crate::forward::choice::{Ask, Pick, Settings, chains, pairs};
 use crate::forward::gossip::{PLACED_AGAIN, Placed, Told};
-use crate::forward::history::Place;
+use crate::forward::history::Position;
 use crate::forward::node::{Entry, Listing, Load, NEWEST, Node, Open, SLOWNESS, SUCCESS};
 use crate::forward::pace::{Pace, Sample};
 use crate::id;
@@ -63,7 +63,7 @@
     /// Its name.
     pub id: id::Endpoint,
     /// When; a later registration that does not leave is believed again.
-    pub place: Place,
+    pub place: Position,
 }
 
 /// All endpoints.
@@ -170,7 +170,7 @@
         &mut self,
         now: Time,
         id: &id::Endpoint,
-        at: Place,
+        at: Position,
         leaves: Option<Duration>,
     ) -> Option<Event> {
         let Some(node) = self.node(id) else {
@@ -202,7 +202,7 @@
     }
 
     /// A registration was removed then.
-    pub fn removed(&mut self, id: &id::Endpoint, at: Place) -> Option<Event> {
+    pub fn removed(&mut self, id: &id::Endpoint, at: Position) -> Option<Event> {
         self.note_ended(id, at);
         let place = self.place(id).ok()?;
         if self.nodes[place].entry.place > at {
@@ -385,12 +385,12 @@
     }
 
     /// Whether an endpoint was leaving or gone then or later.
-    fn is_ended(&self, id: &id::Endpoint, at: Place) -> bool {
+    fn is_ended(&self, id: &id::Endpoint, at: Position) -> bool {
         let found = self.ended.binary_search_by(|ended| ended.id.cmp(id));
         found.is_ok_and(|place| self.ended[place].place >= at)
     }
 
-    fn note_ended(&mut self, id: &id::Endpoint, at: Place) {
+    fn note_ended(&mut self, id: &id::Endpoint, at: Position) {
         if self.ended.len() >= ENDED {
             let nodes = &self.nodes;
             self.ended
--- a/coltsfoothall/src/forward/upgrade.rs
+++ b/coltsfoothall/src/forward/upgrade.rs
@@ -13,7 +13,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::clock::Time;
-use crate::forward::history::Place;
+use crate::forward::history::Position;
 use crate::forward::verdict::{Count, Detector};
 use crate::id;
 use crate::size::Millis;
@@ -61,7 +61,7 @@
     /// Time in which it should be decided.
     pub limit: Duration,
     /// When it was written; a later one for the service replaces it.
-    pub place: Place,
+    pub place: Position,
 }
 
 /// How far an upgrade is.
@@ -125,7 +125,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Told {
     service: id::Service,
-    place: Place,
+    place: Position,
     stage: Stage,
     /// Time since the order was first known.
     age: Millis,
--- a/coltsfoothall/tests/forward_gossip.rs
+++ b/coltsfoothall/tests/forward_gossip.rs
@@ -7,7 +7,7 @@
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::choice::Settings;
 use coltsfoothall::forward::gossip::Count;
-use coltsfoothall::forward::history::{Era, Place};
+use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::{Entry, Load};
 use coltsfoothall::forward::roster::Roster;
 use coltsfoothall::id;
@@ -22,9 +22,9 @@
     format!("e-{number:04}").parse().unwrap()
 }
 
-fn place(revision: u64) -> Place {
+fn place(revision: u64) -> Position {
     let era = Era(0);
-    Place { era, revision }
+    Position { era, revision }
 }
 
 fn entry(number: usize, born: u64, revision: u64) -> Entry {
--- a/coltsfoothall/tests/forward_history.rs
+++ b/coltsfoothall/tests/forward_history.rs
@@ -1,10 +1,10 @@
 //! Places in a store's history, and the fences made from them.
 
-use coltsfoothall::forward::history::{Era, Eras, Fence, Place};
+use coltsfoothall::forward::history::{Era, Eras, Fence, Position};
 use proptest::prelude::*;
 
-fn place() -> impl Strategy<Value = Place> {
-    (0..8_000_u64, 0..1_u64 << 40).prop_map(|(era, revision)| Place {
+fn place() -> impl Strategy<Value = Position> {
+    (0..8_000_u64, 0..1_u64 << 40).prop_map(|(era, revision)| Position {
         era: Era(era),
         revision,
     })
@@ -35,7 +35,7 @@
 
 #[test]
 fn one_copy_alone() {
-    let place = Place {
+    let place = Position {
         era: Era(0),
         revision: 77,
     };
--- a/coltsfoothall/tests/forward_leader.rs
+++ b/coltsfoothall/tests/forward_leader.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::history::{Era, Fence, Lease, Place};
+use coltsfoothall::forward::history::{Era, Fence, Lease, Position};
 use coltsfoothall::forward::leader::{Leader, Step};
 
 const TERM: Duration = Duration::from_secs(3);
@@ -12,9 +12,9 @@
     Time::START + Duration::from_millis(millis)
 }
 
-fn place(revision: u64) -> Place {
+fn place(revision: u64) -> Position {
     let era = Era(1);
-    Place { era, revision }
+    Position { era, revision }
 }
 
 fn lease(id: u64) -> Lease {
@@ -110,7 +110,7 @@
     leader.freed(at(200));
     assert_eq!(leader.step(at(200), 0), Step::Claim);
     let (era, lower) = (Era(2), 13);
-    let created = Place {
+    let created = Position {
         era,
         revision: lower,
     };
@@ -122,7 +122,7 @@
 #[test]
 fn claim_over_rise() {
     let mut leader = Leader::new(TERM);
-    let created = Place {
+    let created = Position {
         era: Era(2),
         revision: 3,
     };
--- a/coltsfoothall/tests/forward_parts.rs
+++ b/coltsfoothall/tests/forward_parts.rs
@@ -6,7 +6,7 @@
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::choice::{Ask, Part, Settings};
-use coltsfoothall::forward::history::{Era, Place};
+use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::forward::roster::{End, Roster};
 use coltsfoothall::forward::upgrade::Versions;
@@ -30,9 +30,9 @@
     format!("e{number}").parse().unwrap()
 }
 
-fn place(revision: u64) -> Place {
+fn place(revision: u64) -> Position {
     let era = Era(0);
-    Place { era, revision }
+    Position { era, revision }
 }
 
 fn entry(number: u64, revision: u64) -> Entry {
--- a/coltsfoothall/tests/forward_roster.rs
+++ b/coltsfoothall/tests/forward_roster.rs
@@ -7,7 +7,7 @@
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::choice::{Ask, Nobody, Part, Settings};
 use coltsfoothall::forward::gossip::Count;
-use coltsfoothall::forward::history::{Era, Place};
+use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::{Entry, Load};
 use coltsfoothall::forward::roster::{End, Ended, Event, Roster};
 use coltsfoothall::forward::upgrade::Versions;
@@ -23,9 +23,9 @@
     name.parse().unwrap()
 }
 
-fn place(revision: u64) -> Place {
+fn place(revision: u64) -> Position {
     let era = Era(0);
-    Place { era, revision }
+    Position { era, revision }
 }
 
 fn entry(name: &str, domain: &str, revision: u64) -> Entry {
@@ -556,7 +556,7 @@
     let mut roster = roster(&[]);
     roster.registered(at(0), entry("a", "north", 90));
     let again = |era, revision| Entry {
-        place: Place {
+        place: Position {
             era: Era(era),
             revision,
         },
@@ -578,7 +578,7 @@
         !roster.node(&id("a")).unwrap().entry.leaving,
         "written since"
     );
-    let gone = Place {
+    let gone = Position {
         era: Era(1),
         revision: 42,
     };
--- a/coltsfoothall/tests/forward_upgrade.rs
+++ b/coltsfoothall/tests/forward_upgrade.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::history::{Era, Place};
+use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::upgrade::{Book, Order, Settings, Stage, Told, Versions, View};
 use coltsfoothall::id;
 use rand::rngs::StdRng;
@@ -49,9 +49,9 @@
     version("v2")
 }
 
-fn place(revision: u64) -> Place {
+fn place(revision: u64) -> Position {
     let era = Era(1);
-    Place { era, revision }
+    Position { era, revision }
 }
 
 fn order(limit: u64, revision: u64) -> Order {
