--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -228,6 +228,6 @@
         .hear(now, boot, heartbeat.upgrades);
     for ended in &heartbeat.ended {
         let event = state.roster.borrow_mut().ended(ended);
-        state.note(event, ended.place, "peer");
+        state.note(event, ended.position, "peer");
     }
 }
--- a/coltsfoothall-forward/src/passed.rs
+++ b/coltsfoothall-forward/src/passed.rs
@@ -95,7 +95,7 @@
             place: item.place,
         };
         let says = Entry {
-            place: Position::default(),
+            position: Position::default(),
             ..entry.clone()
         };
         match self.find(&item.name) {
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -419,7 +419,10 @@
 
     fn tell(&self, id: id::Endpoint, place: Position) {
         let at = self.now();
-        let ended = Ended { id, place };
+        let ended = Ended {
+            id,
+            position: place,
+        };
         self.news.borrow_mut().push(News { ended, at });
     }
 
--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -39,7 +39,7 @@
         "service={service} target={} limit_ms={} place={}",
         order.target,
         order.limit.as_millis(),
-        order.place
+        order.position
     );
     let mut upgrades = state.upgrades.borrow_mut();
     if !upgrades.ordered(state.now(), order) {
@@ -58,7 +58,7 @@
 /// on trial again until who acts for all reads it.
 async fn settle(state: &State, order: &Order) {
     match state.border.report(&order.service).await {
-        Ok(Some((report, place))) if place > order.place => {
+        Ok(Some((report, place))) if place > order.position => {
             if let Some(stage) = settled(&report, order) {
                 let mut upgrades = state.upgrades.borrow_mut();
                 upgrades.settled(state.now(), &order.service, stage);
@@ -137,7 +137,7 @@
         let now = state.now();
         let line = self.line(state, order).await?;
         if let Some((report, place)) = &line.told
-            && *place > order.place
+            && *place > order.position
             && let Some(stage) = settled(report, order)
         {
             state
@@ -169,7 +169,7 @@
         let is_told = line
             .told
             .as_ref()
-            .is_some_and(|(told, place)| *told == report && *place > order.place);
+            .is_some_and(|(told, place)| *told == report && *place > order.position);
         if is_told || state.fence().is_none() {
             return Ok(());
         }
@@ -181,7 +181,7 @@
 
     /// What was told of an order, read at the store the first time.
     async fn line(&mut self, state: &State, order: &Order) -> Result<&mut Line, Error> {
-        let known = |line: &Line| line.service == order.service && line.order == order.place;
+        let known = |line: &Line| line.service == order.service && line.order == order.position;
         let place = match self.lines.iter().position(known) {
             Some(place) => place,
             None => {
@@ -189,7 +189,7 @@
                 self.lines.retain(|line| line.service != order.service);
                 self.lines.push(Line {
                     service: order.service.clone(),
-                    order: order.place,
+                    order: order.position,
                     told,
                 });
                 self.lines.len() - 1
--- a/coltsfoothall/benches/gossip.rs
+++ b/coltsfoothall/benches/gossip.rs
@@ -57,7 +57,7 @@
         leaving: false,
         leaves: None,
         reclaimable: true,
-        place: Position::default(),
+        position: Position::default(),
     }
 }
 
--- a/coltsfoothall/src/forward/node.rs
+++ b/coltsfoothall/src/forward/node.rs
@@ -51,7 +51,7 @@
     /// Whether it can be reclaimed.
     pub reclaimable: bool,
     /// When the registration was written.
-    pub place: Position,
+    pub position: Position,
 }
 
 /// Work open at an endpoint.
--- a/coltsfoothall/src/forward/roster.rs
+++ b/coltsfoothall/src/forward/roster.rs
@@ -63,7 +63,8 @@
     /// Its name.
     pub id: id::Endpoint,
     /// When; a later registration that does not leave is believed again.
-    pub place: Position,
+    #[serde(rename = "place")]
+    pub position: Position,
 }
 
 /// All endpoints.
@@ -125,9 +126,9 @@
     /// An endpoint registered, or its registration changed.
     pub fn registered(&mut self, now: Time, entry: Entry) -> Option<Event> {
         let id = entry.id.clone();
-        let leaving = entry.leaving || self.is_ended(&id, entry.place);
+        let leaving = entry.leaving || self.is_ended(&id, entry.position);
         if leaving {
-            self.note_ended(&id, entry.place);
+            self.note_ended(&id, entry.position);
         }
         let entry = Entry { leaving, ..entry };
         match self.place(&id) {
@@ -142,7 +143,7 @@
             }
             Ok(place) => {
                 let node = &mut self.nodes[place];
-                if entry.place < node.entry.place || entry.born < node.entry.born {
+                if entry.position < node.entry.position || entry.born < node.entry.born {
                     return None;
                 }
                 if entry.born > node.entry.born {
@@ -180,7 +181,7 @@
         let entry = Entry {
             leaving: true,
             leaves,
-            place: at,
+            position: at,
             ..node.entry.clone()
         };
         self.registered(now, entry)
@@ -188,13 +189,13 @@
 
     /// Another instance says that an endpoint left or was leaving.
     pub fn ended(&mut self, ended: &Ended) -> Option<Event> {
-        if self.is_ended(&ended.id, ended.place) {
+        if self.is_ended(&ended.id, ended.position) {
             return None;
         }
-        self.note_ended(&ended.id, ended.place);
+        self.note_ended(&ended.id, ended.position);
         let place = self.place(&ended.id).ok()?;
         let node = &mut self.nodes[place];
-        if node.entry.leaving || node.entry.place > ended.place {
+        if node.entry.leaving || node.entry.position > ended.position {
             return None;
         }
         node.entry.leaving = true;
@@ -205,7 +206,7 @@
     pub fn removed(&mut self, id: &id::Endpoint, at: Position) -> Option<Event> {
         self.note_ended(id, at);
         let place = self.place(id).ok()?;
-        if self.nodes[place].entry.place > at {
+        if self.nodes[place].entry.position > at {
             return None;
         }
         self.nodes.remove(place);
@@ -387,7 +388,7 @@
     /// Whether an endpoint was leaving or gone then or later.
     fn is_ended(&self, id: &id::Endpoint, at: Position) -> bool {
         let found = self.ended.binary_search_by(|ended| ended.id.cmp(id));
-        found.is_ok_and(|place| self.ended[place].place >= at)
+        found.is_ok_and(|place| self.ended[place].position >= at)
     }
 
     fn note_ended(&mut self, id: &id::Endpoint, at: Position) {
@@ -399,11 +400,11 @@
         match self.ended.binary_search_by(|ended| ended.id.cmp(id)) {
             Ok(place) => {
                 let ended = &mut self.ended[place];
-                ended.place = ended.place.max(at);
+                ended.position = ended.position.max(at);
             }
             Err(place) => {
                 let id = id.clone();
-                self.ended.insert(place, Ended { id, place: at });
+                self.ended.insert(place, Ended { id, position: at });
             }
         }
     }
--- a/coltsfoothall/src/forward/upgrade.rs
+++ b/coltsfoothall/src/forward/upgrade.rs
@@ -61,7 +61,7 @@
     /// Time in which it should be decided.
     pub limit: Duration,
     /// When it was written; a later one for the service replaces it.
-    pub place: Position,
+    pub position: Position,
 }
 
 /// How far an upgrade is.
@@ -125,7 +125,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Told {
     service: id::Service,
-    place: Position,
+    #[serde(rename = "place")]
+    position: Position,
     stage: Stage,
     /// Time since the order was first known.
     age: Millis,
@@ -225,7 +226,7 @@
             order,
         };
         match self.find(&upgrade.order.service) {
-            Ok(place) if upgrade.order.place <= self.upgrades[place].order.place => false,
+            Ok(place) if upgrade.order.position <= self.upgrades[place].order.position => false,
             Ok(place) => {
                 self.upgrades[place] = upgrade;
                 true
@@ -342,7 +343,7 @@
             let tallies = had.tallies.iter().filter(|_lane| !had.stage.is_final());
             Told {
                 service: had.order.service.clone(),
-                place: had.order.place,
+                position: had.order.position,
                 stage: had.stage,
                 age: Millis::from(now.since(had.since)),
                 answers: tallies
@@ -361,7 +362,7 @@
                 continue;
             };
             let upgrade = &mut self.upgrades[place];
-            if upgrade.order.place != told.place {
+            if upgrade.order.position != told.position {
                 continue;
             }
             upgrade.since = upgrade.since.min(now - told.age.duration());
--- a/coltsfoothall/tests/forward_gossip.rs
+++ b/coltsfoothall/tests/forward_gossip.rs
@@ -39,7 +39,7 @@
         leaving: false,
         leaves: None,
         reclaimable: false,
-        place: place(revision),
+        position: place(revision),
     }
 }
 
--- a/coltsfoothall/tests/forward_parts.rs
+++ b/coltsfoothall/tests/forward_parts.rs
@@ -47,7 +47,7 @@
         leaving: false,
         leaves: None,
         reclaimable: false,
-        place: place(revision),
+        position: place(revision),
     }
 }
 
--- a/coltsfoothall/tests/forward_roster.rs
+++ b/coltsfoothall/tests/forward_roster.rs
@@ -40,7 +40,7 @@
         leaving: false,
         leaves: None,
         reclaimable: false,
-        place: place(revision),
+        position: place(revision),
     }
 }
 
@@ -127,7 +127,7 @@
     let mut roster = roster(&[]);
     let ended = Ended {
         id: id("a"),
-        place: place(5),
+        position: place(5),
     };
     assert_eq!(roster.ended(&ended), None, "nothing is known of it yet");
     let event = roster.registered(at(0), entry("a", "north", 4));
@@ -367,7 +367,7 @@
             match kind {
                 0 => drop(roster.registered(at(0), entry("a", "north", revision))),
                 1 => drop(roster.registered(at(0), leaving("a", revision))),
-                _ => drop(roster.ended(&Ended { id: id("a"), place: place(revision) })),
+                _ => drop(roster.ended(&Ended { id: id("a"), position: place(revision) })),
             }
         }
         let works = roster.choose(at(0), &Case::new().ask(&[])).is_ok();
@@ -536,7 +536,7 @@
                 4 => drop(roster.hear(at(0), 7, &[said(1_000, 5)])),
                 5 => drop(roster.hear(at(0), 8, &[said(2_000, 2)])),
                 6 => roster.hear_failures(at(0), 7, &[failed(1_000)]),
-                _ => drop(roster.ended(&Ended { id: id("a"), place: place(2) })),
+                _ => drop(roster.ended(&Ended { id: id("a"), position: place(2) })),
             }
         }
         // Heartbeats hold all that their sender says, and the next one follows soon.
@@ -556,7 +556,7 @@
     let mut roster = roster(&[]);
     roster.registered(at(0), entry("a", "north", 90));
     let again = |era, revision| Entry {
-        place: Position {
+        position: Position {
             era: Era(era),
             revision,
         },
@@ -564,7 +564,7 @@
     };
     let ended = Ended {
         id: id("a"),
-        place: place(95),
+        position: place(95),
     };
     assert_eq!(roster.ended(&ended), Some(Event::Leaving(id("a"))));
     assert_eq!(
--- a/coltsfoothall/tests/forward_upgrade.rs
+++ b/coltsfoothall/tests/forward_upgrade.rs
@@ -59,7 +59,7 @@
         service: service(),
         target: version("v2"),
         limit: Duration::from_secs(limit),
-        place: place(revision),
+        position: place(revision),
     }
 }
 
