--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::choice::{Ask, Pick};
+use coltsfoothall::forward::choice::{Pick, Query};
 use coltsfoothall::forward::roster::{End, Run};
 use coltsfoothall::forward::table::Route;
 use coltsfoothall::forward::upgrade::Versions;
@@ -56,9 +56,9 @@
         domain: &'a id::Domain,
         exclude: &'a [id::Endpoint],
         versions: &'a Versions,
-    ) -> Ask<'a> {
+    ) -> Query<'a> {
         let (prompt, answer) = self.call.tokens.unwrap_or_default();
-        Ask {
+        Query {
             service: &self.service,
             parts: &self.call.parts,
             prompt,
@@ -94,7 +94,7 @@
 }
 
 impl Share {
-    fn new(state: &Rc<State>, pick: &Pick, ask: &Ask<'_>, job: &Job) -> Self {
+    fn new(state: &Rc<State>, pick: &Pick, ask: &Query<'_>, job: &Job) -> Self {
         let now = state.now();
         let run = state.roster.borrow_mut().began(now, pick, ask);
         let version = pick.version.as_ref();
--- a/coltsfoothall/benches/gossip.rs
+++ b/coltsfoothall/benches/gossip.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::choice::{Ask, Part, Settings};
+use coltsfoothall::forward::choice::{Part, Query, Settings};
 use coltsfoothall::forward::gossip::Count;
 use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::node::{Entry, Load};
@@ -145,7 +145,7 @@
         mark,
         tokens: Tokens(tokens),
     });
-    let ask = Ask {
+    let ask = Query {
         service: &service,
         parts: &parts,
         prompt: Tokens(5_600),
--- a/coltsfoothall/src/forward/choice.rs
+++ b/coltsfoothall/src/forward/choice.rs
@@ -70,7 +70,7 @@
 
 /// What a request asks of an endpoint.
 #[derive(Debug, Clone)]
-pub struct Ask<'a> {
+pub struct Query<'a> {
     /// Its service.
     pub service: &'a id::Service,
     /// Parts of its prompt in order; the last one is its own.
@@ -89,7 +89,7 @@
     pub versions: &'a Versions,
 }
 
-impl Ask<'_> {
+impl Query<'_> {
     /// Whether an endpoint is of those that may run it.
     fn allows(&self, node: &Node) -> bool {
         let entry = &node.entry;
@@ -134,28 +134,28 @@
     ///
     /// # Errors
     /// Says whether there is none, all are full, or the request fits in none.
-    pub fn choose(&self, now: Time, ask: &Ask<'_>) -> Result<Pick, Nobody> {
-        let needed = ask.prompt.plus(ask.answer);
-        if ask.memory.is_some_and(|memory| needed > memory) {
+    pub fn choose(&self, now: Time, query: &Query<'_>) -> Result<Pick, Nobody> {
+        let needed = query.prompt.plus(query.answer);
+        if query.memory.is_some_and(|memory| needed > memory) {
             return Err(Nobody::Large);
         }
-        let chains: Vec<u64> = chains(ask.parts).collect();
-        let part = shared(ask, &chains);
-        let home = self.home(now, ask, part);
-        let pace = self.pace(ask.service);
+        let chains: Vec<u64> = chains(query.parts).collect();
+        let part = shared(query, &chains);
+        let home = self.home(now, query, part);
+        let pace = self.pace(query.service);
         let mut nobody = Nobody::Absent;
         let mut best: Option<(&Node, Weighed)> = None;
         let mut among = 0;
         for node in &self.nodes {
-            if !ask.allows(node) || ask.exclude.contains(&node.entry.id) {
+            if !query.allows(node) || query.exclude.contains(&node.entry.id) {
                 continue;
             }
-            if self.is_full(now, node, ask) {
+            if self.is_full(now, node, query) {
                 nobody = Nobody::Full;
                 continue;
             }
             among += 1;
-            let weighed = self.weigh(now, node, ask, &chains, pace);
+            let weighed = self.weigh(now, node, query, &chains, pace);
             let kept = part.filter(|part| home.is(node, part.chain));
             // Reading the part elsewhere takes time now, and again when it is asked there.
             let saved = kept.map_or(0.0, |part| pace.reading(part.tokens.0, 0));
@@ -179,12 +179,12 @@
     /// Where all instances look first for the longest part that others share: where it was
     /// sent lately, by whichever instance. A part that is nowhere has the first endpoint of
     /// its rendezvous hash, so that it is read once and not once each.
-    fn home(&self, now: Time, ask: &Ask<'_>, part: Option<Shared>) -> Home<'_> {
+    fn home(&self, now: Time, query: &Query<'_>, part: Option<Shared>) -> Home<'_> {
         let Some(Shared { chain, .. }) = part else {
             return Home::Nowhere;
         };
         let oldest = now - self.settings.keep;
-        let nodes = || self.nodes.iter().filter(|node| ask.allows(node));
+        let nodes = || self.nodes.iter().filter(|node| query.allows(node));
         if nodes().any(|node| node.knows(chain, oldest)) {
             return Home::Held(oldest);
         }
@@ -195,12 +195,16 @@
         first.map_or(Home::Nowhere, |node| Home::First(&node.entry.id))
     }
 
-    fn is_full(&self, now: Time, node: &Node, ask: &Ask<'_>) -> bool {
+    fn is_full(&self, now: Time, node: &Node, query: &Query<'_>) -> bool {
         let load = node.load();
         let slots = f64::from(node.entry.slots.max(1));
-        match ask.memory {
+        match query.memory {
             Some(memory) => {
-                let needed = ask.prompt.plus(ask.answer).0.saturating_add(load.memory);
+                let needed = query
+                    .prompt
+                    .plus(query.answer)
+                    .0
+                    .saturating_add(load.memory);
                 f64::from(load.open) >= slots * self.settings.fill
                     || (load.open > 0 && needed as f64 > memory.0 as f64 * self.settings.fill)
             }
@@ -209,24 +213,31 @@
         }
     }
 
-    fn weigh(&self, now: Time, node: &Node, ask: &Ask<'_>, chains: &[u64], pace: &Pace) -> Weighed {
+    fn weigh(
+        &self,
+        now: Time,
+        node: &Node,
+        query: &Query<'_>,
+        chains: &[u64],
+        pace: &Pace,
+    ) -> Weighed {
         let settings = &self.settings;
         let load = node.load();
-        let known = self.known(now, node, ask, chains);
-        let unread = ask.prompt.minus(known);
+        let known = self.known(now, node, query, chains);
+        let unread = query.prompt.minus(known);
         let sample = Sample {
             tokens: load.unread.saturating_add(unread.0),
-            pairs: load.pairs.saturating_add(pairs(ask.prompt, unread)),
+            pairs: load.pairs.saturating_add(pairs(query.prompt, unread)),
             open: load.open,
         };
-        let work = if ask.memory.is_some() {
+        let work = if query.memory.is_some() {
             pace.wait(sample).as_micros() as f64
         } else {
             let queued = f64::from(load.open) / f64::from(node.entry.slots.max(1));
             settings.work * (1.0 + queued * queued)
         };
         let wait = work * node.slowness + 4_000.0;
-        let hop = if node.entry.domain == *ask.domain {
+        let hop = if node.entry.domain == *query.domain {
             0.0
         } else {
             settings.hop
@@ -252,16 +263,16 @@
     }
 
     /// Tokens at the start of the prompt that the endpoint read lately.
-    fn known(&self, now: Time, node: &Node, ask: &Ask<'_>, chains: &[u64]) -> Tokens {
+    fn known(&self, now: Time, node: &Node, query: &Query<'_>, chains: &[u64]) -> Tokens {
         let oldest = now - self.settings.keep;
         let mut known = Tokens(0);
-        for (part, chain) in ask.parts.iter().zip(chains) {
+        for (part, chain) in query.parts.iter().zip(chains) {
             if !node.knows(*chain, oldest) {
                 break;
             }
             known = known.plus(part.tokens);
         }
-        known.min(ask.prompt)
+        known.min(query.prompt)
     }
 }
 
@@ -286,10 +297,10 @@
 }
 
 /// All parts but the last one, which is the request's own.
-fn shared(ask: &Ask<'_>, chains: &[u64]) -> Option<Shared> {
-    let count = ask.parts.len().checked_sub(1)?;
+fn shared(query: &Query<'_>, chains: &[u64]) -> Option<Shared> {
+    let count = query.parts.len().checked_sub(1)?;
     let chain = *chains[..count].last()?;
-    let tokens = ask.parts[..count].iter().map(|part| part.tokens.0).sum();
+    let tokens = query.parts[..count].iter().map(|part| part.tokens.0).sum();
     Some(Shared {
         chain,
         tokens: Tokens(tokens),
--- a/coltsfoothall/src/forward/roster.rs
+++ b/coltsfoothall/src/forward/roster.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Time;
-use crate::forward::choice::{Ask, Pick, Settings, chains, pairs};
+use crate::forward::choice::{Pick, Query, Settings, chains, pairs};
 use crate::forward::gossip::{PLACED_AGAIN, Placed, Told};
 use crate::forward::history::Position;
 use crate::forward::node::{Entry, Listing, Load, NEWEST, Node, Open, SLOWNESS, SUCCESS};
@@ -240,18 +240,18 @@
     }
 
     /// A request goes to the picked endpoint.
-    pub fn began(&mut self, now: Time, pick: &Pick, ask: &Ask<'_>) -> Run {
+    pub fn began(&mut self, now: Time, pick: &Pick, query: &Query<'_>) -> Run {
         self.runs += 1;
         let load = Load {
             open: 1,
             unread: pick.unread.0,
-            pairs: pairs(ask.prompt, pick.unread),
-            memory: ask.prompt.plus(ask.answer).0,
+            pairs: pairs(query.prompt, pick.unread),
+            memory: query.prompt.plus(query.answer).0,
         };
         let number = self.runs;
-        if ask.memory.is_some() {
-            let work = self.pace(ask.service).reading(load.unread, load.pairs);
-            self.note_work(ask.service, work as u64);
+        if query.memory.is_some() {
+            let work = self.pace(query.service).reading(load.unread, load.pairs);
+            self.note_work(query.service, work as u64);
         }
         let mut born = Millis(0);
         let mut placed = Vec::new();
@@ -264,8 +264,8 @@
                 began: now,
                 expected: pick.wait,
             });
-            let shared = ask.parts.len().saturating_sub(1);
-            for (place, chain) in chains(ask.parts).enumerate() {
+            let shared = query.parts.len().saturating_sub(1);
+            for (place, chain) in chains(query.parts).enumerate() {
                 let is_news = !node.knows(chain, now - PLACED_AGAIN);
                 node.remember(chain, now);
                 if is_news && place < shared {
@@ -276,12 +276,12 @@
         let run = Run {
             endpoint: pick.endpoint.clone(),
             born,
-            service: ask.service.clone(),
+            service: query.service.clone(),
             load,
             number,
             began: now,
             expected: pick.wait,
-            sample: ask.memory.map(|_engine| pick.sample),
+            sample: query.memory.map(|_engine| pick.sample),
             first: false,
         };
         self.note_placed(now, &run, &placed);
--- a/coltsfoothall/tests/forward_parts.rs
+++ b/coltsfoothall/tests/forward_parts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::choice::{Ask, Part, Settings};
+use coltsfoothall::forward::choice::{Part, Query, Settings};
 use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::forward::roster::{End, Roster};
@@ -105,7 +105,7 @@
     fn ask(&mut self, now: u64, mark: u64, random: &mut Pcg64Mcg) {
         let (service, domain) = ("reader".parse().unwrap(), "north".parse().unwrap());
         let parts = parts(mark, random.random());
-        let ask = Ask {
+        let ask = Query {
             service: &service,
             parts: &parts,
             prompt: Tokens(5_100),
--- a/coltsfoothall/tests/forward_roster.rs
+++ b/coltsfoothall/tests/forward_roster.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::choice::{Ask, Nobody, Part, Settings};
+use coltsfoothall::forward::choice::{Nobody, Part, Query, Settings};
 use coltsfoothall::forward::gossip::Count;
 use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::{Entry, Load};
@@ -79,9 +79,9 @@
         }
     }
 
-    fn ask<'a>(&'a self, exclude: &'a [id::Endpoint]) -> Ask<'a> {
+    fn ask<'a>(&'a self, exclude: &'a [id::Endpoint]) -> Query<'a> {
         let prompt: u64 = self.parts.iter().map(|part| part.tokens.0).sum();
-        Ask {
+        Query {
             service: &self.service,
             parts: &self.parts,
             prompt: Tokens(prompt.max(100)),
@@ -230,14 +230,14 @@
     let case = Case::new();
     let roster = roster(&["a", "b"]);
     for (prompt, answer) in [(u64::MAX, u64::MAX), (100_000, 1), (1, 100_000)] {
-        let ask = Ask {
+        let ask = Query {
             prompt: Tokens(prompt),
             answer: Tokens(answer),
             ..case.ask(&[])
         };
         assert_eq!(roster.choose(at(0), &ask), Err(Nobody::Large));
     }
-    let whole = Ask {
+    let whole = Query {
         prompt: Tokens(99_900),
         ..case.ask(&[])
     };
@@ -618,7 +618,7 @@
         roster.registered(at(0), entry);
     }
     let among = |versions: &Versions| {
-        let ask = Ask {
+        let ask = Query {
             versions,
             ..case.ask(&[])
         };
