--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coltsfoothall::forward::choice::{Nobody, Pick};
+use coltsfoothall::forward::choice::{Pick, Unavailable};
 use coltsfoothall::forward::roster::End;
 use coltsfoothall::id;
 use coltsfoothall_shell::event;
@@ -74,13 +74,13 @@
 }
 
 /// Chooses an endpoint of the versions that may run the request now, the preferred ones first.
-fn choose(state: &State, job: &Job, exclude: &[id::Endpoint]) -> Result<Pick, Nobody> {
+fn choose(state: &State, job: &Job, exclude: &[id::Endpoint]) -> Result<Pick, Unavailable> {
     let versions = {
         let upgrades = state.upgrades.borrow();
         upgrades.versions(&job.service, &job.route.name)
     };
     let roster = state.roster.borrow();
-    let mut found = Err(Nobody::Absent);
+    let mut found = Err(Unavailable::Absent);
     for versions in &versions {
         found = roster.choose(state.now(), &job.ask(&state.domain, exclude, versions));
         if found.is_ok() {
@@ -154,9 +154,11 @@
             }
             Ok(pick) => pick,
             Err(_) if trail.runs > 0 => return Err(broken("no other endpoint")),
-            Err(Nobody::Full) => return Err(full("all endpoints are full", AGAIN)),
-            Err(Nobody::Absent) => return Err(full("no endpoint", ABSENT)),
-            Err(Nobody::Large) => return Err(full("larger than an engine's memory", NEVER_FITS)),
+            Err(Unavailable::Full) => return Err(full("all endpoints are full", AGAIN)),
+            Err(Unavailable::Absent) => return Err(full("no endpoint", ABSENT)),
+            Err(Unavailable::Large) => {
+                return Err(full("larger than an engine's memory", NEVER_FITS));
+            }
         };
         if trail.sendings == 0 {
             state.count_sent(&job.service);
--- a/coltsfoothall/src/forward/choice.rs
+++ b/coltsfoothall/src/forward/choice.rs
@@ -120,7 +120,7 @@
 
 /// Why no endpoint was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Nobody {
+pub enum Unavailable {
     /// The service has no endpoint that takes work.
     Absent,
     /// All are full.
@@ -134,16 +134,16 @@
     ///
     /// # Errors
     /// Says whether there is none, all are full, or the request fits in none.
-    pub fn choose(&self, now: Time, query: &Query<'_>) -> Result<Pick, Nobody> {
+    pub fn choose(&self, now: Time, query: &Query<'_>) -> Result<Pick, Unavailable> {
         let needed = query.prompt.plus(query.answer);
         if query.memory.is_some_and(|memory| needed > memory) {
-            return Err(Nobody::Large);
+            return Err(Unavailable::Large);
         }
         let chains: Vec<u64> = chains(query.parts).collect();
         let part = shared(query, &chains);
         let home = self.home(now, query, part);
         let pace = self.pace(query.service);
-        let mut nobody = Nobody::Absent;
+        let mut unavailable = Unavailable::Absent;
         let mut best: Option<(&Node, Weighed)> = None;
         let mut among = 0;
         for node in &self.nodes {
@@ -151,7 +151,7 @@
                 continue;
             }
             if self.is_full(now, node, query) {
-                nobody = Nobody::Full;
+                unavailable = Unavailable::Full;
                 continue;
             }
             among += 1;
@@ -164,7 +164,7 @@
                 best = Some((node, Weighed { cost, ..weighed }));
             }
         }
-        let (node, weighed) = best.ok_or(nobody)?;
+        let (node, weighed) = best.ok_or(unavailable)?;
         Ok(Pick {
             endpoint: node.entry.id.clone(),
             address: node.entry.address,
--- a/coltsfoothall/tests/forward_roster.rs
+++ b/coltsfoothall/tests/forward_roster.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::choice::{Nobody, Part, Query, Settings};
+use coltsfoothall::forward::choice::{Part, Query, Settings, Unavailable};
 use coltsfoothall::forward::gossip::Count;
 use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::{Entry, Load};
@@ -99,13 +99,13 @@
     let case = Case::new();
     assert_eq!(
         roster(&[]).choose(at(0), &case.ask(&[])),
-        Err(Nobody::Absent)
+        Err(Unavailable::Absent)
     );
     let roster = roster(&["a"]);
     let exclude = [id("a")];
     assert_eq!(
         roster.choose(at(0), &case.ask(&exclude)),
-        Err(Nobody::Absent)
+        Err(Unavailable::Absent)
     );
 }
 
@@ -142,7 +142,10 @@
         roster.removed(&id("a"), place(7)),
         Some(Event::Gone(id("a")))
     );
-    assert_eq!(roster.choose(at(0), &case.ask(&[])), Err(Nobody::Absent));
+    assert_eq!(
+        roster.choose(at(0), &case.ask(&[])),
+        Err(Unavailable::Absent)
+    );
     assert_eq!(
         roster.registered(at(1), entry("a", "north", 9)),
         Some(Event::Added(id("a")))
@@ -215,7 +218,7 @@
         match roster.choose(at(0), &ask) {
             Ok(pick) => runs.push(roster.began(at(0), &pick, &ask)),
             Err(nobody) => {
-                assert_eq!(nobody, Nobody::Full);
+                assert_eq!(nobody, Unavailable::Full);
                 break;
             }
         }
@@ -235,7 +238,7 @@
             answer: Tokens(answer),
             ..case.ask(&[])
         };
-        assert_eq!(roster.choose(at(0), &ask), Err(Nobody::Large));
+        assert_eq!(roster.choose(at(0), &ask), Err(Unavailable::Large));
     }
     let whole = Query {
         prompt: Tokens(99_900),
@@ -628,5 +631,5 @@
     assert_eq!(among(&Versions::Only(new.clone())), Ok(1));
     assert_eq!(among(&Versions::Without(new)), Ok(2));
     let unknown = "v9".parse().unwrap();
-    assert_eq!(among(&Versions::Only(unknown)), Err(Nobody::Absent));
+    assert_eq!(among(&Versions::Only(unknown)), Err(Unavailable::Absent));
 }
