--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -7,11 +7,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coltsfoothall::forward::allowance::Spent;
 use coltsfoothall::forward::gossip::Count as Counted;
 use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::Load;
 use coltsfoothall::forward::peer::{Profile, TOGETHER};
+use coltsfoothall::forward::rate_limit::Spent;
 use coltsfoothall::forward::roster::Ended;
 use coltsfoothall::forward::upgrade::Told;
 use coltsfoothall::forward::usage::Count;
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::allowance::{self, Reach};
 use coltsfoothall::forward::choice;
 use coltsfoothall::forward::duration;
 use coltsfoothall::forward::history::{Era, Fence, Position};
 use coltsfoothall::forward::leader::Leader;
 use coltsfoothall::forward::order::{self, Meter};
 use coltsfoothall::forward::peer::{self, Peers, Profile};
+use coltsfoothall::forward::rate_limit::{self, Coverage};
 use coltsfoothall::forward::roster::{End, Ended, Event, Roster};
 use coltsfoothall::forward::stop::Stop;
 use coltsfoothall::forward::table::Route;
@@ -97,7 +97,7 @@
     /// Connections to endpoints.
     pub pool: RefCell<Pool>,
     /// Rates of workspaces.
-    pub allowance: RefCell<allowance::Book>,
+    pub allowance: RefCell<rate_limit::Limiter>,
     /// How long answers take.
     pub durations: RefCell<duration::Table>,
     /// Services that move to another version.
@@ -267,7 +267,7 @@
 
     /// Members that share the rates.
     #[must_use]
-    pub fn reach(&self) -> Reach {
+    pub fn reach(&self) -> Coverage {
         self.peers.borrow().reach(self.now())
     }
 
--- a/coltsfoothall/src/forward/mod.rs
+++ b/coltsfoothall/src/forward/mod.rs
@@ -4,7 +4,6 @@
 //! the connection that brought it. Instances agree through an external store and
 //! tell each other what ages too fast for it.
 
-pub mod allowance;
 pub mod choice;
 pub mod duration;
 pub mod gossip;
@@ -16,6 +15,7 @@
 pub mod outflow;
 pub mod pace;
 pub mod peer;
+pub mod rate_limit;
 pub mod reader;
 pub mod rest;
 pub mod roster;
--- a/coltsfoothall/src/forward/peer.rs
+++ b/coltsfoothall/src/forward/peer.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Time;
-use crate::forward::allowance::Reach;
+use crate::forward::rate_limit::Coverage;
 use crate::id;
 use crate::size::Megabits;
 use crate::turn;
@@ -235,9 +235,9 @@
 
     /// Members that share the rates, and those heard, this instance included.
     #[must_use]
-    pub fn reach(&self, now: Time) -> Reach {
+    pub fn reach(&self, now: Time) -> Coverage {
         let heard = self.peers.iter().filter(|peer| self.is_heard(now, peer));
-        Reach {
+        Coverage {
             members: self.peers.len() as u32 + 1,
             heard: heard.count() as u32 + 1,
         }
--- a/coltsfoothall/src/forward/allowance.rs
+++ b/coltsfoothall/src/forward/rate_limit.rs
@@ -24,14 +24,14 @@
 
 /// Members that share the rates, and those of them that are heard, this one included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reach {
+pub struct Coverage {
     /// Members that may grant.
     pub members: u32,
     /// Members whose grants are known.
     pub heard: u32,
 }
 
-impl Reach {
+impl Coverage {
     /// The part of a rate that this instance may treat as known to it.
     fn part(self) -> f64 {
         f64::from(self.heard.max(1)) / f64::from(self.members.max(self.heard).max(1))
@@ -83,7 +83,7 @@
 }
 
 impl Account {
-    fn advance(&mut self, now: Time, reach: Reach) {
+    fn advance(&mut self, now: Time, reach: Coverage) {
         let part = reach.part();
         let passed = now.since(self.at).as_secs_f64();
         self.level = (self.level + passed * self.rate * part).min(self.burst * part);
@@ -94,7 +94,7 @@
     /// Units that must be there before a request is granted. Small ones leave in the bucket
     /// what a large one needs, so that both are refused as often; else the small ones, which
     /// fit first, keep the bucket too low for the large ones for as long as they come.
-    fn needed(&mut self, units: u64, reach: Reach) -> f64 {
+    fn needed(&mut self, units: u64, reach: Coverage) -> f64 {
         let burst = self.burst * reach.part();
         self.largest = self.largest.max(units as f64);
         let kept = self.largest.min(burst * KEPT);
@@ -105,12 +105,12 @@
 
 /// What the workspaces may still be granted.
 #[derive(Debug, Clone, Default)]
-pub struct Book {
+pub struct Limiter {
     /// Sorted by workspace.
     accounts: Vec<Account>,
 }
 
-impl Book {
+impl Limiter {
     /// Takes over the limits of a configuration; what was granted before still counts.
     pub fn configure(&mut self, now: Time, workspaces: &[Workspace]) {
         let old = std::mem::take(&mut self.accounts);
@@ -144,7 +144,7 @@
         now: Time,
         workspace: &id::Workspace,
         tokens: Option<Tokens>,
-        reach: Reach,
+        reach: Coverage,
     ) -> Result<(), Shortage> {
         let Some(account) = self.account(workspace) else {
             return Ok(());
--- a/coltsfoothall/tests/forward_peer.rs
+++ b/coltsfoothall/tests/forward_peer.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::allowance::Reach;
 use coltsfoothall::forward::peer::{Peers, Profile, Settings, TOGETHER};
+use coltsfoothall::forward::rate_limit::Coverage;
 use coltsfoothall::size::Megabits;
 use coltsfoothall::turn;
 
@@ -85,7 +85,7 @@
     let mut peers = peers();
     peers.registered(profile(2, 1, "north"));
     peers.heard(at(0), profile(3, 1, "north"));
-    let reach = |heard| Reach { members: 3, heard };
+    let reach = |heard| Coverage { members: 3, heard };
     assert_eq!(peers.reach(at(0)), reach(2));
     assert_eq!(peers.reach(at(2_000)), reach(1));
     assert_eq!(peers.expire(at(5_000)), [1], "neither registered nor heard");
--- a/coltsfoothall/tests/forward_rate.rs
+++ b/coltsfoothall/tests/forward_rate.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::allowance::{Book, Reach};
+use coltsfoothall::forward::rate_limit::{Coverage, Limiter};
 use coltsfoothall::forward::table::{Unit, Workspace};
 use coltsfoothall::id;
 use coltsfoothall::size::Tokens;
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const ALONE: Reach = Reach {
+const ALONE: Coverage = Coverage {
     members: 1,
     heard: 1,
 };
@@ -38,8 +38,8 @@
     }
 }
 
-fn book(rate: f64, burst: f64) -> Book {
-    let mut book = Book::default();
+fn book(rate: f64, burst: f64) -> Limiter {
+    let mut book = Limiter::default();
     book.configure(at(0), &[workspace(rate, burst)]);
     book
 }
@@ -47,7 +47,7 @@
 #[test]
 fn burst_then_rate() {
     let mut book = book(1_000.0, 500.0);
-    let take = |book: &mut Book, now| book.take(now, &name(), Some(Tokens(100)), ALONE).is_ok();
+    let take = |book: &mut Limiter, now| book.take(now, &name(), Some(Tokens(100)), ALONE).is_ok();
     let first = (0..10).filter(|_| take(&mut book, at(0))).count();
     assert_eq!(first, 5);
     let later = (0..10).filter(|n| take(&mut book, at(n * 100))).count();
@@ -117,7 +117,7 @@
 #[test]
 fn unheard_gives_up() {
     let mut book = book(900.0, 900.0);
-    let reach = Reach {
+    let reach = Coverage {
         members: 9,
         heard: 1,
     };
@@ -136,7 +136,7 @@
 fn heard_counts_once() {
     let mut one = book(1_000.0, 1_000.0);
     let mut two = book(1_000.0, 1_000.0);
-    let reach = Reach {
+    let reach = Coverage {
         members: 2,
         heard: 2,
     };
@@ -153,7 +153,7 @@
 fn granted(seed: u64, count: usize, loss: f64, parted: bool) -> f64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let (rate, burst) = (10_000.0, 10_000.0);
-    let mut books: Vec<Book> = (0..count).map(|_| book(rate, burst)).collect();
+    let mut books: Vec<Limiter> = (0..count).map(|_| book(rate, burst)).collect();
     let mut heard = vec![vec![0_u64; count]; count];
     let mut granted = 0_u64;
     let span = 20_000;
@@ -173,7 +173,7 @@
         }
         let who = random.random_range(0..count);
         let alive = (0..count).filter(|other| *other != who && now < heard[who][*other] + 1_200);
-        let reach = Reach {
+        let reach = Coverage {
             members: count as u32,
             heard: alive.count() as u32 + 1,
         };
