--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -11,7 +11,7 @@
 use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::Load;
 use coltsfoothall::forward::peer::{Profile, TOGETHER};
-use coltsfoothall::forward::rate_limit::Spent;
+use coltsfoothall::forward::rate_limit::Granted;
 use coltsfoothall::forward::roster::Ended;
 use coltsfoothall::forward::upgrade::Told;
 use coltsfoothall::forward::usage::Count;
@@ -51,7 +51,7 @@
     profile: Profile,
     introduced: Vec<Profile>,
     loads: Vec<Counted<Load>>,
-    spent: Vec<Spent>,
+    spent: Vec<Granted>,
     counts: Vec<Count>,
     ended: Vec<Ended>,
     work: Vec<(id::Service, u64)>,
@@ -90,7 +90,7 @@
             profile: state.profile(),
             introduced,
             loads: state.roster.borrow().own(),
-            spent: state.allowance.borrow().spent(),
+            spent: state.allowance.borrow().granted(),
             counts: state.usage.borrow().own(window.saturating_sub(WINDOWS)),
             ended: turn::due(&state.news(), rows, round),
             work: state.roster.borrow().work().to_vec(),
@@ -219,7 +219,10 @@
         state.note(Some(event), Position::default(), "peer");
     }
     state.docket.borrow_mut().merge(now, &heartbeat.evidence);
-    state.allowance.borrow_mut().hear(boot, &heartbeat.spent);
+    state
+        .allowance
+        .borrow_mut()
+        .merge_granted(boot, &heartbeat.spent);
     state.usage.borrow_mut().hear(boot, &heartbeat.counts);
     state.hear_work(boot, &heartbeat.work);
     state
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -225,7 +225,7 @@
     Err(Refusal::NotRun(
         StatusCode::TOO_MANY_REQUESTS,
         "over the workspace's rate",
-        short.again,
+        short.retry_after,
     ))
 }
 
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -268,7 +268,7 @@
     /// Members that share the rates.
     #[must_use]
     pub fn reach(&self) -> Coverage {
-        self.peers.borrow().reach(self.now())
+        self.peers.borrow().coverage(self.now())
     }
 
     /// Time since 1970 as most instances have it.
--- a/coltsfoothall/src/forward/peer.rs
+++ b/coltsfoothall/src/forward/peer.rs
@@ -235,7 +235,7 @@
 
     /// Members that share the rates, and those heard, this instance included.
     #[must_use]
-    pub fn reach(&self, now: Time) -> Coverage {
+    pub fn coverage(&self, now: Time) -> Coverage {
         let heard = self.peers.iter().filter(|peer| self.is_heard(now, peer));
         Coverage {
             members: self.peers.len() as u32 + 1,
--- a/coltsfoothall/src/forward/rate_limit.rs
+++ b/coltsfoothall/src/forward/rate_limit.rs
@@ -40,7 +40,7 @@
 
 /// Units that an instance has granted to a workspace since its boot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spent {
+pub struct Granted {
     /// The workspace.
     pub workspace: id::Workspace,
     /// Units in all.
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Shortage {
     /// When its units will be there.
-    pub again: Duration,
+    pub retry_after: Duration,
     /// Units that it takes.
     pub units: u64,
     /// Units that were left.
@@ -158,7 +158,7 @@
         if account.rate > 0.0 && account.level < needed {
             let wait = (needed - account.level) / (account.rate * reach.part());
             return Err(Shortage {
-                again: Duration::from_secs_f64(wait.min(LONGEST.as_secs_f64())),
+                retry_after: Duration::from_secs_f64(wait.min(LONGEST.as_secs_f64())),
                 units,
                 level: account.level,
                 rate: account.rate,
@@ -170,7 +170,7 @@
     }
 
     /// Charges what another instance says it has granted since its boot.
-    pub fn hear(&mut self, boot: u64, spent: &[Spent]) {
+    pub fn merge_granted(&mut self, boot: u64, spent: &[Granted]) {
         for said in spent {
             let Some(account) = self.account(&said.workspace) else {
                 continue;
@@ -196,10 +196,10 @@
 
     /// What this instance has granted since its boot.
     #[must_use]
-    pub fn spent(&self) -> Vec<Spent> {
+    pub fn granted(&self) -> Vec<Granted> {
         let limited = self.accounts.iter().filter(|account| account.rate > 0.0);
         limited
-            .map(|account| Spent {
+            .map(|account| Granted {
                 workspace: account.workspace.clone(),
                 units: account.spent,
             })
--- a/coltsfoothall/tests/forward_peer.rs
+++ b/coltsfoothall/tests/forward_peer.rs
@@ -85,18 +85,18 @@
     let mut peers = peers();
     peers.registered(profile(2, 1, "north"));
     peers.heard(at(0), profile(3, 1, "north"));
-    let reach = |heard| Coverage { members: 3, heard };
-    assert_eq!(peers.reach(at(0)), reach(2));
-    assert_eq!(peers.reach(at(2_000)), reach(1));
+    let coverage = |heard| Coverage { members: 3, heard };
+    assert_eq!(peers.coverage(at(0)), coverage(2));
+    assert_eq!(peers.coverage(at(2_000)), coverage(1));
     assert_eq!(peers.expire(at(5_000)), [1], "neither registered nor heard");
     assert_eq!(
-        peers.reach(at(5_000)).members,
+        peers.coverage(at(5_000)).members,
         2,
         "a registered one may still grant"
     );
     peers.withdrawn(&"entry-2".parse().unwrap());
     peers.expire(at(5_000));
-    assert_eq!(peers.reach(at(5_000)).members, 1);
+    assert_eq!(peers.coverage(at(5_000)).members, 1);
 }
 
 #[test]
@@ -117,7 +117,7 @@
     let mut peers = peers();
     peers.introduced(at(0), profile(2, 1, "north"));
     assert_eq!(peers.addresses(), [front(2)], "it gets heartbeats");
-    assert_eq!(peers.reach(at(0)).heard, 1, "but is not heard");
+    assert_eq!(peers.coverage(at(0)).heard, 1, "but is not heard");
     peers.expire(at(5_000));
     assert!(peers.addresses().is_empty());
 }
--- a/coltsfoothall/tests/forward_rate.rs
+++ b/coltsfoothall/tests/forward_rate.rs
@@ -61,7 +61,7 @@
     let short = book
         .take(at(0), &name(), Some(Tokens(250)), ALONE)
         .unwrap_err();
-    assert_eq!(short.again, Duration::from_millis(250));
+    assert_eq!(short.retry_after, Duration::from_millis(250));
     assert!(
         book.take(at(250), &name(), Some(Tokens(250)), ALONE)
             .is_ok()
@@ -140,10 +140,10 @@
         members: 2,
         heard: 2,
     };
-    two.hear(1, &one.spent());
+    two.merge_granted(1, &one.granted());
     assert!(one.take(at(0), &name(), Some(Tokens(1_000)), reach).is_ok());
     for _ in 0..3 {
-        two.hear(1, &one.spent());
+        two.merge_granted(1, &one.granted());
     }
     assert!(two.take(at(0), &name(), Some(Tokens(100)), reach).is_err());
     assert!(two.take(at(100), &name(), Some(Tokens(100)), reach).is_ok());
@@ -162,10 +162,10 @@
         let together = |a: usize, b: usize| !cut || (a < count / 2) == (b < count / 2);
         if now % 100 == 0 {
             for from in 0..count {
-                let spent = books[from].spent();
+                let spent = books[from].granted();
                 for to in 0..count {
                     if from != to && together(from, to) && !random.random_bool(loss) {
-                        books[to].hear(from as u64, &spent);
+                        books[to].merge_granted(from as u64, &spent);
                         heard[to][from] = now;
                     }
                 }
