--- a/coltsfoothall-forward/src/adoption.rs
+++ b/coltsfoothall-forward/src/adoption.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
+use coltsfoothall::forward::egress;
 use coltsfoothall::forward::lag::Lag;
-use coltsfoothall::forward::outflow::Outflow;
 use coltsfoothall::forward::table::Table;
 use coltsfoothall_shell::event;
 use tokio::sync::Notify;
@@ -33,7 +33,7 @@
     /// Whether the store did not answer the last call for it.
     pub store_lost: Cell<bool>,
     /// What others were sent of it.
-    pub outflow: RefCell<Outflow>,
+    pub outflow: RefCell<egress::Limiter>,
 }
 
 impl State {
--- a/coltsfoothall/src/forward/outflow.rs
+++ b/coltsfoothall/src/forward/egress.rs
@@ -15,12 +15,12 @@
 
 /// Large answers of one instance.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Outflow {
+pub struct Limiter {
     /// When the answers accepted so far have been sent.
     free: Option<Time>,
 }
 
-impl Outflow {
+impl Limiter {
     /// Whether an answer of so many bytes may be sent now; if so it is counted.
     pub fn admit(&mut self, now: Time, bytes: usize) -> bool {
         let free = self.free.map_or(now, |free| free.max(now));
--- a/coltsfoothall/src/forward/mod.rs
+++ b/coltsfoothall/src/forward/mod.rs
@@ -6,13 +6,13 @@
 
 pub mod choice;
 pub mod duration;
+pub mod egress;
 pub mod gossip;
 pub mod history;
 pub mod lag;
 pub mod leader;
 pub mod node;
 pub mod order;
-pub mod outflow;
 pub mod pace;
 pub mod peer;
 pub mod rate_limit;
--- a/coltsfoothall/tests/forward_outflow.rs
+++ b/coltsfoothall/tests/forward_egress.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::outflow::Outflow;
+use coltsfoothall::forward::egress::Limiter;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 
@@ -22,11 +22,11 @@
 
 #[test]
 fn refused_while_busy() {
-    let mut outflow = Outflow::default();
+    let mut outflow = Limiter::default();
     let admitted = (0..20).filter(|_| outflow.admit(at(0), VALUE)).count();
     assert!((2..5).contains(&admitted), "{admitted} at once");
     assert!(outflow.admit(at(1_000), VALUE), "others later");
-    let mut large = Outflow::default();
+    let mut large = Limiter::default();
     assert!(large.admit(at(0), 16 << 20), "one of any size");
     assert!(!large.admit(at(1_000), 1));
 }
@@ -35,7 +35,7 @@
 /// what they accepted so many milliseconds later.
 fn spread(seed: u64, have: usize, carried: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let mut outflows = vec![Outflow::default(); FLEET];
+    let mut outflows = vec![Limiter::default(); FLEET];
     let mut since: Vec<Option<u64>> = vec![None; FLEET];
     since[..have].fill(Some(0));
     let mut now = 0;
