--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -5,7 +5,7 @@
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::peer::TOGETHER;
-use coltsfoothall::forward::rest;
+use coltsfoothall::forward::poll;
 use coltsfoothall::turn;
 use coltsfoothall_shell::event;
 
@@ -185,7 +185,7 @@
         }
         Realm::Live => {
             let rank = state.peers.borrow().rank(state.now());
-            rest::Settings::default().of(rank, state.fence().is_some())
+            poll::Settings::default().of(rank, state.fence().is_some())
         }
         Realm::Notes => Duration::ZERO,
     }
--- a/coltsfoothall/tests/forward_rest.rs
+++ b/coltsfoothall/tests/forward_poll.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfoothall::forward::rest::Settings;
+use coltsfoothall::forward::poll::Settings;
 
 /// Registrations change all the time, as in a rolling replacement, so each instance reads
 /// again as soon as its rest is over. Readings a second of a fleet of 195 and of 330.
