--- a/coltsfoothall-forward/src/adoption.rs
+++ b/coltsfoothall-forward/src/adoption.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
+use coltsfoothall::forward::config::Config;
 use coltsfoothall::forward::egress;
 use coltsfoothall::forward::lag::Lag;
-use coltsfoothall::forward::table::Table;
 use coltsfoothall_shell::event;
 use tokio::sync::Notify;
 
@@ -20,7 +20,7 @@
     /// Its bytes compressed, for instances that lack it; made when the first one asks.
     pub packed: Rc<OnceCell<Bytes>>,
     /// Indexed for requests.
-    pub table: Rc<Table>,
+    pub table: Rc<Config>,
 }
 
 /// What an instance remembers of configurations.
--- a/coltsfoothall-forward/src/border.rs
+++ b/coltsfoothall-forward/src/border.rs
@@ -5,10 +5,10 @@
 
 use bytes::Bytes;
 use coltsfoothall::forward::choice::Part;
+use coltsfoothall::forward::config::Config;
 use coltsfoothall::forward::history::{Era, Fence, Lease, Position};
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::forward::order::Order;
-use coltsfoothall::forward::table::Table;
 use coltsfoothall::forward::upgrade;
 use coltsfoothall::forward::usage::Count;
 use coltsfoothall::id;
@@ -204,7 +204,7 @@
     ///
     /// # Errors
     /// Names the field that is wrong.
-    fn table(&self, value: &[u8]) -> Result<Table, Error>;
+    fn table(&self, value: &[u8]) -> Result<Config, Error>;
     /// Whether the value of the operators under a name is the configuration.
     fn is_configuration(&self, name: &str) -> bool;
     /// Reads an order to move a service to another version; none if the value is no order.
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::table::{Route, Table};
+use coltsfoothall::forward::config::{Config, Route};
 use coltsfoothall::id;
 use coltsfoothall::suspicion::{Print, Verdict};
 use coltsfoothall_shell::event;
@@ -230,7 +230,7 @@
 }
 
 fn find<'a>(
-    table: &'a Table,
+    table: &'a Config,
     head: &http::request::Parts,
 ) -> Result<&'a std::sync::Arc<Route>, Refusal> {
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
@@ -243,7 +243,7 @@
 
 /// Whose request it is, and how urgent.
 fn identify(
-    table: &Table,
+    table: &Config,
     route: &Route,
     call: &Call,
 ) -> Result<(Option<id::Workspace>, u8), Refusal> {
--- a/coltsfoothall-forward/src/orders.rs
+++ b/coltsfoothall-forward/src/orders.rs
@@ -1,8 +1,8 @@
 //! Orders endpoints while this instance acts for all.
 
 use coltsfoothall::clock::Time;
+use coltsfoothall::forward::config::{Scaling, Service};
 use coltsfoothall::forward::order::{Book, Live, Load, Order, Settings};
-use coltsfoothall::forward::table::{Scaling, Service};
 use coltsfoothall::id;
 use coltsfoothall_shell::event;
 
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -9,6 +9,7 @@
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::choice;
+use coltsfoothall::forward::config::Route;
 use coltsfoothall::forward::duration;
 use coltsfoothall::forward::history::{Era, Fence, Position};
 use coltsfoothall::forward::leader::Leader;
@@ -17,7 +18,6 @@
 use coltsfoothall::forward::rate_limit::{self, Coverage};
 use coltsfoothall::forward::roster::{End, Ended, Event, Roster};
 use coltsfoothall::forward::stop::Stop;
-use coltsfoothall::forward::table::Route;
 use coltsfoothall::forward::upgrade;
 use coltsfoothall::forward::usage;
 use coltsfoothall::id;
--- a/coltsfoothall/src/forward/table.rs
+++ b/coltsfoothall/src/forward/config.rs
@@ -202,7 +202,7 @@
 
 /// One version of the configuration, indexed for requests.
 #[derive(Debug, Clone, Default)]
-pub struct Table {
+pub struct Config {
     /// Its version; only a higher one replaces it.
     pub version: u64,
     /// Limits on callers.
@@ -213,7 +213,7 @@
     keys: Vec<Key>,
 }
 
-impl Table {
+impl Config {
     /// Indexes a configuration.
     #[must_use]
     pub fn new(
--- a/coltsfoothall/src/forward/mod.rs
+++ b/coltsfoothall/src/forward/mod.rs
@@ -5,6 +5,7 @@
 //! tell each other what ages too fast for it.
 
 pub mod choice;
+pub mod config;
 pub mod duration;
 pub mod egress;
 pub mod gossip;
@@ -20,7 +21,6 @@
 pub mod reader;
 pub mod roster;
 pub mod stop;
-pub mod table;
 pub mod upgrade;
 pub mod usage;
 pub mod verdict;
--- a/coltsfoothall/src/forward/order.rs
+++ b/coltsfoothall/src/forward/order.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::forward::table::{Cost, Scaling};
+use crate::forward::config::{Cost, Scaling};
 use crate::id;
 
 /// Bounds and weights of orders.
--- a/coltsfoothall/src/forward/rate_limit.rs
+++ b/coltsfoothall/src/forward/rate_limit.rs
@@ -6,7 +6,7 @@
 //! of rate and burst, which that member may be granting on its own.
 
 use crate::clock::Time;
-use crate::forward::table::{Unit, Workspace};
+use crate::forward::config::{Unit, Workspace};
 use crate::id;
 use crate::size::Tokens;
 
--- a/coltsfoothall/tests/forward_table.rs
+++ b/coltsfoothall/tests/forward_config.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use coltsfoothall::forward::table::{Kind, Limits, Route, Table, Target, Unit, Workspace};
+use coltsfoothall::forward::config::{Config, Kind, Limits, Route, Target, Unit, Workspace};
 use coltsfoothall::size::{Millis, Tokens};
 use proptest::prelude::*;
 
@@ -27,8 +27,8 @@
     }
 }
 
-fn table(routes: Vec<Route>) -> Table {
-    Table::new(1, Limits::default(), routes, Vec::new(), Vec::new())
+fn table(routes: Vec<Route>) -> Config {
+    Config::new(1, Limits::default(), routes, Vec::new(), Vec::new())
 }
 
 #[test]
@@ -87,7 +87,7 @@
         workspace("zeta", &["k3", "k1"]),
         workspace("alpha", &["k2"]),
     ];
-    let table = Table::new(1, Limits::default(), Vec::new(), Vec::new(), workspaces);
+    let table = Config::new(1, Limits::default(), Vec::new(), Vec::new(), workspaces);
     let name = |key: &str| table.holder(key).map(|have| have.name.to_string());
     assert_eq!(name("k1"), Some("zeta".into()));
     assert_eq!(name("k2"), Some("alpha".into()));
--- a/coltsfoothall/tests/forward_order.rs
+++ b/coltsfoothall/tests/forward_order.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
+use coltsfoothall::forward::config::{Cost, Scaling};
 use coltsfoothall::forward::order::{Book, Live, Load, Meter, Order, Settings};
-use coltsfoothall::forward::table::{Cost, Scaling};
 use coltsfoothall::id;
 
 fn at(millis: u64) -> Time {
--- a/coltsfoothall/tests/forward_rate.rs
+++ b/coltsfoothall/tests/forward_rate.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
+use coltsfoothall::forward::config::{Unit, Workspace};
 use coltsfoothall::forward::rate_limit::{Coverage, Limiter};
-use coltsfoothall::forward::table::{Unit, Workspace};
 use coltsfoothall::id;
 use coltsfoothall::size::Tokens;
 use proptest::prelude::*;
