--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -4,7 +4,7 @@
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::history::Position;
-use coltsfoothall::forward::peer::TOGETHER;
+use coltsfoothall::forward::peer::MAX_HEARTBEATS_PER_BATCH;
 use coltsfoothall::forward::poll;
 use coltsfoothall::turn;
 use coltsfoothall_shell::event;
@@ -174,7 +174,7 @@
 /// How long an instance rests after a change, longer in a large fleet. What one reads in its
 /// rest the others have told it, and each call is paid for: a fleet of 64 made 5,900 in 76 s.
 pub fn rest(state: &State, realm: Realm) -> Duration {
-    let turns = turn::turns(state.reach().members as usize, TOGETHER) as u32;
+    let turns = turn::turns(state.reach().members as usize, MAX_HEARTBEATS_PER_BATCH) as u32;
     match realm {
         Realm::Configuration => CONFIGURATION_REST * turns.min(LONGEST_REST),
         // Others wait for what this one reads.
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -10,7 +10,7 @@
 use coltsfoothall::forward::gossip::Count as Counted;
 use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::Load;
-use coltsfoothall::forward::peer::{Profile, TOGETHER};
+use coltsfoothall::forward::peer::{MAX_HEARTBEATS_PER_BATCH, Profile};
 use coltsfoothall::forward::rate_limit::Granted;
 use coltsfoothall::forward::roster::Ended;
 use coltsfoothall::forward::upgrade::Told;
@@ -73,7 +73,7 @@
     /// The state as one round of turns tells it: each target has to hear of all in time.
     fn now(state: &State, round: usize) -> Self {
         let now = state.now();
-        let turns = turn::turns(state.reach().members as usize, TOGETHER);
+        let turns = turn::turns(state.reach().members as usize, MAX_HEARTBEATS_PER_BATCH);
         let rows = ROWS / turns;
         let span = EVERY * (turns as u32 + 1) * REPEATED;
         let window = {
@@ -107,7 +107,7 @@
 /// Sends a heartbeat to everyone without waiting for their turns, as before a stop.
 pub async fn announce(state: &Rc<State>, socket: &UdpSocket) {
     let targets = targets(state);
-    for turn in 0..turn::turns(targets.len(), TOGETHER) {
+    for turn in 0..turn::turns(targets.len(), MAX_HEARTBEATS_PER_BATCH) {
         if turn > 0 {
             tokio::time::sleep(HURRY).await;
         }
@@ -117,13 +117,13 @@
 
 /// Sends a heartbeat to those of the targets that are due in a turn.
 async fn send(state: &State, socket: &UdpSocket, targets: &[SocketAddr], turn: usize) {
-    let round = turn / turn::turns(targets.len(), TOGETHER);
+    let round = turn / turn::turns(targets.len(), MAX_HEARTBEATS_PER_BATCH);
     let heartbeat = Heartbeat::now(state, round);
     let Ok(bytes) = rmp_serde::to_vec(&heartbeat) else {
         // Unreachable: the message has no types that the format refuses.
         return;
     };
-    for address in turn::due(targets, TOGETHER, turn) {
+    for address in turn::due(targets, MAX_HEARTBEATS_PER_BATCH, turn) {
         if let Err(error) = socket.send_to(&bytes, address).await {
             event::LINK_FAILED.emit(format_args!("peer={address} reason={error:?}"));
         }
--- a/coltsfoothall/src/forward/peer.rs
+++ b/coltsfoothall/src/forward/peer.rs
@@ -14,7 +14,7 @@
 /// Most heartbeats that one instance sends at once. 64 of 1.4 kB each overran the queue
 /// of a link of 10 Mbit/s: those sent last, always the same, were lost, and half of a
 /// fleet of 64 did not hear each other.
-pub const TOGETHER: usize = 16;
+pub const MAX_HEARTBEATS_PER_BATCH: usize = 16;
 
 /// Bounds of what is believed of other instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -309,7 +309,7 @@
 
     fn is_heard(&self, now: Time, peer: &Peer) -> bool {
         // Three heartbeats, where the fleet is so large that they come less often.
-        let turns = turn::turns(self.peers.len(), TOGETHER) as u32;
+        let turns = turn::turns(self.peers.len(), MAX_HEARTBEATS_PER_BATCH) as u32;
         let silent = self.settings.silent.max(self.settings.turn * turns * 3);
         peer.heard.is_some_and(|heard| now.since(heard) <= silent)
     }
--- a/coltsfoothall/tests/forward_peer.rs
+++ b/coltsfoothall/tests/forward_peer.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::peer::{Peers, Profile, Settings, TOGETHER};
+use coltsfoothall::forward::peer::{MAX_HEARTBEATS_PER_BATCH, Peers, Profile, Settings};
 use coltsfoothall::forward::rate_limit::Coverage;
 use coltsfoothall::size::Megabits;
 use coltsfoothall::turn;
@@ -187,11 +187,15 @@
         let all: Vec<SocketAddr> = (0..count)
             .map(|n| SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8], 7_500)))
             .collect();
-        let turns = turn::turns(all.len(), TOGETHER);
+        let turns = turn::turns(all.len(), MAX_HEARTBEATS_PER_BATCH);
         let mut told = Vec::new();
         for turn in 7..7 + turns {
-            let due = turn::due(&all, TOGETHER, turn);
-            assert!(due.len() <= TOGETHER, "{count}: {}", due.len());
+            let due = turn::due(&all, MAX_HEARTBEATS_PER_BATCH, turn);
+            assert!(
+                due.len() <= MAX_HEARTBEATS_PER_BATCH,
+                "{count}: {}",
+                due.len()
+            );
             told.extend(due);
         }
         told.sort_unstable();
