--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -130,7 +130,7 @@
         pick.unread.0,
         trail.sendings,
         trail.exclude.len(),
-        state.roster.borrow().pace(&job.service),
+        state.roster.borrow().latency_model(&job.service),
     ));
 }
 
--- a/coltsfoothall/src/forward/choice.rs
+++ b/coltsfoothall/src/forward/choice.rs
@@ -11,8 +11,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::clock::Time;
+use crate::forward::latency::{self, Model, Sample};
 use crate::forward::node::Node;
-use crate::forward::pace::{self, Pace, Sample};
 use crate::forward::roster::Roster;
 use crate::forward::upgrade::Versions;
 use crate::id;
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// What is assumed of engines until their answers are seen.
-    pub pace: pace::Settings,
+    pub latency: latency::Settings,
     /// Microseconds that a plain request works, before that was measured.
     pub work: f64,
     /// Microseconds that the hop to another failure domain counts as: bytes there are
@@ -46,7 +46,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            pace: pace::Settings::default(),
+            latency: latency::Settings::default(),
             work: 30_000.0,
             hop: 3_000.0,
             fault: 600_000.0,
@@ -142,7 +142,7 @@
         let chains: Vec<u64> = chains(query.parts).collect();
         let part = shared(query, &chains);
         let home = self.home(now, query, part);
-        let pace = self.pace(query.service);
+        let model = self.latency_model(query.service);
         let mut unavailable = Unavailable::Absent;
         let mut best: Option<(&Node, Weighed)> = None;
         let mut among = 0;
@@ -155,10 +155,10 @@
                 continue;
             }
             among += 1;
-            let weighed = self.weigh(now, node, query, &chains, pace);
+            let weighed = self.weigh(now, node, query, &chains, model);
             let kept = part.filter(|part| home.is(node, part.chain));
             // Reading the part elsewhere takes time now, and again when it is asked there.
-            let saved = kept.map_or(0.0, |part| pace.reading(part.tokens.0, 0));
+            let saved = kept.map_or(0.0, |part| model.prefill(part.tokens.0, 0));
             let cost = weighed.cost - saved * self.settings.home;
             if best.is_none_or(|(_, least)| cost < least.cost) {
                 best = Some((node, Weighed { cost, ..weighed }));
@@ -219,7 +219,7 @@
         node: &Node,
         query: &Query<'_>,
         chains: &[u64],
-        pace: &Pace,
+        model: &Model,
     ) -> Weighed {
         let settings = &self.settings;
         let load = node.load();
@@ -231,7 +231,7 @@
             open: load.open,
         };
         let work = if query.memory.is_some() {
-            pace.wait(sample).as_micros() as f64
+            model.first_event(sample).as_micros() as f64
         } else {
             let queued = f64::from(load.open) / f64::from(node.entry.slots.max(1));
             settings.work * (1.0 + queued * queued)
--- a/coltsfoothall/src/forward/pace.rs
+++ b/coltsfoothall/src/forward/latency.rs
@@ -79,7 +79,7 @@
 
 /// The fit for one service.
 #[derive(Debug, Clone)]
-pub struct Pace {
+pub struct Model {
     assumed: Vector4<f64>,
     /// Weighted sums of the products of two units.
     products: Matrix4<f64>,
@@ -89,7 +89,7 @@
     shares: Vector4<f64>,
 }
 
-impl Pace {
+impl Model {
     /// What is assumed, and nothing seen.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
@@ -109,13 +109,13 @@
 
     /// Expected time to a first event.
     #[must_use]
-    pub fn wait(&self, sample: Sample) -> Duration {
+    pub fn first_event(&self, sample: Sample) -> Duration {
         Duration::from_micros(self.micros(sample) as u64)
     }
 
     /// Microseconds of an endpoint's time that reading takes.
     #[must_use]
-    pub fn reading(&self, tokens: u64, pairs: u64) -> f64 {
+    pub fn prefill(&self, tokens: u64, pairs: u64) -> f64 {
         tokens as f64 / TOKENS * self.shares[1] + pairs as f64 / PAIRS * self.shares[2]
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// An answer began after this time.
-    pub fn saw(&mut self, sample: Sample, took: Duration) {
+    pub fn record(&mut self, sample: Sample, took: Duration) {
         let units = sample.units();
         let most = self.micros(sample) * OUTLIER;
         let took = (took.as_micros() as f64).min(most);
@@ -153,7 +153,7 @@
     }
 }
 
-impl fmt::Display for Pace {
+impl fmt::Display for Model {
     /// Microseconds: to start, for a thousand tokens, for a million pairs, for a request
     /// beside.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/coltsfoothall/src/forward/roster.rs
+++ b/coltsfoothall/src/forward/roster.rs
@@ -8,8 +8,8 @@
 use crate::forward::choice::{Pick, Query, Settings, chains, pairs};
 use crate::forward::gossip::{PLACED_AGAIN, Placed, Told};
 use crate::forward::history::Position;
+use crate::forward::latency::{Model, Sample};
 use crate::forward::node::{Entry, Listing, Load, NEWEST, Node, Open, SLOWNESS, SUCCESS};
-use crate::forward::pace::{Pace, Sample};
 use crate::id;
 use crate::size::Millis;
 
@@ -83,9 +83,9 @@
     /// Microseconds of endpoints' time that requests from here took, by service.
     work: Vec<(id::Service, u64)>,
     /// How fast the engines are, sorted by service.
-    paces: Vec<(id::Service, Pace)>,
-    /// The pace of engines that gave no answer yet.
-    assumed: Pace,
+    latency_models: Vec<(id::Service, Model)>,
+    /// The latency model of engines that gave no answer yet.
+    assumed: Model,
     /// Endpoints that were leaving or gone at a place in the store's history; sorted by id.
     ended: Vec<Ended>,
 }
@@ -98,8 +98,8 @@
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
-            assumed: Pace::new(settings.pace),
-            paces: Vec::new(),
+            assumed: Model::new(settings.latency),
+            latency_models: Vec::new(),
             settings,
             nodes: Vec::new(),
             listings: Listing::default(),
@@ -250,7 +250,9 @@
         };
         let number = self.runs;
         if query.memory.is_some() {
-            let work = self.pace(query.service).reading(load.unread, load.pairs);
+            let work = self
+                .latency_model(query.service)
+                .prefill(load.unread, load.pairs);
             self.note_work(query.service, work as u64);
         }
         let mut born = Millis(0);
@@ -300,7 +302,7 @@
             ..Load::default()
         };
         if let Some(sample) = run.sample {
-            self.pace_mut(&run.service).saw(sample, took);
+            self.latency_model_mut(&run.service).record(sample, took);
         }
         let Some(node) = self.runs_at(run) else {
             return;
@@ -317,26 +319,30 @@
     /// More events of a run's answer came.
     pub fn wrote(&mut self, run: &Run, events: u64) {
         if run.sample.is_some() {
-            let work = self.pace(&run.service).event() * events as f64;
+            let work = self.latency_model(&run.service).event() * events as f64;
             self.note_work(&run.service, work as u64);
         }
     }
 
     /// How fast the engines of a service are, as far as it is known.
     #[must_use]
-    pub fn pace(&self, service: &id::Service) -> &Pace {
-        let found = self.paces.binary_search_by(|(have, _)| have.cmp(service));
-        found.map_or(&self.assumed, |place| &self.paces[place].1)
+    pub fn latency_model(&self, service: &id::Service) -> &Model {
+        let found = self
+            .latency_models
+            .binary_search_by(|(have, _)| have.cmp(service));
+        found.map_or(&self.assumed, |place| &self.latency_models[place].1)
     }
 
-    fn pace_mut(&mut self, service: &id::Service) -> &mut Pace {
-        let found = self.paces.binary_search_by(|(have, _)| have.cmp(service));
+    fn latency_model_mut(&mut self, service: &id::Service) -> &mut Model {
+        let found = self
+            .latency_models
+            .binary_search_by(|(have, _)| have.cmp(service));
         let place = found.unwrap_or_else(|place| {
-            let pace = self.assumed.clone();
-            self.paces.insert(place, (service.clone(), pace));
+            let model = self.assumed.clone();
+            self.latency_models.insert(place, (service.clone(), model));
             place
         });
-        &mut self.paces[place].1
+        &mut self.latency_models[place].1
     }
 
     /// A run ended at its endpoint.
--- a/coltsfoothall/tests/forward_pace.rs
+++ b/coltsfoothall/tests/forward_latency.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfoothall::forward::pace::{Pace, Sample, Settings};
+use coltsfoothall::forward::latency::{Model, Sample, Settings};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -42,20 +42,20 @@
 }
 
 /// How far the expected time is off, as a part of the true one, on average.
-fn error(pace: &Pace, truth: Truth, random: &mut Pcg64Mcg) -> f64 {
+fn error(model: &Model, truth: Truth, random: &mut Pcg64Mcg) -> f64 {
     let errors = (0..200).map(|_| {
         let sample = sample(random);
-        let expected = pace.wait(sample).as_micros() as f64;
+        let expected = model.first_event(sample).as_micros() as f64;
         (expected - truth.wait(sample)).abs() / truth.wait(sample)
     });
     errors.sum::<f64>() / 200.0
 }
 
-fn learn(pace: &mut Pace, truth: Truth, answers: usize, random: &mut Pcg64Mcg) {
+fn learn(model: &mut Model, truth: Truth, answers: usize, random: &mut Pcg64Mcg) {
     for _ in 0..answers {
         let sample = sample(random);
         let noise = random.random_range(0.8..1.25);
-        pace.saw(
+        model.record(
             sample,
             Duration::from_micros((truth.wait(sample) * noise) as u64),
         );
@@ -65,10 +65,10 @@
 #[test]
 fn assumed_at_first() {
     let settings = Settings::default();
-    let pace = Pace::new(settings);
-    let nothing = pace.wait(Sample::default());
+    let model = Model::new(settings);
+    let nothing = model.first_event(Sample::default());
     assert_eq!(nothing, Duration::from_micros(settings.start as u64));
-    let read = pace.reading(1_000, 0);
+    let read = model.prefill(1_000, 0);
     assert!((read - settings.read * 1_000.0).abs() < 1.0, "{read}");
 }
 
@@ -90,13 +90,13 @@
     };
     for (seed, truth) in [(1, fast), (2, slow), (3, fast), (4, slow)] {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let mut pace = Pace::new(Settings::default());
+        let mut model = Model::new(Settings::default());
         for (answers, most) in [(20, 0.35), (80, 0.15), (300, 0.10)] {
-            learn(&mut pace, truth, answers, &mut random);
-            let error = error(&pace, truth, &mut random);
+            learn(&mut model, truth, answers, &mut random);
+            let error = error(&model, truth, &mut random);
             assert!(error < most, "seed {seed} after {answers}: {error}");
         }
-        let read = pace.reading(1_000, 0) / 1e3;
+        let read = model.prefill(1_000, 0) / 1e3;
         assert!(
             (0.8..1.25).contains(&(read / truth.read)),
             "seed {seed}: {read} of {}",
@@ -115,12 +115,12 @@
         beside: 730.0,
     };
     let mut random = Pcg64Mcg::seed_from_u64(5);
-    let mut pace = Pace::new(Settings::default());
+    let mut model = Model::new(Settings::default());
     for _ in 0..30 {
-        learn(&mut pace, truth, 14, &mut random);
-        pace.saw(sample(&mut random), Duration::from_secs(4));
+        learn(&mut model, truth, 14, &mut random);
+        model.record(sample(&mut random), Duration::from_secs(4));
     }
-    let error = error(&pace, truth, &mut random);
+    let error = error(&model, truth, &mut random);
     assert!(error < 0.5, "{error}");
 }
 
@@ -137,16 +137,16 @@
     };
     for seed in 0..5 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let mut pace = Pace::new(Settings::default());
-        learn(&mut pace, truth, 40, &mut random);
+        let mut model = Model::new(Settings::default());
+        learn(&mut model, truth, 40, &mut random);
         for _ in 0..80 {
             let mut seen = sample(&mut random);
             seen.open = random.random_range(5..40);
             let unseen = f64::from(seen.open) * random.random_range(0.0..10_000.0);
             let took = truth.wait(seen) + unseen;
-            pace.saw(seen, Duration::from_micros(took as u64));
+            model.record(seen, Duration::from_micros(took as u64));
         }
-        let event = pace.event();
+        let event = model.event();
         assert!(event < 3.0 * truth.beside, "seed {seed}: {event}");
     }
 }
@@ -156,13 +156,13 @@
     #[test]
     fn always_sound(answers in proptest::collection::vec(
         (0_u64..200_000, 0_u64..20_000_000_000, 0_u32..2_000, 0_u64..120_000_000), 1..200)) {
-        let mut pace = Pace::new(Settings::default());
+        let mut model = Model::new(Settings::default());
         for (tokens, pairs, open, took) in answers {
             let sample = Sample { tokens, pairs, open };
-            pace.saw(sample, Duration::from_micros(took));
-            prop_assert!(pace.wait(sample) < Duration::from_secs(86_400));
-            prop_assert!(pace.reading(1, 0) >= 0.0 && pace.event() >= 0.0);
-            prop_assert!(pace.reading(1, 1).is_finite() && pace.event().is_finite());
+            model.record(sample, Duration::from_micros(took));
+            prop_assert!(model.first_event(sample) < Duration::from_secs(86_400));
+            prop_assert!(model.prefill(1, 0) >= 0.0 && model.event() >= 0.0);
+            prop_assert!(model.prefill(1, 1).is_finite() && model.event().is_finite());
         }
     }
 }
