--- a/coltsfoothall-forward/src/orders.rs
+++ b/coltsfoothall-forward/src/orders.rs
@@ -2,7 +2,7 @@
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::config::{Scaling, Service};
-use coltsfoothall::forward::order::{Book, Live, Load, Order, Settings};
+use coltsfoothall::forward::order::{Live, Load, Order, Planner, Settings};
 use coltsfoothall::id;
 use coltsfoothall_shell::event;
 
@@ -17,7 +17,7 @@
 struct Line {
     service: id::Service,
     scaling: Scaling,
-    book: Book,
+    book: Planner,
 }
 
 /// The orders for all services, begun anew by each holder from what it finds.
@@ -58,7 +58,7 @@
             let outcome = state.border.order(actor, &service.name, &order).await;
             log(service, &order, load, &outcome);
             match outcome {
-                Ok(()) => line.book.taken(&order),
+                Ok(()) => line.book.accepted(&order),
                 Err(Error::Conflict(_)) => line.book.refused(state.now(), &order),
                 // It may have been done; what is missing later is ordered again.
                 Err(_unknown) => {}
@@ -85,7 +85,7 @@
         if let Some(place) = have {
             self.lines.remove(place);
         }
-        let book = Book::new(now, scaling.clone(), found, Settings::default());
+        let book = Planner::new(now, scaling.clone(), found, Settings::default());
         self.lines.push(Line {
             service: service.name.clone(),
             scaling: scaling.clone(),
@@ -127,7 +127,7 @@
     domains
         .map(|domain| {
             let live = Live {
-                steady: count(domain, false),
+                on_demand: count(domain, false),
                 reclaimable: count(domain, true),
             };
             (domain.clone(), live)
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -351,7 +351,7 @@
                     place
                 }
             };
-            meters[place].1.hear(now, boot, *micros);
+            meters[place].1.merge_work(now, boot, *micros);
         }
     }
 
--- a/coltsfoothall/src/forward/order.rs
+++ b/coltsfoothall/src/forward/order.rs
@@ -102,7 +102,7 @@
     }
 
     /// An instance tells how many microseconds its requests took since its boot.
-    pub fn hear(&mut self, now: Time, boot: u64, micros: u64) {
+    pub fn merge_work(&mut self, now: Time, boot: u64, micros: u64) {
         self.advance(now);
         match self.totals.binary_search_by_key(&boot, |(boot, _)| *boot) {
             Ok(place) => {
@@ -145,7 +145,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Live {
     /// On demand.
-    pub steady: u32,
+    pub on_demand: u32,
     /// Reclaimable.
     pub reclaimable: u32,
 }
@@ -186,7 +186,7 @@
 
 /// The orders for one service, kept by who acts for all.
 #[derive(Debug, Clone)]
-pub struct Book {
+pub struct Planner {
     settings: Settings,
     scaling: Scaling,
     /// Sorted by domain and kind.
@@ -198,7 +198,7 @@
     began: Time,
 }
 
-impl Book {
+impl Planner {
     /// Orders that go on from what is found.
     #[must_use]
     pub fn new(
@@ -218,7 +218,7 @@
                 let count = if reclaimable {
                     live.reclaimable
                 } else {
-                    live.steady
+                    live.on_demand
                 };
                 cells.push(Cell {
                     domain: domain.clone(),
@@ -309,7 +309,7 @@
     }
 
     /// An order was taken.
-    pub fn taken(&mut self, order: &Order) {
+    pub fn accepted(&mut self, order: &Order) {
         if let Some(cell) = self.cell(order) {
             cell.refusals = 0;
         }
@@ -327,7 +327,7 @@
             cell.live = if cell.reclaimable {
                 live.reclaimable
             } else {
-                live.steady
+                live.on_demand
             };
             if !cell.given {
                 cell.ordered = cell.live;
@@ -368,20 +368,20 @@
             1
         };
         let least = (load * self.settings.floor).ceil() as u32;
-        let steady =
+        let on_demand =
             |held: &[u32]| least.max((need - carried(held, losses)).ceil().max(0.0) as u32);
-        let (growing, staying) = (steady(&planned), steady(&present));
-        let ordered: u32 = self.steadies().map(|cell| cell.ordered).sum();
+        let (growing, staying) = (on_demand(&planned), on_demand(&present));
+        let ordered: u32 = self.on_demands().map(|cell| cell.ordered).sum();
         // More are ordered for what the plan lacks, fewer only for what is there.
         let total = ordered.clamp(growing, growing.max(staying));
-        let steadies = self.place(total, &spread);
+        let on_demands = self.place(total, &spread);
         let mut wanted = Vec::with_capacity(self.cells.len());
-        let (mut spread, mut steadies) = (spread.into_iter(), steadies.into_iter());
+        let (mut spread, mut on_demands) = (spread.into_iter(), on_demands.into_iter());
         for cell in &self.cells {
             let next = if cell.reclaimable {
                 spread.next()
             } else {
-                steadies.next()
+                on_demands.next()
             };
             wanted.push(next.unwrap_or(0));
         }
@@ -398,9 +398,9 @@
         let each = (need / bearing).ceil() as u32;
         self.reclaimables()
             .map(|cell| {
-                let steady = self.steadies().find(|have| have.domain == cell.domain);
-                let steady = steady.map_or(0, |have| have.ordered);
-                let each = each.min(self.scaling.most.saturating_sub(steady));
+                let on_demand = self.on_demands().find(|have| have.domain == cell.domain);
+                let on_demand = on_demand.map_or(0, |have| have.ordered);
+                let each = each.min(self.scaling.most.saturating_sub(on_demand));
                 if now >= cell.refused {
                     each
                 } else {
@@ -415,7 +415,7 @@
     fn place(&self, total: u32, spread: &[u32]) -> Vec<u32> {
         let others = |place: usize| spread.get(place).copied().unwrap_or(0);
         let least = |place: usize| self.scaling.least.saturating_sub(others(place));
-        let cells: Vec<&Cell> = self.steadies().collect();
+        let cells: Vec<&Cell> = self.on_demands().collect();
         let mut counts: Vec<u32> = (0..cells.len())
             .map(|place| cells[place].ordered.max(least(place)))
             .collect();
@@ -441,7 +441,7 @@
         self.cells.iter().filter(|cell| cell.reclaimable)
     }
 
-    fn steadies(&self) -> impl Iterator<Item = &Cell> {
+    fn on_demands(&self) -> impl Iterator<Item = &Cell> {
         self.cells.iter().filter(|cell| !cell.reclaimable)
     }
 }
@@ -466,8 +466,8 @@
 
 /// The load that the endpoints found were held for.
 fn guess(found: &[(id::Domain, Live)], reclaimable: u32, settings: &Settings) -> f64 {
-    let steady: u32 = found.iter().map(|(_, live)| live.steady).sum();
-    f64::from(steady + reclaimable) * settings.guess
+    let on_demand: u32 = found.iter().map(|(_, live)| live.on_demand).sum();
+    f64::from(on_demand + reclaimable) * settings.guess
 }
 
 /// What is left of some counts after the loss of so many of the largest.
@@ -479,7 +479,7 @@
 
 fn find(found: &[(id::Domain, Live)], domain: &id::Domain) -> Live {
     let none = Live {
-        steady: 0,
+        on_demand: 0,
         reclaimable: 0,
     };
     let live = found.iter().find(|(have, _)| have == domain);
--- a/coltsfoothall/tests/forward_order.rs
+++ b/coltsfoothall/tests/forward_order.rs
@@ -6,7 +6,7 @@
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::config::{Cost, Scaling};
-use coltsfoothall::forward::order::{Book, Live, Load, Meter, Order, Settings};
+use coltsfoothall::forward::order::{Live, Load, Meter, Order, Planner, Settings};
 use coltsfoothall::id;
 
 fn at(millis: u64) -> Time {
@@ -49,25 +49,25 @@
 /// What is there, which follows the orders as a platform without trouble would.
 struct Site {
     live: Vec<(id::Domain, Live)>,
-    book: Book,
+    book: Planner,
     dry: bool,
 }
 
 impl Site {
-    fn new(steady: u32) -> Self {
+    fn new(on_demand: u32) -> Self {
         let live: Vec<(id::Domain, Live)> = NAMES
             .iter()
             .map(|name| {
                 (
                     domain(name),
                     Live {
-                        steady,
+                        on_demand,
                         reclaimable: 0,
                     },
                 )
             })
             .collect();
-        let book = Book::new(at(0), scaling(Some(0.2)), &live, Settings::default());
+        let book = Planner::new(at(0), scaling(Some(0.2)), &live, Settings::default());
         Self {
             live,
             book,
@@ -82,7 +82,7 @@
                 if order.reclaimable && self.dry {
                     self.book.refused(at(now), &order);
                 } else {
-                    self.book.taken(&order);
+                    self.book.accepted(&order);
                     self.fill(&order);
                 }
             }
@@ -95,12 +95,12 @@
         if order.reclaimable {
             live.reclaimable = order.count;
         } else {
-            live.steady = order.count;
+            live.on_demand = order.count;
         }
     }
 
-    fn steady(&self) -> u32 {
-        self.live.iter().map(|(_, live)| live.steady).sum()
+    fn on_demand(&self) -> u32 {
+        self.live.iter().map(|(_, live)| live.on_demand).sum()
     }
 
     fn reclaimable(&self) -> u32 {
@@ -115,7 +115,7 @@
             .map(|(_, live)| live.reclaimable)
             .max()
             .unwrap();
-        self.steady() + self.reclaimable() - worst
+        self.on_demand() + self.reclaimable() - worst
     }
 }
 
@@ -123,7 +123,7 @@
 fn cheap_and_spread() {
     let mut site = Site::new(6);
     site.run(0, 20_000, 8.0);
-    assert!(site.steady() <= 2, "{:?}", site.live);
+    assert!(site.on_demand() <= 2, "{:?}", site.live);
     assert!(
         site.left() >= need(8.0),
         "one domain's loss leaves the load: {:?}",
@@ -131,8 +131,8 @@
     );
     let south = &site.live[1].1;
     assert_eq!(
-        south.steady,
-        site.steady(),
+        south.on_demand,
+        site.on_demand(),
         "on demand where it is cheapest"
     );
 }
@@ -152,11 +152,11 @@
     site.live[1].1.reclaimable = 0;
     site.live[2].1.reclaimable = 0;
     site.run(21_000, 22_500, 8.0);
-    assert!(site.steady() >= need(8.0), "{:?}", site.live);
+    assert!(site.on_demand() >= need(8.0), "{:?}", site.live);
     site.dry = false;
     site.run(22_500, 45_000, 8.0);
     assert!(
-        site.steady() <= 2,
+        site.on_demand() <= 2,
         "back to the cheap kind: {:?}",
         site.live
     );
@@ -171,7 +171,7 @@
     let mut run = |site: &mut Site, from: u64, to: u64, load: u64| {
         for now in (from..to).step_by(300) {
             total += load * 300_000;
-            meter.hear(at(now), 1, total);
+            meter.merge_work(at(now), 1, total);
             for order in site.book.decide(at(now), meter.load(at(now)), &site.live) {
                 site.fill(&order);
             }
@@ -195,23 +195,23 @@
     site.dry = true;
     site.live[0].1.reclaimable = 0;
     site.run(20_000, 21_000, 8.0);
-    let steady = site.steady();
+    let on_demand = site.on_demand();
     site.live[1].1.reclaimable = 0;
     site.live[2].1.reclaimable = 0;
-    assert!(steady >= need(8.0), "{steady} of {}", need(8.0));
+    assert!(on_demand >= need(8.0), "{on_demand} of {}", need(8.0));
 }
 
 #[test]
 fn late_listing() {
     let none: Vec<(id::Domain, Live)> = Vec::new();
-    let mut book = Book::new(at(0), scaling(Some(0.2)), &none, Settings::default());
+    let mut book = Planner::new(at(0), scaling(Some(0.2)), &none, Settings::default());
     let live: Vec<(id::Domain, Live)> = NAMES
         .iter()
         .map(|name| {
             (
                 domain(name),
                 Live {
-                    steady: 6,
+                    on_demand: 6,
                     reclaimable: 0,
                 },
             )
@@ -237,7 +237,7 @@
 #[test]
 fn without_cheap_kind() {
     let live: Vec<(id::Domain, Live)> = Vec::new();
-    let mut book = Book::new(at(0), scaling(None), &live, Settings::default());
+    let mut book = Planner::new(at(0), scaling(None), &live, Settings::default());
     let orders = book.decide(at(0), settled(5.0), &live);
     assert!(orders.iter().all(|order| !order.reclaimable));
     assert_eq!(
@@ -251,8 +251,8 @@
     let mut site = Site::new(1);
     site.run(0, 20_000, 100.0);
     for (name, live) in &site.live {
-        assert!(live.steady + live.reclaimable <= 12, "{name}: {live:?}");
-        assert!(live.steady + live.reclaimable >= 1, "{name}: {live:?}");
+        assert!(live.on_demand + live.reclaimable <= 12, "{name}: {live:?}");
+        assert!(live.on_demand + live.reclaimable >= 1, "{name}: {live:?}");
     }
 }
 
@@ -266,9 +266,9 @@
     let mut meter = Meter::new(at(0), settings);
     assert_eq!(meter.load(at(0)), None);
     for (now, total) in [(0, 0), (500, 1_000_000), (1_500, 4_000_000)] {
-        meter.hear(at(now), 1, total);
+        meter.merge_work(at(now), 1, total);
     }
-    meter.hear(at(2_100), 2, 9_000_000);
+    meter.merge_work(at(2_100), 2, 9_000_000);
     let young = meter.load(at(2_100)).unwrap();
     assert_eq!(
         young.value, 2.0,
@@ -276,8 +276,8 @@
     );
     assert!(!young.settled);
     assert!(meter.load(at(9_000)).unwrap().settled);
-    meter.hear(at(2_200), 1, 3_000_000);
-    meter.hear(at(30_000), 1, 4_000_000);
+    meter.merge_work(at(2_200), 1, 3_000_000);
+    meter.merge_work(at(30_000), 1, 4_000_000);
     assert_eq!(meter.load(at(30_000)), None, "long idle");
 }
 
@@ -289,13 +289,13 @@
             (
                 domain(name),
                 Live {
-                    steady: 1,
+                    on_demand: 1,
                     reclaimable: 6,
                 },
             )
         })
         .collect();
-    let mut book = Book::new(at(0), scaling(Some(0.2)), &live, Settings::default());
+    let mut book = Planner::new(at(0), scaling(Some(0.2)), &live, Settings::default());
     let young = Load {
         value: 1.0,
         settled: false,
@@ -354,7 +354,7 @@
             site.fill(&order);
         }
     }
-    assert!(site.steady() <= 2, "{:?}", site.live);
+    assert!(site.on_demand() <= 2, "{:?}", site.live);
     let before = site.live.clone();
     let young = Some(Load {
         value: 0.5,
