--- a/coltsfoothall-forward/src/adapter.rs
+++ b/coltsfoothall-forward/src/adapter.rs
@@ -5,10 +5,10 @@
 
 use bytes::Bytes;
 use coltsfoothall::forward::choice::Part;
-use coltsfoothall::forward::history::{Era, Fence, Lease, Place};
+use coltsfoothall::forward::config::Config;
+use coltsfoothall::forward::history::{Era, Fence, Lease, Position};
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::forward::order::Order;
-use coltsfoothall::forward::table::Table;
 use coltsfoothall::forward::upgrade;
 use coltsfoothall::forward::usage::Count;
 use coltsfoothall::id;
@@ -138,9 +138,9 @@
     /// Its value; none if it was removed.
     pub value: Option<Bytes>,
     /// This change.
-    pub position: Place,
+    pub position: Position,
     /// The change that created it; the first place of all if it was removed.
-    pub created: Place,
+    pub created: Position,
 }
 
 /// Values of a realm, or changes of them, up to a place in the store's history.
@@ -149,7 +149,7 @@
     /// The values or changes in their order.
     pub items: Vec<Item>,
     /// The last change at the store; those after it are not in here.
-    pub position: Place,
+    pub position: Position,
 }
 
 /// A change of the realms that are the instances' own, made whole or not at all. Names
@@ -189,10 +189,13 @@
     /// Reads a whole realm.
     fn list(&self, keyspace: Keyspace) -> LocalBoxFuture<'_, Result<Listing, Error>>;
     /// Waits for changes of a realm after a place.
-    fn watch(&self, keyspace: Keyspace, after: Place)
-    -> LocalBoxFuture<'_, Result<Listing, Error>>;
+    fn watch(
+        &self,
+        keyspace: Keyspace,
+        after: Position,
+    ) -> LocalBoxFuture<'_, Result<Listing, Error>>;
     /// Writes to the instances' own realms; returns the place of the change.
-    fn write(&self, write: Write) -> LocalBoxFuture<'_, Result<Place, Error>>;
+    fn write(&self, write: Write) -> LocalBoxFuture<'_, Result<Position, Error>>;
     /// Takes a lease.
     fn grant_lease(&self, term: Duration) -> LocalBoxFuture<'_, Result<Lease, Error>>;
     /// Renews a lease; one of a former era is gone.
@@ -205,7 +208,7 @@
     ///
     /// # Errors
     /// Names the field that is wrong.
-    fn parse_configuration(&self, value: &[u8]) -> Result<Table, Error>;
+    fn parse_configuration(&self, value: &[u8]) -> Result<Config, Error>;
     /// Whether the value of the operators under a name is the configuration.
     fn is_configuration(&self, name: &str) -> bool;
     /// Reads an order to move a service to another version; none if the value is no order.
@@ -217,15 +220,15 @@
     fn read_report<'a>(
         &'a self,
         service: &'a id::Service,
-    ) -> LocalBoxFuture<'a, Result<Option<(Report, Place)>, Error>>;
+    ) -> LocalBoxFuture<'a, Result<Option<(Report, Position)>, Error>>;
     /// Tells the operators of a service's move, if nothing was told since `had`. Returns the
     /// place of the change.
     fn write_report<'a>(
         &'a self,
         service: &'a id::Service,
         report: &'a Report,
-        previous: Option<Place>,
-    ) -> LocalBoxFuture<'a, Result<Place, Error>>;
+        previous: Option<Position>,
+    ) -> LocalBoxFuture<'a, Result<Position, Error>>;
     /// Reads an endpoint's registration.
     ///
     /// # Errors
--- a/coltsfoothall-forward/src/changelog.rs
+++ b/coltsfoothall-forward/src/changelog.rs
@@ -1,7 +1,7 @@
 //! Registrations as they were read, for instances that hear of them from this one.
 
 use bytes::Bytes;
-use coltsfoothall::forward::history::Place;
+use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::size::Millis;
 use serde::{Deserialize, Serialize};
@@ -35,7 +35,7 @@
     pub change: Change,
     /// When that was written.
     #[serde(rename = "place")]
-    pub position: Place,
+    pub position: Position,
 }
 
 /// What changed after a number.
@@ -47,7 +47,7 @@
     pub next: u64,
     /// The last change at the store that the reader knows of.
     #[serde(rename = "place")]
-    pub position: Place,
+    pub position: Position,
     /// Age in milliseconds of what the reader knows; none if the store does not answer it.
     pub age_ms: Option<u64>,
     /// The changes.
@@ -62,7 +62,7 @@
     /// Number of its last change of any account.
     sequence: u64,
     /// When that was written, or earlier.
-    changed: Place,
+    changed: Position,
 }
 
 /// From where an instance goes on.
@@ -71,7 +71,7 @@
     /// From a number that this process told.
     Sequence(u64),
     /// From a place in the store's history up to which it has read itself.
-    Position(Place),
+    Position(Position),
 }
 
 /// All registrations, with changes numbered. An endpoint that writes again what stood there
@@ -81,7 +81,7 @@
     /// Sorted by name.
     records: Vec<Record>,
     sequence: u64,
-    position: Place,
+    position: Position,
 }
 
 impl Changelog {
@@ -97,7 +97,7 @@
             position: item.position,
         };
         let content = Entry {
-            place: Place::default(),
+            position: Position::default(),
             ..entry.clone()
         };
         match self.find(&item.name) {
@@ -110,7 +110,7 @@
 
     /// An endpoint is about to leave, as of then; that it still is when it writes again is no
     /// change.
-    pub fn record_leaving(&mut self, name: &str, leaves: Option<Millis>, at: Place) {
+    pub fn record_leaving(&mut self, name: &str, leaves: Option<Millis>, at: Position) {
         let row = Row {
             name: name.to_owned(),
             change: Change::Leaving { leaves },
@@ -126,7 +126,7 @@
     }
 
     /// A registration is gone, as of then.
-    pub fn remove(&mut self, name: &str, at: Place) {
+    pub fn remove(&mut self, name: &str, at: Position) {
         let row = Row {
             name: name.to_owned(),
             change: Change::Removed,
@@ -141,13 +141,13 @@
     }
 
     /// All changes at the store up to there are in here.
-    pub fn advance_to(&mut self, position: Place) {
+    pub fn advance_to(&mut self, position: Position) {
         self.position = self.position.max(position);
     }
 
     /// The last change at the store that is in here.
     #[must_use]
-    pub fn position(&self) -> Place {
+    pub fn position(&self) -> Position {
         self.position
     }
 
--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coltsfoothall::forward::choice::{Nobody, Pick};
+use coltsfoothall::forward::choice::{Pick, Unavailable};
 use coltsfoothall::forward::roster::End;
 use coltsfoothall::id;
 use coltsfoothall_shell::event;
@@ -74,13 +74,13 @@
 }
 
 /// Chooses an endpoint of the versions that may run the request now, the preferred ones first.
-fn choose(state: &State, job: &Job, exclude: &[id::Endpoint]) -> Result<Pick, Nobody> {
+fn choose(state: &State, job: &Job, exclude: &[id::Endpoint]) -> Result<Pick, Unavailable> {
     let versions = {
         let upgrades = state.upgrades.borrow();
         upgrades.versions(&job.service, &job.route.name)
     };
     let roster = state.roster.borrow();
-    let mut found = Err(Nobody::Absent);
+    let mut found = Err(Unavailable::Absent);
     for versions in &versions {
         found = roster.choose(state.now(), &job.ask(&state.domain, exclude, versions));
         if found.is_ok() {
@@ -130,7 +130,7 @@
         pick.unread.0,
         trail.sends,
         trail.exclude.len(),
-        state.roster.borrow().pace(&job.service),
+        state.roster.borrow().latency_model(&job.service),
     ));
 }
 
@@ -157,11 +157,13 @@
             }
             Ok(pick) => pick,
             Err(_) if trail.runs > 0 => return Err(bad_gateway("no other endpoint")),
-            Err(Nobody::Full) => {
+            Err(Unavailable::Full) => {
                 return Err(unavailable("all endpoints are full", FULL_RETRY_DELAY));
             }
-            Err(Nobody::Absent) => return Err(unavailable("no endpoint", NO_ENDPOINT_RETRY_DELAY)),
-            Err(Nobody::Large) => {
+            Err(Unavailable::Absent) => {
+                return Err(unavailable("no endpoint", NO_ENDPOINT_RETRY_DELAY));
+            }
+            Err(Unavailable::Large) => {
                 return Err(unavailable(
                     "larger than an engine's memory",
                     TOO_LARGE_RETRY_DELAY,
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -4,9 +4,9 @@
 
 use coltsfoothall::batch;
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::history::Place;
-use coltsfoothall::forward::peer::TOGETHER;
-use coltsfoothall::forward::rest;
+use coltsfoothall::forward::history::Position;
+use coltsfoothall::forward::peer::MAX_HEARTBEATS_PER_BATCH;
+use coltsfoothall::forward::poll;
 use coltsfoothall_shell::event;
 
 use crate::adapter::{Error, Keyspace, Listing};
@@ -49,14 +49,14 @@
     /// When the first call was made that got no answer since the last one that did.
     failing_since: Option<Time>,
     /// The last change that is known; none before a whole list was read.
-    position: Option<Place>,
+    position: Option<Position>,
     retry_delay: Duration,
 }
 
 impl Follower {
     /// One that goes on from a place up to which all is known; none if nothing is.
     #[must_use]
-    pub fn new(keyspace: Keyspace, position: Option<Place>) -> Self {
+    pub fn new(keyspace: Keyspace, position: Option<Position>) -> Self {
         Self {
             keyspace,
             failing_since: None,
@@ -67,7 +67,7 @@
 
     /// The place up to which all is known.
     #[must_use]
-    pub fn position(&self) -> Option<Place> {
+    pub fn position(&self) -> Option<Position> {
         self.position
     }
 
@@ -80,7 +80,7 @@
     pub async fn tick(&mut self, state: &State) -> Option<Update> {
         let keyspace = self.keyspace;
         let asked = state.now();
-        let replaced = |after: &mut Place| Some(after.era) < state.era();
+        let replaced = |after: &mut Position| Some(after.era) < state.era();
         if self.position.take_if(replaced).is_some() {
             event::STORE.emit(format_args!("realm={keyspace:?} state=history_replaced"));
         }
@@ -168,7 +168,7 @@
 }
 
 /// Whether a listing is of the newest era, and of the one that it was asked in.
-fn is_current(state: &State, position: Option<Place>, listing: &Listing) -> bool {
+fn is_current(state: &State, position: Option<Position>, listing: &Listing) -> bool {
     let era = listing.position.era;
     Some(era) >= state.era() && position.is_none_or(|position| position.era == era)
 }
@@ -176,7 +176,7 @@
 /// How long an instance rests after a change, longer in a large fleet. What one reads in its
 /// rest the others have told it, and each call is paid for: a fleet of 64 made 5,900 in 76 s.
 pub fn poll_delay(state: &State, keyspace: Keyspace) -> Duration {
-    let turns = batch::count(state.reach().members as usize, TOGETHER) as u32;
+    let turns = batch::count(state.reach().members as usize, MAX_HEARTBEATS_PER_BATCH) as u32;
     match keyspace {
         Keyspace::Configuration => {
             CONFIGURATION_POLL_DELAY * turns.min(MAX_CONFIGURATION_POLL_FACTOR)
@@ -189,7 +189,7 @@
         }
         Keyspace::Live => {
             let rank = state.peers.borrow().rank(state.now());
-            rest::Settings::default().of(rank, state.fence().is_some())
+            poll::Settings::default().of(rank, state.fence().is_some())
         }
         Keyspace::Notes => Duration::ZERO,
     }
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use coltsfoothall::batch;
-use coltsfoothall::forward::allowance::Spent;
 use coltsfoothall::forward::gossip::Count as Counted;
-use coltsfoothall::forward::history::{Era, Place};
+use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::Load;
-use coltsfoothall::forward::peer::{Profile, TOGETHER};
+use coltsfoothall::forward::peer::{MAX_HEARTBEATS_PER_BATCH, Profile};
+use coltsfoothall::forward::rate_limit::Granted;
 use coltsfoothall::forward::roster::Ended;
 use coltsfoothall::forward::upgrade::Told;
 use coltsfoothall::forward::usage::Count;
@@ -51,7 +51,7 @@
     profile: Profile,
     introduced: Vec<Profile>,
     loads: Vec<Counted<Load>>,
-    spent: Vec<Spent>,
+    spent: Vec<Granted>,
     counts: Vec<Count>,
     ended: Vec<Ended>,
     work: Vec<(id::Service, u64)>,
@@ -73,7 +73,7 @@
     /// The state as one round of turns tells it: each target has to hear of all in time.
     fn build(state: &State, round: usize) -> Self {
         let now = state.now();
-        let turns = batch::count(state.reach().members as usize, TOGETHER);
+        let turns = batch::count(state.reach().members as usize, MAX_HEARTBEATS_PER_BATCH);
         let rows = MAX_ROWS / turns;
         let span = HEARTBEAT_INTERVAL * (turns as u32 + 1) * HEARTBEATS_PER_PLACEMENT;
         let window = {
@@ -90,7 +90,7 @@
             profile: state.profile(),
             introduced,
             loads: state.roster.borrow().own(),
-            spent: state.rate_limiter.borrow().spent(),
+            spent: state.rate_limiter.borrow().granted(),
             counts: state
                 .usage
                 .borrow()
@@ -110,7 +110,7 @@
 /// Sends a heartbeat to everyone without waiting for their turns, as before a stop.
 pub async fn broadcast(state: &Rc<State>, socket: &UdpSocket) {
     let targets = targets(state);
-    for turn in 0..batch::count(targets.len(), TOGETHER) {
+    for turn in 0..batch::count(targets.len(), MAX_HEARTBEATS_PER_BATCH) {
         if turn > 0 {
             tokio::time::sleep(BROADCAST_DELAY).await;
         }
@@ -120,13 +120,13 @@
 
 /// Sends a heartbeat to those of the targets that are due in a turn.
 async fn send(state: &State, socket: &UdpSocket, targets: &[SocketAddr], turn: usize) {
-    let round = turn / batch::count(targets.len(), TOGETHER);
+    let round = turn / batch::count(targets.len(), MAX_HEARTBEATS_PER_BATCH);
     let heartbeat = Heartbeat::build(state, round);
     let Ok(bytes) = rmp_serde::to_vec(&heartbeat) else {
         // Unreachable: the message has no types that the format refuses.
         return;
     };
-    for address in batch::select(targets, TOGETHER, turn) {
+    for address in batch::select(targets, MAX_HEARTBEATS_PER_BATCH, turn) {
         if let Err(error) = socket.send_to(&bytes, address).await {
             event::LINK_FAILED.emit(format_args!("peer={address} reason={error:?}"));
         }
@@ -219,13 +219,16 @@
     roster.hear_placed(now, &heartbeat.placed);
     drop(roster);
     for event in restarted {
-        state.apply_event(Some(event), Place::default(), "peer");
+        state.apply_event(Some(event), Position::default(), "peer");
     }
     state
         .suspicions
         .borrow_mut()
         .merge(now, &heartbeat.evidence);
-    state.rate_limiter.borrow_mut().hear(boot, &heartbeat.spent);
+    state
+        .rate_limiter
+        .borrow_mut()
+        .merge_granted(boot, &heartbeat.spent);
     state.usage.borrow_mut().hear(boot, &heartbeat.counts);
     state.merge_work(boot, &heartbeat.work);
     state
@@ -234,6 +237,6 @@
         .hear(now, boot, heartbeat.upgrades);
     for ended in &heartbeat.ended {
         let event = state.roster.borrow_mut().ended(ended);
-        state.apply_event(event, ended.place, "peer");
+        state.apply_event(event, ended.position, "peer");
     }
 }
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -8,16 +8,16 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::allowance::{self, Reach};
 use coltsfoothall::forward::choice;
+use coltsfoothall::forward::config::Route;
 use coltsfoothall::forward::duration;
-use coltsfoothall::forward::history::{Era, Fence, Place};
+use coltsfoothall::forward::history::{Era, Fence, Position};
 use coltsfoothall::forward::leader::Leader;
 use coltsfoothall::forward::order::{self, Meter};
 use coltsfoothall::forward::peer::{self, Peers, Profile};
+use coltsfoothall::forward::rate_limit::{self, Coverage};
 use coltsfoothall::forward::roster::{End, Ended, Event, Roster};
 use coltsfoothall::forward::stop::Stop;
-use coltsfoothall::forward::table::Route;
 use coltsfoothall::forward::upgrade;
 use coltsfoothall::forward::usage;
 use coltsfoothall::id;
@@ -97,7 +97,7 @@
     /// Connections to endpoints.
     pub pool: RefCell<Pool>,
     /// Rates of workspaces.
-    pub rate_limiter: RefCell<allowance::Book>,
+    pub rate_limiter: RefCell<rate_limit::Limiter>,
     /// How long answers take.
     pub durations: RefCell<duration::Table>,
     /// Services that move to another version.
@@ -267,8 +267,8 @@
 
     /// Members that share the rates.
     #[must_use]
-    pub fn reach(&self) -> Reach {
-        self.peers.borrow().reach(self.now())
+    pub fn reach(&self) -> Coverage {
+        self.peers.borrow().coverage(self.now())
     }
 
     /// Time since 1970 as most instances have it.
@@ -353,7 +353,7 @@
                     index
                 }
             };
-            meters[index].1.hear(now, boot, *micros);
+            meters[index].1.merge_work(now, boot, *micros);
         }
     }
 
@@ -376,7 +376,7 @@
     }
 
     /// Acts on a change in the list of endpoints.
-    pub fn apply_event(&self, event: Option<Event>, place: Place, source: &str) {
+    pub fn apply_event(&self, event: Option<Event>, place: Position, source: &str) {
         match event {
             None => {}
             Some(Event::Added(id)) => {
@@ -422,9 +422,12 @@
             .any(|departure| departure.ended.id == *id)
     }
 
-    fn record_departure(&self, id: id::Endpoint, place: Place) {
+    fn record_departure(&self, id: id::Endpoint, place: Position) {
         let at = self.now();
-        let ended = Ended { id, place };
+        let ended = Ended {
+            id,
+            position: place,
+        };
         self.departures.borrow_mut().push(Departure { ended, at });
     }
 
--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -1,7 +1,7 @@
 //! Services that move to another version: orders are taken over, candidates judged, and operators
 //! told.
 
-use coltsfoothall::forward::history::Place;
+use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::upgrade::{Change, Order, Stage, View};
 use coltsfoothall::id;
 use coltsfoothall_shell::event;
@@ -39,7 +39,7 @@
         "service={service} target={} limit_ms={} place={}",
         order.target,
         order.limit.as_millis(),
-        order.place
+        order.position
     );
     let mut upgrades = state.upgrades.borrow_mut();
     if !upgrades.ordered(state.now(), order) {
@@ -58,7 +58,7 @@
 /// on trial again until who acts for all reads it.
 async fn settle(state: &State, order: &Order) {
     match state.adapter.read_report(&order.service).await {
-        Ok(Some((report, place))) if place > order.place => {
+        Ok(Some((report, place))) if place > order.position => {
             if let Some(stage) = settled(&report, order) {
                 let mut upgrades = state.upgrades.borrow_mut();
                 upgrades.settled(state.now(), &order.service, stage);
@@ -107,8 +107,8 @@
 struct Record {
     service: id::Service,
     /// The order that it is about.
-    order: Place,
-    written: Option<(Report, Place)>,
+    order: Position,
+    written: Option<(Report, Position)>,
 }
 
 /// Moves services on and tells operators, while this instance acts for all.
@@ -138,7 +138,7 @@
         let now = state.now();
         let record = self.record(state, order).await?;
         if let Some((report, place)) = &record.written
-            && *place > order.place
+            && *place > order.position
             && let Some(stage) = settled(report, order)
         {
             state
@@ -170,7 +170,7 @@
         let is_written = record
             .written
             .as_ref()
-            .is_some_and(|(written, place)| *written == report && *place > order.place);
+            .is_some_and(|(written, place)| *written == report && *place > order.position);
         if is_written || state.fence().is_none() {
             return Ok(());
         }
@@ -186,7 +186,7 @@
     /// What was told of an order, read at the store the first time.
     async fn record(&mut self, state: &State, order: &Order) -> Result<&mut Record, Error> {
         let known =
-            |record: &Record| record.service == order.service && record.order == order.place;
+            |record: &Record| record.service == order.service && record.order == order.position;
         let index = match self.records.iter().position(known) {
             Some(index) => index,
             None => {
@@ -195,7 +195,7 @@
                     .retain(|record| record.service != order.service);
                 self.records.push(Record {
                     service: order.service.clone(),
-                    order: order.place,
+                    order: order.position,
                     written,
                 });
                 self.records.len() - 1
--- a/coltsfoothall/src/forward/roster.rs
+++ b/coltsfoothall/src/forward/roster.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Time;
-use crate::forward::choice::{Ask, Pick, Settings, chains, pairs};
+use crate::forward::choice::{Pick, Query, Settings, chains, pairs};
 use crate::forward::gossip::{PLACED_AGAIN, Placed, Told};
-use crate::forward::history::Place;
+use crate::forward::history::Position;
+use crate::forward::latency::{Model, Sample};
 use crate::forward::node::{Entry, Listing, Load, NEWEST, Node, Open, SLOWNESS, SUCCESS};
-use crate::forward::pace::{Pace, Sample};
 use crate::id;
 use crate::size::Millis;
 
@@ -63,7 +63,8 @@
     /// Its name.
     pub id: id::Endpoint,
     /// When; a later registration that does not leave is believed again.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub position: Position,
 }
 
 /// All endpoints.
@@ -82,9 +83,9 @@
     /// Microseconds of endpoints' time that requests from here took, by service.
     work: Vec<(id::Service, u64)>,
     /// How fast the engines are, sorted by service.
-    paces: Vec<(id::Service, Pace)>,
-    /// The pace of engines that gave no answer yet.
-    assumed: Pace,
+    latency_models: Vec<(id::Service, Model)>,
+    /// The latency model of engines that gave no answer yet.
+    assumed: Model,
     /// Endpoints that were leaving or gone at a place in the store's history; sorted by id.
     ended: Vec<Ended>,
 }
@@ -97,8 +98,8 @@
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
-            assumed: Pace::new(settings.pace),
-            paces: Vec::new(),
+            assumed: Model::new(settings.latency),
+            latency_models: Vec::new(),
             settings,
             nodes: Vec::new(),
             listings: Listing::default(),
@@ -125,9 +126,9 @@
     /// An endpoint registered, or its registration changed.
     pub fn registered(&mut self, now: Time, entry: Entry) -> Option<Event> {
         let id = entry.id.clone();
-        let leaving = entry.leaving || self.is_ended(&id, entry.place);
+        let leaving = entry.leaving || self.is_ended(&id, entry.position);
         if leaving {
-            self.note_ended(&id, entry.place);
+            self.note_ended(&id, entry.position);
         }
         let entry = Entry { leaving, ..entry };
         match self.place(&id) {
@@ -142,7 +143,7 @@
             }
             Ok(place) => {
                 let node = &mut self.nodes[place];
-                if entry.place < node.entry.place || entry.born < node.entry.born {
+                if entry.position < node.entry.position || entry.born < node.entry.born {
                     return None;
                 }
                 if entry.born > node.entry.born {
@@ -170,7 +171,7 @@
         &mut self,
         now: Time,
         id: &id::Endpoint,
-        at: Place,
+        at: Position,
         leaves: Option<Duration>,
     ) -> Option<Event> {
         let Some(node) = self.node(id) else {
@@ -180,7 +181,7 @@
         let entry = Entry {
             leaving: true,
             leaves,
-            place: at,
+            position: at,
             ..node.entry.clone()
         };
         self.registered(now, entry)
@@ -188,13 +189,13 @@
 
     /// Another instance says that an endpoint left or was leaving.
     pub fn ended(&mut self, ended: &Ended) -> Option<Event> {
-        if self.is_ended(&ended.id, ended.place) {
+        if self.is_ended(&ended.id, ended.position) {
             return None;
         }
-        self.note_ended(&ended.id, ended.place);
+        self.note_ended(&ended.id, ended.position);
         let place = self.place(&ended.id).ok()?;
         let node = &mut self.nodes[place];
-        if node.entry.leaving || node.entry.place > ended.place {
+        if node.entry.leaving || node.entry.position > ended.position {
             return None;
         }
         node.entry.leaving = true;
@@ -202,10 +203,10 @@
     }
 
     /// A registration was removed then.
-    pub fn removed(&mut self, id: &id::Endpoint, at: Place) -> Option<Event> {
+    pub fn removed(&mut self, id: &id::Endpoint, at: Position) -> Option<Event> {
         self.note_ended(id, at);
         let place = self.place(id).ok()?;
-        if self.nodes[place].entry.place > at {
+        if self.nodes[place].entry.position > at {
             return None;
         }
         self.nodes.remove(place);
@@ -239,18 +240,20 @@
     }
 
     /// A request goes to the picked endpoint.
-    pub fn began(&mut self, now: Time, pick: &Pick, ask: &Ask<'_>) -> Run {
+    pub fn began(&mut self, now: Time, pick: &Pick, query: &Query<'_>) -> Run {
         self.runs += 1;
         let load = Load {
             open: 1,
             unread: pick.unread.0,
-            pairs: pairs(ask.prompt, pick.unread),
-            memory: ask.prompt.plus(ask.answer).0,
+            pairs: pairs(query.prompt, pick.unread),
+            memory: query.prompt.plus(query.answer).0,
         };
         let number = self.runs;
-        if ask.memory.is_some() {
-            let work = self.pace(ask.service).reading(load.unread, load.pairs);
-            self.note_work(ask.service, work as u64);
+        if query.memory.is_some() {
+            let work = self
+                .latency_model(query.service)
+                .prefill(load.unread, load.pairs);
+            self.note_work(query.service, work as u64);
         }
         let mut born = Millis(0);
         let mut placed = Vec::new();
@@ -263,8 +266,8 @@
                 began: now,
                 expected: pick.wait,
             });
-            let shared = ask.parts.len().saturating_sub(1);
-            for (place, chain) in chains(ask.parts).enumerate() {
+            let shared = query.parts.len().saturating_sub(1);
+            for (place, chain) in chains(query.parts).enumerate() {
                 let is_news = !node.knows(chain, now - PLACED_AGAIN);
                 node.remember(chain, now);
                 if is_news && place < shared {
@@ -275,12 +278,12 @@
         let run = Run {
             endpoint: pick.endpoint.clone(),
             born,
-            service: ask.service.clone(),
+            service: query.service.clone(),
             load,
             number,
             began: now,
             expected: pick.wait,
-            sample: ask.memory.map(|_engine| pick.sample),
+            sample: query.memory.map(|_engine| pick.sample),
             first: false,
         };
         self.note_placed(now, &run, &placed);
@@ -299,7 +302,7 @@
             ..Load::default()
         };
         if let Some(sample) = run.sample {
-            self.pace_mut(&run.service).saw(sample, took);
+            self.latency_model_mut(&run.service).record(sample, took);
         }
         let Some(node) = self.runs_at(run) else {
             return;
@@ -316,26 +319,30 @@
     /// More events of a run's answer came.
     pub fn wrote(&mut self, run: &Run, events: u64) {
         if run.sample.is_some() {
-            let work = self.pace(&run.service).event() * events as f64;
+            let work = self.latency_model(&run.service).event() * events as f64;
             self.note_work(&run.service, work as u64);
         }
     }
 
     /// How fast the engines of a service are, as far as it is known.
     #[must_use]
-    pub fn pace(&self, service: &id::Service) -> &Pace {
-        let found = self.paces.binary_search_by(|(have, _)| have.cmp(service));
-        found.map_or(&self.assumed, |place| &self.paces[place].1)
+    pub fn latency_model(&self, service: &id::Service) -> &Model {
+        let found = self
+            .latency_models
+            .binary_search_by(|(have, _)| have.cmp(service));
+        found.map_or(&self.assumed, |place| &self.latency_models[place].1)
     }
 
-    fn pace_mut(&mut self, service: &id::Service) -> &mut Pace {
-        let found = self.paces.binary_search_by(|(have, _)| have.cmp(service));
+    fn latency_model_mut(&mut self, service: &id::Service) -> &mut Model {
+        let found = self
+            .latency_models
+            .binary_search_by(|(have, _)| have.cmp(service));
         let place = found.unwrap_or_else(|place| {
-            let pace = self.assumed.clone();
-            self.paces.insert(place, (service.clone(), pace));
+            let model = self.assumed.clone();
+            self.latency_models.insert(place, (service.clone(), model));
             place
         });
-        &mut self.paces[place].1
+        &mut self.latency_models[place].1
     }
 
     /// A run ended at its endpoint.
@@ -385,12 +392,12 @@
     }
 
     /// Whether an endpoint was leaving or gone then or later.
-    fn is_ended(&self, id: &id::Endpoint, at: Place) -> bool {
+    fn is_ended(&self, id: &id::Endpoint, at: Position) -> bool {
         let found = self.ended.binary_search_by(|ended| ended.id.cmp(id));
-        found.is_ok_and(|place| self.ended[place].place >= at)
+        found.is_ok_and(|place| self.ended[place].position >= at)
     }
 
-    fn note_ended(&mut self, id: &id::Endpoint, at: Place) {
+    fn note_ended(&mut self, id: &id::Endpoint, at: Position) {
         if self.ended.len() >= ENDED {
             let nodes = &self.nodes;
             self.ended
@@ -399,11 +406,11 @@
         match self.ended.binary_search_by(|ended| ended.id.cmp(id)) {
             Ok(place) => {
                 let ended = &mut self.ended[place];
-                ended.place = ended.place.max(at);
+                ended.position = ended.position.max(at);
             }
             Err(place) => {
                 let id = id.clone();
-                self.ended.insert(place, Ended { id, place: at });
+                self.ended.insert(place, Ended { id, position: at });
             }
         }
     }
