--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -10,50 +10,50 @@
 use coltsfoothall::forward::usage::{Count, Snapshot};
 use coltsfoothall_shell::event;
 
-use crate::border::{Actor, Error, Realm, Write};
+use crate::adapter::{Error, Keyspace, Leadership, Write};
 use crate::calls::Call;
-use crate::orders::Buyer;
+use crate::membership::{self, LEADER_KEY, MEMBER_PREFIX};
+use crate::orders::Autoscaler;
 use crate::registrations;
 use crate::state::State;
 use crate::time;
 use crate::upgrades::Driver;
-use crate::watch::{self, LEADER, MEMBER};
 
 /// Term of a registration; a killed instance counts as a member for so long at most.
-const TERM: Duration = Duration::from_secs(6);
+const REGISTRATION_TTL: Duration = Duration::from_secs(6);
 /// Time between renewals of a registration.
-const RENEW: Duration = Duration::from_secs(2);
+const RENEW_INTERVAL: Duration = Duration::from_secs(2);
 /// Time over which registrations that have to be made anew are spread: 330 instances make 660
 /// writes a second then, a fifth of the store's rate, and callers keep addresses for longer.
-const SPREAD: Duration = Duration::from_millis(1_000);
+const MAX_REGISTRATION_JITTER: Duration = Duration::from_millis(1_000);
 /// Time between looks at the election; a third of the shortest term.
-const LOOK: Duration = Duration::from_millis(300);
+const TICK_INTERVAL: Duration = Duration::from_millis(300);
 /// Wait after a window's end until its counts have surely arrived here.
-const SETTLE: Duration = Duration::from_millis(1_200);
+const WINDOW_SETTLE_DELAY: Duration = Duration::from_millis(1_200);
 /// Time between notes of the counts: what is lost with all instances at once is as much.
-const NOTE: Duration = Duration::from_millis(800);
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(800);
 /// Name of that note.
-const COUNTS: &str = "tally";
+const SNAPSHOT_NAME: &str = "tally";
 /// Notes of reports that are kept at the store.
-const NOTES: u64 = 6;
+const MAX_KEPT_REPORTS: u64 = 6;
 
 /// Keeps this instance registered until it stops.
 pub async fn register(state: Rc<State>) {
     let mut lease: Option<Lease> = None;
     while !state.stopping.is_cancelled() {
-        let former = lease.take_if(|lease| Some(lease.era) < state.era());
-        if former.is_some() {
+        let outdated = lease.take_if(|lease| Some(lease.era) < state.era());
+        if outdated.is_some() {
             // All instances find their registration gone in the same moment.
-            pause(&state, SPREAD.mul_f64(rand::random())).await;
+            pause(&state, MAX_REGISTRATION_JITTER.mul_f64(rand::random())).await;
             continue;
         }
         let asked = state.now();
         let outcome = match lease {
             Some(lease) => {
                 state.calls.count(Call::Renew);
-                state.border.renew(lease).await
+                state.adapter.renew_lease(lease).await
             }
-            None => match enter(&state).await {
+            None => match create_registration(&state).await {
                 Ok(taken) => {
                     lease = Some(taken);
                     Ok(())
@@ -61,27 +61,27 @@
                 Err(error) => Err(error),
             },
         };
-        watch::note(
+        membership::record_call(
             &state,
             asked,
             matches!(outcome, Ok(()) | Err(Error::Missing(_))),
         );
         let wait = match outcome {
-            Ok(()) => renew_after(&state),
+            Ok(()) => renew_interval(&state),
             Err(Error::Missing(_)) => {
                 lease = None;
-                LOOK
+                TICK_INTERVAL
             }
             Err(error) => {
                 event::STORE_FAILED.emit(format_args!("step=register reason={error:?}"));
-                LOOK * 3
+                TICK_INTERVAL * 3
             }
         };
-        state.look_at_era();
+        state.refresh_era();
         pause(&state, wait).await;
     }
     if let Some(lease) = lease
-        && let Err(error) = state.border.end(lease).await
+        && let Err(error) = state.adapter.revoke_lease(lease).await
     {
         event::STORE_FAILED.emit(format_args!("step=withdraw reason={error:?}"));
     }
@@ -89,11 +89,11 @@
 
 /// Time until the next renewal. Its answer also shows others how old is what a reader of
 /// registrations tells them.
-fn renew_after(state: &State) -> Duration {
+fn renew_interval(state: &State) -> Duration {
     if registrations::reads_for_others(state) {
-        RENEW.min(registrations::budget(state).oldest / 2)
+        RENEW_INTERVAL.min(registrations::budget(state).oldest / 2)
     } else {
-        RENEW
+        RENEW_INTERVAL
     }
 }
 
@@ -101,34 +101,34 @@
 async fn pause(state: &State, wait: Duration) {
     tokio::select! {
         () = tokio::time::sleep(wait) => {}
-        () = state.risen.notified() => {}
+        () = state.era_changed.notified() => {}
         () = state.stopping.cancelled() => {}
     }
 }
 
-async fn enter(state: &State) -> Result<Lease, Error> {
+async fn create_registration(state: &State) -> Result<Lease, Error> {
     state.calls.count(Call::Lease);
-    let lease = state.border.lease(TERM).await?;
+    let lease = state.adapter.grant_lease(REGISTRATION_TTL).await?;
     let profile = serde_json::to_vec(&state.profile())
         .map_err(|error| Error::Format("register", error.to_string()))?;
-    let name = format!("live/{MEMBER}{}", state.name);
+    let name = format!("live/{MEMBER_PREFIX}{}", state.name);
     let write = Write {
         puts: vec![(name, profile.into(), Some(lease))],
         ..Write::default()
     };
     state.calls.count(Call::Write);
-    state.border.write(write).await?;
+    state.adapter.write(write).await?;
     Ok(lease)
 }
 
 /// Takes part in the election.
 ///
 /// Leases are timed by the machine's clock that counts suspension too.
-pub async fn stand(state: Rc<State>) {
+pub async fn campaign(state: Rc<State>) {
     let mut renew_at = Time::START;
     loop {
-        tokio::time::sleep(LOOK).await;
-        state.look_at_era();
+        tokio::time::sleep(TICK_INTERVAL).await;
+        state.refresh_era();
         let now = time::boot();
         let rank = {
             let peers = state.peers.borrow();
@@ -150,10 +150,10 @@
 
 /// Acts while this instance is the holder. It waits for answers apart from the
 /// election: one that took longer than the lease would cost the duty otherwise.
-pub async fn act(state: Rc<State>) {
+pub async fn run_leader(state: Rc<State>) {
     let mut term: Option<Term> = None;
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         let Some(fence) = state.fence() else {
             term = None;
             continue;
@@ -162,9 +162,9 @@
             Some(term) if term.fence == fence => term,
             other => other.insert(Term::new(fence)),
         };
-        term.driver.advance(&state).await;
-        term.reporter.report(&state).await;
-        term.buyer.order(&state).await;
+        term.driver.tick(&state).await;
+        term.reporter.tick(&state).await;
+        term.autoscaler.tick(&state).await;
     }
 }
 
@@ -173,7 +173,7 @@
 struct Term {
     fence: Fence,
     reporter: Reporter,
-    buyer: Buyer,
+    autoscaler: Autoscaler,
     driver: Driver,
 }
 
@@ -182,7 +182,7 @@
         Self {
             fence,
             reporter: Reporter::default(),
-            buyer: Buyer::default(),
+            autoscaler: Autoscaler::default(),
             driver: Driver::default(),
         }
     }
@@ -192,21 +192,21 @@
     let term = state.settings().bounds.lease.duration();
     let asked = time::boot();
     state.calls.count(Call::Lease);
-    let lease = match state.border.lease(term).await {
+    let lease = match state.adapter.grant_lease(term).await {
         Ok(lease) => lease,
         Err(error) => {
             event::STORE_FAILED.emit(format_args!("step=lease reason={error:?}"));
             return;
         }
     };
-    let key = format!("live/{LEADER}");
+    let key = format!("live/{LEADER_KEY}");
     let write = Write {
         absent: vec![key.clone()],
         puts: vec![(key, Bytes::from(state.name.to_string()), Some(lease))],
         deletes: Vec::new(),
     };
     state.calls.count(Call::Write);
-    match state.border.write(write).await {
+    match state.adapter.write(write).await {
         Ok(created) => {
             state.leader.borrow_mut().claimed(asked, lease, created);
             let fence = Fence::from(created);
@@ -216,7 +216,7 @@
             event::LEADER.emit(format_args!("state=not_holder reason={error:?}"));
             // Whatever became of the write, without its lease the key cannot stand.
             state.calls.count(Call::Lease);
-            if let Err(error) = state.border.end(lease).await {
+            if let Err(error) = state.adapter.revoke_lease(lease).await {
                 event::STORE_FAILED.emit(format_args!("step=end_lease reason={error:?}"));
             }
         }
@@ -226,7 +226,7 @@
 async fn renew(state: &State, lease: Lease) {
     let asked = time::boot();
     state.calls.count(Call::Renew);
-    match state.border.renew(lease).await {
+    match state.adapter.renew_lease(lease).await {
         Ok(()) => state.leader.borrow_mut().renewed(asked, lease),
         Err(Error::Missing(_)) => {
             state.leader.borrow_mut().lost();
@@ -241,7 +241,7 @@
 async fn release(state: &State, lease: Lease) {
     state.leader.borrow_mut().lost();
     state.calls.count(Call::Lease);
-    match state.border.end(lease).await {
+    match state.adapter.revoke_lease(lease).await {
         Ok(()) => event::LEADER.emit(format_args!("state=released lease={lease}")),
         Err(error) => event::STORE_FAILED.emit(format_args!("step=release reason={error:?}")),
     }
@@ -251,31 +251,31 @@
 #[derive(Debug, Default)]
 struct Reporter {
     /// Whether the notes of the holder before were read.
-    informed: bool,
+    restored: bool,
     /// When the counts were noted last.
-    noted: Time,
+    saved_at: Time,
 }
 
 impl Reporter {
     /// Takes over the counts that the holder before noted, and notes them from now on, so
     /// that they outlast the loss of all instances at once.
-    async fn keep_counts(&mut self, state: &State) -> Result<(), Error> {
-        if !self.informed {
-            state.calls.count(Call::List(Realm::Notes));
-            let listing = state.border.list(Realm::Notes).await?;
-            let item = listing.items.iter().find(|item| item.name == COUNTS);
+    async fn save_counts(&mut self, state: &State) -> Result<(), Error> {
+        if !self.restored {
+            state.calls.count(Call::List(Keyspace::Notes));
+            let listing = state.adapter.list(Keyspace::Notes).await?;
+            let item = listing.items.iter().find(|item| item.name == SNAPSHOT_NAME);
             if let Some(value) = item.and_then(|item| item.value.as_ref()) {
                 let snapshot: Snapshot = rmp_serde::from_slice(value)
                     .map_err(|error| Error::Format("read counts", error.to_string()))?;
                 state.usage.borrow_mut().restore(&snapshot);
             }
-            self.informed = true;
+            self.restored = true;
         }
         let now = state.now();
-        if now.since(self.noted) < NOTE {
+        if now.since(self.saved_at) < SNAPSHOT_INTERVAL {
             return Ok(());
         }
-        self.noted = now;
+        self.saved_at = now;
         let window = {
             let time = state.true_time();
             state.usage.borrow().window(time)
@@ -284,20 +284,20 @@
         let value = rmp_serde::to_vec(&snapshot)
             .map_err(|error| Error::Format("note counts", error.to_string()))?;
         let write = Write {
-            puts: vec![(format!("notes/{COUNTS}"), value.into(), None)],
+            puts: vec![(format!("notes/{SNAPSHOT_NAME}"), value.into(), None)],
             ..Write::default()
         };
         state.calls.count(Call::Write);
-        state.border.write(write).await.map(drop)
+        state.adapter.write(write).await.map(drop)
     }
 
-    async fn report(&mut self, state: &State) {
+    async fn tick(&mut self, state: &State) {
         if !state.settings().duties.iter().any(|duty| duty == "usage") {
             return;
         }
-        if let Err(error) = self.keep_counts(state).await {
+        if let Err(error) = self.save_counts(state).await {
             event::STORE_FAILED.emit(format_args!("step=counts reason={error:?}"));
-            if !self.informed {
+            if !self.restored {
                 return;
             }
         }
@@ -315,11 +315,11 @@
         let from = state.reported().map_or(first, |done| (done + 1).max(first));
         for window in from..current {
             let end = state.usage.borrow().end(window);
-            if time < end + SETTLE {
+            if time < end + WINDOW_SETTLE_DELAY {
                 return;
             }
             match self.send(state, window).await {
-                Ok(()) => state.note_reported(window),
+                Ok(()) => state.record_reported(window),
                 Err(error) => {
                     event::USAGE.emit(format_args!("window={window} reason={error:?}"));
                     if matches!(error, Error::Conflict(_)) {
@@ -335,23 +335,26 @@
     async fn send(&mut self, state: &State, window: u64) -> Result<(), Error> {
         let counts = state.usage.borrow().sum(window);
         let fence = state.fence().ok_or(Error::Conflict("report"))?;
-        let counts = note(state, window, counts).await?;
+        let counts = store_report(state, window, counts).await?;
         let fence = state
             .fence()
             .filter(|now| *now == fence)
             .ok_or(Error::Conflict("report"))?;
-        let actor = Actor {
+        let leadership = Leadership {
             instance: &state.name,
             fence,
         };
-        state.border.usage(actor, window, &counts).await?;
+        state
+            .adapter
+            .report_usage(leadership, window, &counts)
+            .await?;
         let runs: u64 = counts.iter().map(|count| count.runs).sum();
         event::USAGE.emit(format_args!("window={window} runs={runs} fence={fence}"));
         Ok(())
     }
 }
 
-async fn note(state: &State, window: u64, counts: Vec<Count>) -> Result<Vec<Count>, Error> {
+async fn store_report(state: &State, window: u64, counts: Vec<Count>) -> Result<Vec<Count>, Error> {
     let name = format!("usage/{window}");
     let key = format!("notes/{name}");
     let value =
@@ -359,14 +362,17 @@
     let write = Write {
         absent: vec![key.clone()],
         puts: vec![(key, value.into(), None)],
-        deletes: vec![format!("notes/usage/{}", window.saturating_sub(NOTES))],
+        deletes: vec![format!(
+            "notes/usage/{}",
+            window.saturating_sub(MAX_KEPT_REPORTS)
+        )],
     };
     state.calls.count(Call::Write);
-    match state.border.write(write).await {
+    match state.adapter.write(write).await {
         Ok(_revision) => Ok(counts),
         Err(Error::Conflict(_)) => {
-            state.calls.count(Call::List(Realm::Notes));
-            let listing = state.border.list(Realm::Notes).await?;
+            state.calls.count(Call::List(Keyspace::Notes));
+            let listing = state.adapter.list(Keyspace::Notes).await?;
             let item = listing.items.iter().find(|item| item.name == name);
             let value = item.and_then(|item| item.value.as_ref());
             let value = value.ok_or(Error::Missing("note"))?;
--- a/coltsfoothall-forward/src/report.rs
+++ b/coltsfoothall-forward/src/report.rs
@@ -9,14 +9,14 @@
 use crate::state::State;
 
 /// Rank from which a request is batch work in the metrics.
-const BATCH: u8 = 5;
+const MIN_BATCH_RANK: u8 = 5;
 
 impl State {
     /// Labels of a request for its metrics. A request is interactive here unless its rank
     /// is the last of three.
     #[must_use]
     pub fn labels(&self, workspace: &id::Workspace, rank: u8) -> Labels {
-        let class = if rank < BATCH {
+        let class = if rank < MIN_BATCH_RANK {
             Class::Interactive
         } else {
             Class::Batch
@@ -25,7 +25,7 @@
     }
 
     /// A request ended with this status.
-    pub fn ended(&self, labels: &Labels, status: u16, begun: Time) {
+    pub fn record_ended(&self, labels: &Labels, status: u16, begun: Time) {
         let (code, outcome) = match status {
             200..=299 => ("ok", "done"),
             429 => ("over_rate", "not_run"),
@@ -45,7 +45,7 @@
     }
 
     /// Logs how many requests ended well since the last time, and what is known now.
-    pub fn sum_up(&self) {
+    pub fn log_summary(&self) {
         let served = self.served.take();
         let reach = self.reach();
         event::SERVED.emit(format_args!(
@@ -60,7 +60,7 @@
     }
 
     /// Sets the gauges from what is known now.
-    pub fn gauge(&self) {
+    pub fn update_gauges(&self) {
         let roster = self.roster.borrow();
         let leaving = roster.nodes().iter().filter(|node| node.entry.leaving);
         let leaving = leaving.count() as u64;
--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -10,7 +10,7 @@
 use coltsfoothall::catalog::{Catalog, Revision, Workspace};
 use coltsfoothall::choice::{Endpoint, Query, Router, Settings};
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Sight, duties};
+use coltsfoothall::duty::{Context, duties};
 use coltsfoothall::id;
 use coltsfoothall::index::{Change, Event};
 use coltsfoothall::key::Slot;
@@ -20,8 +20,8 @@
 use coltsfoothall::prefix::Block;
 use coltsfoothall::record::Class;
 use coltsfoothall::size::{Price, Rate, Tokens};
-use coltsfoothall::slot::{Candidate, Process, SLOTS, Table};
-use coltsfoothall::stall::{self, Watch};
+use coltsfoothall::slot::{Candidate, Process, SLOT_COUNT, Table};
+use coltsfoothall::stall::{self, Monitor};
 use coltsfoothall::weight::Risk;
 
 /// Number of failure domains at the size the system is designed for.
@@ -128,7 +128,7 @@
 fn membership(members: usize) {
     measure_memory(&format!("members={members} table"), || table_of(members));
     let mut table = table_of(members);
-    let mut watch = Watch::new(at(0), stall::Settings::default());
+    let mut watch = Monitor::new(at(0), stall::Settings::default());
     measure(&format!("members={members} heartbeat"), |round| {
         black_box(table.heartbeat(at(20 + round as u64)));
     });
@@ -143,7 +143,7 @@
     });
     measure(&format!("members={members} expire"), |round| {
         let now = at(200 + round as u64);
-        watch.heard(now);
+        watch.record_message(now);
         watch.tick(now);
         black_box(table.expire(now, &watch));
     });
@@ -166,8 +166,8 @@
 
 /// A table in which each slot has a primary and a backup.
 fn backed(all: &[Candidate]) -> Table {
-    let mut table = Table::first(SLOTS, all).expect("there are candidates");
-    for number in 0..SLOTS {
+    let mut table = Table::first(SLOT_COUNT, all).expect("there are candidates");
+    for number in 0..SLOT_COUNT {
         let slot = Slot(number);
         let backup = table.backup_for(slot, all);
         let entry = table.entry(slot).expect("it is in the table").clone();
@@ -194,13 +194,13 @@
         black_box(read.is_ok());
     });
     measure(&format!("members={members} slot_table_change"), |round| {
-        let slot = Slot(round as u16 % SLOTS);
+        let slot = Slot(round as u16 % SLOT_COUNT);
         let entry = table.entry(slot).expect("it is in the table");
         black_box(table.claim(slot, entry.epoch, &entry.primary).is_ok());
     });
     let me = &all[members - 1].instance;
     let ledger = Ledger::new(me.clone(), ledger::Settings::default());
-    let sight = Sight {
+    let context = Context {
         me,
         table: &table,
         ledger: &ledger,
@@ -211,10 +211,10 @@
         settled: true,
     };
     measure(&format!("members={members} duties"), |_| {
-        black_box(duties(black_box(&sight)));
+        black_box(duties(black_box(&context)));
     });
     measure(&format!("members={members} backup_for"), |round| {
-        black_box(table.backup_for(Slot(round as u16 % SLOTS), &all));
+        black_box(table.backup_for(Slot(round as u16 % SLOT_COUNT), &all));
     });
 }
 
--- a/coltsfoothall/src/member.rs
+++ b/coltsfoothall/src/member.rs
@@ -17,7 +17,7 @@
 use crate::id;
 use crate::size::{Bytes, Millis};
 use crate::slot::Candidate;
-use crate::stall::{Verdict, Watch};
+use crate::stall::{Monitor, Verdict};
 
 pub use crate::digest::{
     Address, Addresses, DEATH_SIZE, DIGEST_SIZE, Death, Digest, HEARTBEAT_SIZE, Heartbeat,
@@ -218,7 +218,7 @@
 
     /// Checks the monitored members for silence. It must be called once per control tick,
     /// after the tick of `watch`.
-    pub fn expire(&mut self, now: Time, watch: &Watch) -> Vec<Event> {
+    pub fn expire(&mut self, now: Time, watch: &Monitor) -> Vec<Event> {
         let retention = self.settings.retention;
         let expired = |dead: Time| now.since(dead) >= retention;
         self.members
--- a/coltsfoothall/src/replica.rs
+++ b/coltsfoothall/src/replica.rs
@@ -14,7 +14,7 @@
 use crate::record::{Cause, Change, End, Name, Record};
 
 pub use crate::copy::{
-    Ack, Broken, Chunk, Holder, Life, Row, Seq, Step, Stub, Taken, Unsure, Update, Whole,
+    Ack, Broken, Chunk, Holder, Life, Row, Seq, Step, Taken, Tombstone, Unsure, Update, Whole,
 };
 
 /// Another copy, as the owner sees it.
@@ -47,7 +47,7 @@
 
 /// What an owner keeps beyond the records.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) struct Owner {
+pub(crate) struct Primary {
     /// The copy that may take over.
     pub(crate) backup: Option<Link>,
     /// A copy being made: where, its number and its last change.
@@ -59,7 +59,7 @@
     /// All changes up to here may have their effect.
     pub(crate) released: Seq,
     /// Idempotent work goes on without the backup.
-    pub(crate) alone: bool,
+    pub(crate) unreplicated: bool,
     /// The process that held the backup is gone, and may have taken the slot over before. Until
     /// the table is written from here, only idempotent work has its effect.
     pub(crate) contested: bool,
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Role {
     /// The owner.
-    Owner(Owner),
+    Primary(Primary),
     /// The second copy that may take over from `primary`.
     Backup { primary: id::Instance },
     /// A copy of `primary`'s that the table does not name yet.
@@ -112,9 +112,9 @@
     Confirmed(Time),
 }
 
-/// A stub by its holder's clock.
+/// A tombstone by its holder's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Mark {
+pub(crate) struct TimedTombstone {
     pub(crate) hash: u64,
     pub(crate) since: Time,
 }
@@ -141,7 +141,7 @@
     pub(crate) source: Option<Source>,
     pub(crate) seq: Seq,
     pub(crate) items: Vec<Item>,
-    pub(crate) stubs: Vec<Mark>,
+    pub(crate) tombstones: Vec<TimedTombstone>,
     pub(crate) cold: Epoch,
     pub(crate) cold_since: Option<Time>,
     /// Whether the claim is so young that the owner before may still tell "not run".
@@ -187,7 +187,7 @@
     }
 }
 
-impl Owner {
+impl Primary {
     /// The copies that are kept in step. A new copy that the backup's process has in place of
     /// one that is gone stands in for it.
     pub(crate) fn links(&self) -> impl Iterator<Item = &Link> {
@@ -211,7 +211,7 @@
 
     /// Whether idempotent work may have its effect although the change `seq` is not released.
     fn unreleased(&self, seq: Seq) -> bool {
-        self.alone || self.contested && self.held().is_none_or(|held| seq <= held)
+        self.unreplicated || self.contested && self.held().is_none_or(|held| seq <= held)
     }
 
     /// Moves `released` up to what all copies hold; it never falls.
@@ -220,7 +220,7 @@
         if !self.contested {
             self.released = self.released.max(held);
         }
-        self.alone &= held < seq;
+        self.unreplicated &= held < seq;
         let cut = self.copying.as_ref().map_or(held, |copying| copying.seq);
         self.unacked.retain(|update| update.seq > held.min(cut));
     }
@@ -259,7 +259,7 @@
             source: None,
             seq: Seq(0),
             items: Vec::new(),
-            stubs: Vec::new(),
+            tombstones: Vec::new(),
             cold: epoch,
             cold_since: None,
             young: false,
@@ -277,7 +277,7 @@
     /// Applies a change and numbers it.
     pub(crate) fn apply(&mut self, now: Time, name: &Name, change: Change) -> Result<Seq, Broken> {
         let seq = self.seq.next();
-        let owner = matches!(self.role, Role::Owner(_));
+        let owner = matches!(self.role, Role::Primary(_));
         match (self.find(name), change) {
             (Err(at), Change::Accept(intake)) => {
                 let record = Box::new(Record::new(*intake));
@@ -327,7 +327,11 @@
         begun
             .map(|record| {
                 let unknown = End::Unknown(Cause::OwnerLost);
-                let end = if record.whole() { End::Done } else { unknown };
+                let end = if record.is_complete() {
+                    End::Done
+                } else {
+                    unknown
+                };
                 (record.intake.name.clone(), end)
             })
             .collect()
@@ -347,9 +351,9 @@
                 self.epoch = update.epoch;
                 None
             }
-            Role::Owner(_) | Role::Backup { .. } if later => Some(Ack::Gap(self.seq.next())),
+            Role::Primary(_) | Role::Backup { .. } if later => Some(Ack::Gap(self.seq.next())),
             Role::Learner { .. } if later => Some(Ack::Missing),
-            Role::Owner(_) => Some(Ack::Sealed(self.epoch)),
+            Role::Primary(_) => Some(Ack::Sealed(self.epoch)),
             Role::Backup { .. } | Role::Learner { .. } if self.sealed => {
                 Some(Ack::Sealed(self.epoch))
             }
@@ -385,7 +389,7 @@
         };
         let mut to = Vec::new();
         match &mut self.role {
-            Role::Owner(owner) => {
+            Role::Primary(owner) => {
                 to.extend(owner.links().map(|link| link.peer.clone()));
                 if !to.is_empty() || owner.copying.is_some() {
                     owner.unacked.push(update.clone());
@@ -417,7 +421,7 @@
         };
         let idempotent = item.record.intake.idempotent;
         match &self.role {
-            Role::Owner(owner) => {
+            Role::Primary(owner) => {
                 let early = idempotent && owner.unreleased(seq);
                 self.leads() && (seq <= owner.released || early)
             }
@@ -428,34 +432,35 @@
 
     /// Whether this copy is its owner's and nothing speaks against it.
     pub(crate) fn leads(&self) -> bool {
-        matches!(self.role, Role::Owner(_)) && !self.sealed && !self.told
+        matches!(self.role, Role::Primary(_)) && !self.sealed && !self.told
     }
 
     /// Whether every change is held by every other copy, and no more are made.
     pub(crate) fn drained(&self) -> bool {
-        let Role::Owner(owner) = &self.role else {
+        let Role::Primary(owner) = &self.role else {
             return false;
         };
         if !self.draining || self.doubts() {
             return false;
         }
         let whole = owner.links().all(|link| link.acked == self.seq);
-        whole && (owner.renewed().is_some() || !owner.alone)
+        whole && (owner.renewed().is_some() || !owner.unreplicated)
     }
 
     /// Whether a request of this name ended and was dropped.
-    pub(crate) fn stub(&self, hash: u64) -> bool {
-        self.stubs
-            .binary_search_by_key(&hash, |stub| stub.hash)
+    pub(crate) fn has_tombstone(&self, hash: u64) -> bool {
+        self.tombstones
+            .binary_search_by_key(&hash, |tombstone| tombstone.hash)
             .is_ok()
     }
 
-    /// Drops records that ended before `keep`, and stubs since before `names`.
+    /// Drops records that ended before `keep`, and tombstones since before `names`.
     pub(crate) fn retire(&mut self, now: Time, keep: Duration, names: Duration, most: usize) {
         let old = |item: &Item| item.ended.is_some_and(|ended| now.since(ended) >= keep);
         let dropped: Vec<_> = self.items.extract_if(.., |item| old(item)).collect();
         self.bury(now, dropped);
-        self.stubs.retain(|stub| now.since(stub.since) < names);
+        self.tombstones
+            .retain(|tombstone| now.since(tombstone.since) < names);
         self.cap(most);
     }
 
@@ -479,7 +484,7 @@
     /// The last change that the other copies hold, as far as it matters here.
     fn held(&self) -> Seq {
         match &self.role {
-            Role::Owner(owner) => owner.released,
+            Role::Primary(owner) => owner.released,
             Role::Backup { .. } | Role::Learner { .. } => self.seq,
         }
     }
@@ -494,24 +499,31 @@
         }
     }
 
-    /// Keeps the youngest `most` stubs.
+    /// Keeps the youngest `most` tombstones.
     fn cap(&mut self, most: usize) {
-        if self.stubs.len() > most {
-            let mut since: Vec<_> = self.stubs.iter().map(|stub| stub.since).collect();
+        if self.tombstones.len() > most {
+            let mut since: Vec<_> = self
+                .tombstones
+                .iter()
+                .map(|tombstone| tombstone.since)
+                .collect();
             since.sort_unstable();
             let limit = since[since.len() - most];
-            self.stubs.retain(|stub| stub.since >= limit);
+            self.tombstones.retain(|tombstone| tombstone.since >= limit);
         }
     }
 
     fn remember(&mut self, hash: u64, since: Time) {
-        if let Err(at) = self.stubs.binary_search_by_key(&hash, |stub| stub.hash) {
-            self.stubs.insert(at, Mark { hash, since });
+        if let Err(at) = self
+            .tombstones
+            .binary_search_by_key(&hash, |tombstone| tombstone.hash)
+        {
+            self.tombstones.insert(at, TimedTombstone { hash, since });
         }
     }
 }
 
-/// Hash of a request's name for its stub.
+/// Hash of a request's name for its tombstone.
 pub(crate) fn name_hash(name: &Name) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(name.workspace.as_str().as_bytes());
--- a/coltsfoothall/src/safety.rs
+++ b/coltsfoothall/src/safety.rs
@@ -10,14 +10,16 @@
 impl Ledger {
     /// Why a new non-idempotent request is not taken in, if it is not.
     pub(crate) fn refusal(&self, now: Time, intake: &Intake, replica: &Replica) -> Option<Begin> {
-        if replica.stub(name_hash(&intake.name)) {
+        if replica.has_tombstone(name_hash(&intake.name)) {
             return Some(Begin::Retired);
         }
         if self.lost(now, intake, replica) {
             return Some(Begin::Lost);
         }
         let backed = match &replica.role {
-            Role::Owner(owner) => owner.backup.is_some() && !owner.alone && !owner.contested,
+            Role::Primary(owner) => {
+                owner.backup.is_some() && !owner.unreplicated && !owner.contested
+            }
             Role::Backup { .. } | Role::Learner { .. } => false,
         };
         let known = self.known(now, intake, self.settings.retention / 2);
@@ -63,7 +65,7 @@
     pub(crate) fn safe(&self, now: Time, item: &Item, replica: &Replica, change: &Change) -> bool {
         let intake = &item.record.intake;
         let owner = match &replica.role {
-            Role::Owner(owner) => Some(owner).filter(|owner| !owner.alone),
+            Role::Primary(owner) => Some(owner).filter(|owner| !owner.unreplicated),
             Role::Backup { .. } | Role::Learner { .. } => None,
         };
         match change {
@@ -71,7 +73,7 @@
             Change::Sent { .. } if !intake.idempotent => {
                 owner.is_some() && self.known(now, intake, self.settings.retention)
             }
-            _ => intake.idempotent || matches!(replica.role, Role::Owner(_)),
+            _ => intake.idempotent || matches!(replica.role, Role::Primary(_)),
         }
     }
 
@@ -95,9 +97,9 @@
             until = Some(at);
         }
         if let Some(until) = until {
-            let stubs = self.settings.stubs;
+            let tombstones = self.settings.tombstones;
             let replicas = self.replicas.iter_mut();
-            replicas.for_each(|replica| replica.shed(now, until, stubs));
+            replicas.for_each(|replica| replica.shed(now, until, tombstones));
         }
         self.bytes().0 < most
     }
--- a/coltsfoothall/src/transfer.rs
+++ b/coltsfoothall/src/transfer.rs
@@ -9,18 +9,18 @@
 use crate::key::Slot;
 use crate::ledger::Ledger;
 use crate::replica::{
-    Broken, Chunk, Copying, Doubt, Holder, Item, Link, Mark, Replica, Role, Row, Seq, Source, Stub,
-    Taken, Unsure, Update, Whole, Word,
+    Broken, Chunk, Copying, Doubt, Holder, Item, Link, Replica, Role, Row, Seq, Source, Taken,
+    TimedTombstone, Tombstone, Unsure, Update, Whole, Word,
 };
 use crate::size::Millis;
 use crate::slot::Process;
 
 /// Bytes of records in a piece, beyond the first record; it keeps a copy from
 /// blocking the connection for requests.
-pub const CHUNK: usize = 64 << 10;
+pub const MAX_CHUNK_BYTES: usize = 64 << 10;
 
-/// Stubs in a piece, for the same reason.
-pub const STUBS: usize = 4096;
+/// Tombstones in a piece, for the same reason.
+pub const MAX_TOMBSTONES_PER_CHUNK: usize = 4096;
 
 /// A copy that is on its way here.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
             copy: Some(copy),
         };
         let replica = self.replica_mut(slot).filter(|replica| !replica.sealed)?;
-        let Role::Owner(owner) = &mut replica.role else {
+        let Role::Primary(owner) = &mut replica.role else {
             return None;
         };
         owner.learner = None;
@@ -73,7 +73,7 @@
             return false;
         }
         if let Some(replica) = self.replica_mut(slot)
-            && let Role::Owner(owner) = &mut replica.role
+            && let Role::Primary(owner) = &mut replica.role
         {
             owner.copying = None;
             owner.learner = None;
@@ -86,7 +86,7 @@
     #[must_use]
     pub fn learner(&self, slot: Slot) -> Option<&id::Instance> {
         match &self.replica(slot)?.role {
-            Role::Owner(owner) => owner.learner.as_ref().map(|link| &link.peer),
+            Role::Primary(owner) => owner.learner.as_ref().map(|link| &link.peer),
             Role::Backup { .. } | Role::Learner { .. } => None,
         }
     }
@@ -107,7 +107,7 @@
         let Some(replica) = self.replica_mut(slot).filter(|replica| !replica.sealed) else {
             return Ok(None);
         };
-        let Role::Owner(owner) = &mut replica.role else {
+        let Role::Primary(owner) = &mut replica.role else {
             return Ok(None);
         };
         let Some(copying) = owner
@@ -140,7 +140,7 @@
     /// The process of `peer` that holds a copy of an owned slot, to be named in the table.
     #[must_use]
     pub fn process(&self, slot: Slot, peer: &id::Instance) -> Option<Process> {
-        let Role::Owner(owner) = &self.replica(slot)?.role else {
+        let Role::Primary(owner) = &self.replica(slot)?.role else {
             return None;
         };
         let link = owner.links().find(|link| link.peer == *peer)?;
@@ -156,7 +156,7 @@
         let Some(replica) = self.replica(slot).filter(|replica| !replica.sealed) else {
             return false;
         };
-        let Role::Owner(owner) = &replica.role else {
+        let Role::Primary(owner) = &replica.role else {
             return false;
         };
         let mut links = owner.learner.iter().filter(|link| link.peer == *to);
@@ -256,8 +256,8 @@
         let sealed = Some(Taken::Sealed(self.epoch));
         match self.role {
             _ if self.epoch > chunk.epoch => sealed,
-            Role::Owner(_) if self.epoch == chunk.epoch => sealed,
-            Role::Owner(_) => Some(Taken::More(0)),
+            Role::Primary(_) if self.epoch == chunk.epoch => sealed,
+            Role::Primary(_) => Some(Taken::More(0)),
             Role::Backup { .. } if self.epoch == chunk.epoch && self.sealed => sealed,
             Role::Backup { .. } | Role::Learner { .. } => None,
         }
@@ -309,10 +309,12 @@
         replica.items.extend(rows);
         let added = replica.items[first..].iter().map(|item| item.record.size());
         replica.bytes += added.sum::<usize>();
-        replica.stubs.extend(chunk.stubs.iter().map(|stub| Mark {
-            hash: stub.hash,
-            since: now - stub.age.duration(),
-        }));
+        replica
+            .tombstones
+            .extend(chunk.tombstones.iter().map(|tombstone| TimedTombstone {
+                hash: tombstone.hash,
+                since: now - tombstone.age.duration(),
+            }));
         self.next += 1;
     }
 }
@@ -353,12 +355,12 @@
             age: age(doubt.since),
         }),
         rows: Vec::new(),
-        stubs: Vec::new(),
+        tombstones: Vec::new(),
     };
     let mut chunks = vec![empty(0)];
     let mut bytes = 0;
     for item in &replica.items {
-        if bytes > 0 && bytes + item.record.size() > CHUNK {
+        if bytes > 0 && bytes + item.record.size() > MAX_CHUNK_BYTES {
             chunks.push(empty(chunks.len()));
             bytes = 0;
         }
@@ -371,13 +373,13 @@
         let last = chunks.len() - 1;
         chunks[last].rows.push(row);
     }
-    for stubs in replica.stubs.chunks(STUBS) {
+    for tombstones in replica.tombstones.chunks(MAX_TOMBSTONES_PER_CHUNK) {
         let mut chunk = empty(chunks.len());
-        let stubs = stubs.iter().map(|mark| Stub {
+        let tombstones = tombstones.iter().map(|mark| Tombstone {
             hash: mark.hash,
             age: age(mark.since),
         });
-        chunk.stubs.extend(stubs);
+        chunk.tombstones.extend(tombstones);
         chunks.push(chunk);
     }
     let last = chunks.len() - 1;
--- a/coltsfoothall/tests/balance.rs
+++ b/coltsfoothall/tests/balance.rs
@@ -8,12 +8,12 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Duty, Sight, duties};
+use coltsfoothall::duty::{Context, Duty, duties};
 use coltsfoothall::id::Instance;
 use coltsfoothall::key::Slot;
 use coltsfoothall::ledger::{Ledger, Settings};
 use coltsfoothall::replica::Taken;
-use coltsfoothall::slot::{Candidate, Refused, SLOTS, Table};
+use coltsfoothall::slot::{Candidate, Refused, SLOT_COUNT, Table};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -77,7 +77,7 @@
     fn new(seed: u64, count: usize, first: usize) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let all: Vec<_> = (0..count).map(candidate).collect();
-        let service = Table::first(SLOTS, &all[..first]).unwrap();
+        let service = Table::first(SLOT_COUNT, &all[..first]).unwrap();
         let node = |(at, me): (usize, Candidate)| {
             let start = if at < first {
                 0
@@ -157,7 +157,7 @@
 
     fn duties(&self, at: usize) -> Vec<Duty> {
         let node = &self.nodes[at];
-        duties(&Sight {
+        duties(&Context {
             me: &node.me.instance,
             table: &node.table,
             ledger: &node.ledger,
@@ -175,7 +175,7 @@
         let now = self.now;
         let node = &mut self.nodes[at];
         node.next_tick = now + TICK_INTERVAL_MS;
-        if duties.is_empty() && !node.read && !node.ledger.proposing() {
+        if duties.is_empty() && !node.read && !node.ledger.has_proposals() {
             return;
         }
         node.read |= !duties.is_empty();
@@ -302,7 +302,7 @@
     fn read(&mut self, at: usize) {
         self.call(at);
         let node = &self.nodes[at];
-        if node.ledger.proposing() && node.base.version == self.service.version {
+        if node.ledger.has_proposals() && node.base.version == self.service.version {
             let table = node.base.merge(&node.changed);
             return self.nodes[at].round.push_back(Step::Put(table));
         }
--- a/coltsfoothall/tests/denial.rs
+++ b/coltsfoothall/tests/denial.rs
@@ -54,7 +54,7 @@
     let request = intake("mine", false);
     let step = world.give_up(&request);
     assert!(!world.a.unconfirmed());
-    let found = world.a.owed();
+    let found = world.a.lags();
     let updates = world.a.resend(SLOT, &found[0].to);
     let epoch = updates[0].epoch;
     for update in updates {
@@ -131,10 +131,10 @@
     let step = world.give_up(&request);
     world.wait(100);
     let waited = Duration::from_millis(200);
-    assert_eq!(world.a.take_back(world.now, waited), []);
+    assert_eq!(world.a.retract(world.now, waited), []);
     world.wait(100);
     let ended = Event::Ended(request.name.clone(), UNKNOWN);
-    assert_eq!(world.a.take_back(world.now, waited), [ended]);
+    assert_eq!(world.a.retract(world.now, waited), [ended]);
     world.wait(10);
     world.read();
     assert_eq!(world.end(&request), Some(UNKNOWN));
@@ -213,7 +213,7 @@
     world.back_up();
     let request = intake("mine", true);
     let step = world.give_up(&request);
-    world.a.go_alone(SLOT);
+    world.a.run_unreplicated(SLOT);
     world.wait(10);
     world.read();
     assert!(!world.leaves(&request, step.seq));
--- a/coltsfoothall/tests/forward_roster.rs
+++ b/coltsfoothall/tests/forward_roster.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::choice::{Ask, Nobody, Part, Settings};
+use coltsfoothall::forward::choice::{Part, Query, Settings, Unavailable};
 use coltsfoothall::forward::gossip::Count;
-use coltsfoothall::forward::history::{Era, Place};
+use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::{Entry, Load};
 use coltsfoothall::forward::roster::{End, Ended, Event, Roster};
 use coltsfoothall::forward::upgrade::Versions;
@@ -23,9 +23,9 @@
     name.parse().unwrap()
 }
 
-fn place(revision: u64) -> Place {
+fn place(revision: u64) -> Position {
     let era = Era(0);
-    Place { era, revision }
+    Position { era, revision }
 }
 
 fn entry(name: &str, domain: &str, revision: u64) -> Entry {
@@ -40,7 +40,7 @@
         leaving: false,
         leaves: None,
         reclaimable: false,
-        place: place(revision),
+        position: place(revision),
     }
 }
 
@@ -79,9 +79,9 @@
         }
     }
 
-    fn ask<'a>(&'a self, exclude: &'a [id::Endpoint]) -> Ask<'a> {
+    fn ask<'a>(&'a self, exclude: &'a [id::Endpoint]) -> Query<'a> {
         let prompt: u64 = self.parts.iter().map(|part| part.tokens.0).sum();
-        Ask {
+        Query {
             service: &self.service,
             parts: &self.parts,
             prompt: Tokens(prompt.max(100)),
@@ -99,13 +99,13 @@
     let case = Case::new();
     assert_eq!(
         roster(&[]).choose(at(0), &case.ask(&[])),
-        Err(Nobody::Absent)
+        Err(Unavailable::Absent)
     );
     let roster = roster(&["a"]);
     let exclude = [id("a")];
     assert_eq!(
         roster.choose(at(0), &case.ask(&exclude)),
-        Err(Nobody::Absent)
+        Err(Unavailable::Absent)
     );
 }
 
@@ -127,7 +127,7 @@
     let mut roster = roster(&[]);
     let ended = Ended {
         id: id("a"),
-        place: place(5),
+        position: place(5),
     };
     assert_eq!(roster.ended(&ended), None, "nothing is known of it yet");
     let event = roster.registered(at(0), entry("a", "north", 4));
@@ -142,7 +142,10 @@
         roster.removed(&id("a"), place(7)),
         Some(Event::Gone(id("a")))
     );
-    assert_eq!(roster.choose(at(0), &case.ask(&[])), Err(Nobody::Absent));
+    assert_eq!(
+        roster.choose(at(0), &case.ask(&[])),
+        Err(Unavailable::Absent)
+    );
     assert_eq!(
         roster.registered(at(1), entry("a", "north", 9)),
         Some(Event::Added(id("a")))
@@ -215,7 +218,7 @@
         match roster.choose(at(0), &ask) {
             Ok(pick) => runs.push(roster.began(at(0), &pick, &ask)),
             Err(nobody) => {
-                assert_eq!(nobody, Nobody::Full);
+                assert_eq!(nobody, Unavailable::Full);
                 break;
             }
         }
@@ -230,14 +233,14 @@
     let case = Case::new();
     let roster = roster(&["a", "b"]);
     for (prompt, answer) in [(u64::MAX, u64::MAX), (100_000, 1), (1, 100_000)] {
-        let ask = Ask {
+        let ask = Query {
             prompt: Tokens(prompt),
             answer: Tokens(answer),
             ..case.ask(&[])
         };
-        assert_eq!(roster.choose(at(0), &ask), Err(Nobody::Large));
+        assert_eq!(roster.choose(at(0), &ask), Err(Unavailable::Large));
     }
-    let whole = Ask {
+    let whole = Query {
         prompt: Tokens(99_900),
         ..case.ask(&[])
     };
@@ -367,7 +370,7 @@
             match kind {
                 0 => drop(roster.registered(at(0), entry("a", "north", revision))),
                 1 => drop(roster.registered(at(0), leaving("a", revision))),
-                _ => drop(roster.ended(&Ended { id: id("a"), place: place(revision) })),
+                _ => drop(roster.ended(&Ended { id: id("a"), position: place(revision) })),
             }
         }
         let works = roster.choose(at(0), &Case::new().ask(&[])).is_ok();
@@ -536,7 +539,7 @@
                 4 => drop(roster.hear(at(0), 7, &[said(1_000, 5)])),
                 5 => drop(roster.hear(at(0), 8, &[said(2_000, 2)])),
                 6 => roster.hear_failures(at(0), 7, &[failed(1_000)]),
-                _ => drop(roster.ended(&Ended { id: id("a"), place: place(2) })),
+                _ => drop(roster.ended(&Ended { id: id("a"), position: place(2) })),
             }
         }
         // Heartbeats hold all that their sender says, and the next one follows soon.
@@ -556,7 +559,7 @@
     let mut roster = roster(&[]);
     roster.registered(at(0), entry("a", "north", 90));
     let again = |era, revision| Entry {
-        place: Place {
+        position: Position {
             era: Era(era),
             revision,
         },
@@ -564,7 +567,7 @@
     };
     let ended = Ended {
         id: id("a"),
-        place: place(95),
+        position: place(95),
     };
     assert_eq!(roster.ended(&ended), Some(Event::Leaving(id("a"))));
     assert_eq!(
@@ -578,7 +581,7 @@
         !roster.node(&id("a")).unwrap().entry.leaving,
         "written since"
     );
-    let gone = Place {
+    let gone = Position {
         era: Era(1),
         revision: 42,
     };
@@ -618,7 +621,7 @@
         roster.registered(at(0), entry);
     }
     let among = |versions: &Versions| {
-        let ask = Ask {
+        let ask = Query {
             versions,
             ..case.ask(&[])
         };
@@ -628,5 +631,5 @@
     assert_eq!(among(&Versions::Only(new.clone())), Ok(1));
     assert_eq!(among(&Versions::Without(new)), Ok(2));
     let unknown = "v9".parse().unwrap();
-    assert_eq!(among(&Versions::Only(unknown)), Err(Nobody::Absent));
+    assert_eq!(among(&Versions::Only(unknown)), Err(Unavailable::Absent));
 }
