--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -128,7 +128,7 @@
 fn membership(members: usize) {
     measure_memory(&format!("members={members} table"), || table_of(members));
     let mut table = table_of(members);
-    let mut watch = Monitor::new(at(0), stall::Settings::default());
+    let mut monitor = Monitor::new(at(0), stall::Settings::default());
     measure(&format!("members={members} heartbeat"), |round| {
         black_box(table.heartbeat(at(20 + round as u64)));
     });
@@ -143,9 +143,9 @@
     });
     measure(&format!("members={members} expire"), |round| {
         let now = at(200 + round as u64);
-        watch.record_message(now);
-        watch.tick(now);
-        black_box(table.expire(now, &watch));
+        monitor.record_message(now);
+        monitor.tick(now);
+        black_box(table.expire(now, &monitor));
     });
     measure(&format!("members={members} addresses"), |_| {
         black_box(table.addresses(at(400)));
--- a/coltsfoothall/src/member.rs
+++ b/coltsfoothall/src/member.rs
@@ -217,8 +217,8 @@
     }
 
     /// Checks the monitored members for silence. It must be called once per control tick,
-    /// after the tick of `watch`.
-    pub fn expire(&mut self, now: Time, watch: &Monitor) -> Vec<Event> {
+    /// after the tick of `monitor`.
+    pub fn expire(&mut self, now: Time, monitor: &Monitor) -> Vec<Event> {
         let retention = self.settings.retention;
         let expired = |dead: Time| now.since(dead) >= retention;
         self.members
@@ -231,7 +231,7 @@
                 continue;
             };
             let instance = member.digest.instance.clone();
-            match watch.judge(now, member.last_seen.max(since), tracked) {
+            match monitor.judge(now, member.last_seen.max(since), tracked) {
                 Verdict::Dead => {
                     member.dead = Some(now);
                     member.times_sent = 0;
--- a/coltsfoothall/tests/member.rs
+++ b/coltsfoothall/tests/member.rs
@@ -44,7 +44,7 @@
 /// dead.
 fn run_heartbeats(
     tables: &mut [Table],
-    watches: &mut [Monitor],
+    monitors: &mut [Monitor],
     from: u64,
     to: u64,
     dead: Option<usize>,
@@ -58,13 +58,13 @@
                 let to: usize = peer.instance.as_str()[1..].parse().unwrap();
                 if Some(to) != dead {
                     tables[to].merge(now, heartbeat.clone());
-                    watches[to].record_message(now);
+                    monitors[to].record_message(now);
                 }
             }
         }
         for at in (0..tables.len()).filter(|at| Some(*at) != dead) {
-            watches[at].tick(now);
-            let events = tables[at].expire(now, &watches[at]);
+            monitors[at].tick(now);
+            let events = tables[at].expire(now, &monitors[at]);
             let gone = |event: &&Event| matches!(event, Event::Died(name) if Some(name.as_str()) != dead.map(|at| format!("i{at:03}")).as_deref());
             died += events.iter().filter(gone).count();
         }
@@ -72,7 +72,7 @@
     died
 }
 
-fn watches(count: usize, timeout: u64) -> Vec<Monitor> {
+fn monitors(count: usize, timeout: u64) -> Vec<Monitor> {
     let settings = stall::Settings {
         tick: Duration::from_secs(1),
         timeout: Duration::from_secs(timeout),
@@ -87,8 +87,8 @@
 fn bytes_stay() {
     for count in [9, 60, 330] {
         let mut tables = fleet(count);
-        let mut watches = watches(count, 3);
-        let died = run_heartbeats(&mut tables, &mut watches, 1, 21, None);
+        let mut monitors = monitors(count, 3);
+        let died = run_heartbeats(&mut tables, &mut monitors, 1, 21, None);
         let max_rate = tables
             .iter()
             .map(|table| table.sent().0 / 20)
@@ -103,10 +103,10 @@
 #[test]
 fn lost_member() {
     let mut tables = fleet(9);
-    let mut watches = watches(9, 5);
-    assert_eq!(run_heartbeats(&mut tables, &mut watches, 1, 20, None), 0);
+    let mut monitors = monitors(9, 5);
+    assert_eq!(run_heartbeats(&mut tables, &mut monitors, 1, 20, None), 0);
     assert_eq!(
-        run_heartbeats(&mut tables, &mut watches, 20, 30, Some(3)),
+        run_heartbeats(&mut tables, &mut monitors, 20, 30, Some(3)),
         0
     );
     let name = digest(3, 1).instance;
@@ -120,10 +120,10 @@
 #[test]
 fn big_fleet() {
     let mut tables = fleet(330);
-    let mut watches = watches(330, 3);
-    assert_eq!(run_heartbeats(&mut tables, &mut watches, 1, 10, None), 0);
+    let mut monitors = monitors(330, 3);
+    assert_eq!(run_heartbeats(&mut tables, &mut monitors, 1, 10, None), 0);
     assert_eq!(
-        run_heartbeats(&mut tables, &mut watches, 10, 25, Some(3)),
+        run_heartbeats(&mut tables, &mut monitors, 10, 25, Some(3)),
         0
     );
     let name = digest(3, 1).instance;
@@ -134,7 +134,7 @@
 #[test]
 fn false_death() {
     let mut tables = fleet(9);
-    let mut watches = watches(9, 3);
+    let mut monitors = monitors(9, 3);
     let death = Death {
         instance: digest(3, 1).instance,
         incarnation: 1,
@@ -146,7 +146,7 @@
     };
     let events = tables[5].merge(second(0), update);
     assert_eq!(events, [Event::Died(death.instance.clone())]);
-    run_heartbeats(&mut tables, &mut watches, 1, 12, None);
+    run_heartbeats(&mut tables, &mut monitors, 1, 12, None);
     assert!(
         (0..9)
             .filter(|at| *at != 3)
@@ -216,8 +216,8 @@
         .map(|a| a.weight)
         .collect();
     assert_eq!(weights, [500, 100]);
-    let watch = Monitor::new(Time::START, stall::Settings::default());
-    table.expire(Time::START, &watch);
+    let monitor = Monitor::new(Time::START, stall::Settings::default());
+    table.expire(Time::START, &monitor);
     let later = table.addresses(second(3000));
     assert_eq!(
         later.addresses.len(),
