--- a/coltsfoothall/src/attempt.rs
+++ b/coltsfoothall/src/attempt.rs
@@ -1,51 +1,51 @@
-//! One try of a request at one endpoint, and what its pieces are worth.
+//! One attempt to run a request on an endpoint, and the classification of its answer chunks.
 
 use crate::id;
 use crate::record::{Answer, Intake, Part, Record, Work};
 
-/// Most bytes of one answer; it stops an endpoint from filling the ledgers.
+/// Upper bound on the size of one answer; it prevents an endpoint from filling the ledgers.
 pub const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// A try of a request at one endpoint.
+/// An attempt to run a request on one endpoint.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     /// Its number, unique in the fleet.
     pub number: u64,
-    /// Where it runs.
+    /// The endpoint it runs on.
     pub endpoint: id::Endpoint,
     /// Number of the change that recorded it as sent.
     pub seq: u64,
-    /// Tokens of the answer that it was started with.
+    /// Tokens of the answer generated before it started.
     pub offset: u64,
-    /// Whether its endpoint was given notice.
+    /// Whether its endpoint was given notice to stop.
     pub leaving: bool,
-    /// Whether a piece of an answer came, so it has begun.
+    /// Whether part of an answer has arrived, so the attempt has started.
     pub begun: bool,
-    /// The last piece, kept back until the end marker comes.
+    /// The last chunk, held until the end marker arrives.
     pub last: Option<Part>,
-    /// A plain service's answer, kept back until the end marker comes.
+    /// The answer of a plain service, held until the end marker arrives.
     pub answer: Option<Box<Answer>>,
 }
 
-/// What a piece is worth.
+/// How a chunk relates to the recorded answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChunkKind {
     /// It continues the answer.
     Next,
     /// It continues and ends the answer.
     Last,
-    /// It holds nothing.
+    /// It contains no tokens.
     Empty,
-    /// It came before.
+    /// It has already arrived.
     Duplicate,
-    /// Something before it is missing.
+    /// Tokens before it are missing.
     Gap,
-    /// It makes no sense.
+    /// It is inconsistent with the request or the recorded answer.
     Malformed,
 }
 
 impl Attempt {
-    /// An attempt that is recorded as sent by the change `seq`.
+    /// Creates an attempt whose [`Change::Sent`](crate::record::Change::Sent) has number `seq`.
     #[must_use]
     pub fn new(number: u64, endpoint: id::Endpoint, seq: u64) -> Self {
         Self {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Weighs a piece against what is recorded.
+    /// Classifies a chunk against the recorded answer.
     #[must_use]
     pub fn classify(&self, record: &Record, part: &Part) -> ChunkKind {
         let have = record.tokens();
@@ -70,18 +70,22 @@
         let Some(end) = part.offset.checked_add(part.tokens) else {
             return ChunkKind::Malformed;
         };
-        let silent = part.tokens == 0 && !part.text.is_empty();
-        if silent || end > limit || record.text.len() + part.text.len() > MAX_ANSWER_BYTES {
+        let text_without_tokens = part.tokens == 0 && !part.text.is_empty();
+        if text_without_tokens
+            || end > limit
+            || record.text.len() + part.text.len() > MAX_ANSWER_BYTES
+        {
             return ChunkKind::Malformed;
         }
         if let Some(last) = &self.last {
-            return behind(last, part);
+            return classify_after_last(last, part);
         }
         if part.offset > have {
             return ChunkKind::Gap;
         }
         if part.offset < have {
-            // A piece that only partly came before was cut elsewhere: a mixed-up answer.
+            // A chunk that overlaps the recorded answer only in part was split at other
+            // positions, so it belongs to another generation of the answer.
             let known = end <= have && part.finish.is_none();
             return if known {
                 ChunkKind::Duplicate
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Whether a plain service's answer can be taken.
+    /// Whether this answer of a plain service is acceptable.
     #[must_use]
     pub fn takes(&self, record: &Record, answer: &Answer) -> bool {
         let call = matches!(record.intake.work, Work::Call { .. });
@@ -104,8 +108,8 @@
     }
 }
 
-/// What a piece after the last one is worth.
-fn behind(last: &Part, part: &Part) -> ChunkKind {
+/// Classifies a chunk that arrives after the last one.
+fn classify_after_last(last: &Part, part: &Part) -> ChunkKind {
     let known = part.offset < last.offset && part.finish.is_none();
     if part == last || known {
         ChunkKind::Duplicate
@@ -114,7 +118,7 @@
     }
 }
 
-/// Most tokens of the answer, or none for a plain service.
+/// Maximum tokens of the answer, or `None` for a plain service.
 fn limit(intake: &Intake) -> Option<u64> {
     match intake.work {
         Work::Completion { max_tokens, .. } => Some(max_tokens),
--- a/coltsfoothall/src/batch.rs
+++ b/coltsfoothall/src/batch.rs
@@ -1,13 +1,13 @@
-//! What is told to others in turns, so that no message and no burst of messages grows
-//! with the fleet or with its troubles.
+//! Splits a list into batches that are sent in turn, so that neither a message nor a burst of
+//! messages grows with the size of the fleet or with its failures.
 
-/// Turns in which all of `len` rows are due once, `max` of them in each.
+/// Number of batches of at most `max` rows that contain each of `len` rows once.
 #[must_use]
 pub fn count(len: usize, max: usize) -> usize {
     len.div_ceil(max.max(1)).max(1)
 }
 
-/// The rows that are due in a turn.
+/// The rows of one batch; the number of the batch wraps around.
 #[must_use]
 pub fn select<T: Clone>(rows: &[T], max: usize, batch: usize) -> Vec<T> {
     let batches = count(rows.len(), max);
--- a/coltsfoothall/src/clock.rs
+++ b/coltsfoothall/src/clock.rs
@@ -1,14 +1,13 @@
-//! Points in time as the decisions see them.
+//! Points in time for the decision logic.
 //!
-//! Programs read the runtime's clock and hand the reading in, so tests can
-//! pause it. A reading means nothing outside its process; only durations
-//! travel.
+//! Programs read the runtime's clock and pass the time in, so that tests control it. A point in
+//! time has no meaning outside its process; only durations are sent to others.
 
 use std::fmt;
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Microseconds since the process began.
+/// A point in time, in microseconds since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(u64);
 
@@ -16,13 +15,13 @@
     /// The start of the process.
     pub const START: Self = Self(0);
 
-    /// The reading a given time after the start.
+    /// The point in time `elapsed` after the start.
     #[must_use]
     pub fn since_start(elapsed: Duration) -> Self {
         Self(u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Time from `earlier` to this reading, zero if `earlier` is later.
+    /// Time from `earlier` to this point, zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
--- a/coltsfoothall/src/copy.rs
+++ b/coltsfoothall/src/copy.rs
@@ -8,7 +8,7 @@
 use crate::record::{self, Change, Name, Record};
 use crate::size::Millis;
 
-/// Number of a change within a slot.
+/// Sequence number of a change within a slot.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Seq(pub u64);
@@ -21,12 +21,12 @@
     }
 }
 
-/// A change on its way from the owner to another copy.
+/// A change that the primary sends to another copy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The slot.
     pub slot: Slot,
-    /// The owner's epoch.
+    /// The primary's epoch.
     pub epoch: Epoch,
     /// The change's number.
     pub seq: Seq,
@@ -36,99 +36,100 @@
     pub change: Change,
 }
 
-/// A change that was made here.
+/// A change that was made on this instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Step {
     /// The slot.
     pub slot: Slot,
     /// The change's number.
     pub seq: Seq,
-    /// Whether its effect may leave now; else ask `may_leave` after an
-    /// acknowledgement.
+    /// Whether the effect of the change may become visible now; if not, ask `may_leave` again
+    /// after each acknowledgement.
     pub released: bool,
-    /// What to send.
+    /// The update to send.
     pub update: Update,
-    /// Whom to send it to.
+    /// The instances to send it to.
     pub to: Vec<id::Instance>,
 }
 
-/// Whose copy of a slot is spoken of. Two processes of one instance may each hold one of the
-/// same epoch, and so may one process of two owners' records; word of the one says nothing
-/// of the other.
+/// Identifies one copy of a slot. Two processes of one instance may each hold a copy of the same
+/// epoch, and one process may hold copies of two primaries' records; an acknowledgement of one
+/// copy says nothing about another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// The process that holds it.
+    /// The process that holds the copy.
     pub life: Life,
-    /// The owner's process whose changes it follows.
+    /// The process of the primary whose changes the copy follows.
     pub owner: Life,
 }
 
-/// What a copy says to an update.
+/// Answer of a copy to an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ack {
-    /// All changes up to this number are held by this copy.
+    /// This copy holds all changes up to this number.
     Ok(Seq, Holder),
-    /// The sender is no longer the owner; the copy is at this epoch.
+    /// The sender is no longer the primary; the copy is at this epoch.
     Sealed(Epoch),
-    /// Changes are missing; go on from this number.
+    /// Changes are missing; resend from this number.
     Gap(Seq),
-    /// There is no copy; send a whole one.
+    /// There is no copy; send a complete one.
     Missing,
 }
 
-/// What stays of a non-idempotent request after its record is dropped.
+/// What remains of a non-idempotent request after its record is dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tombstone {
-    /// Hash of its name.
+    /// Hash of the request's name.
     pub hash: u64,
-    /// Time since it was dropped.
+    /// Time since the record was dropped.
     pub age: Millis,
 }
 
-/// A record in a whole copy.
+/// A record in a complete copy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The record.
     pub record: Record,
-    /// Time since it ended.
+    /// Time since the request ended.
     pub age: Option<Millis>,
-    /// Whether an attempt may have begun that the record does not know.
+    /// Whether an attempt may have started that is not in the record.
     pub unsure: bool,
 }
 
-/// Keys whose idempotent work a copy may not know all of, as it is told to another.
+/// Keys for which a copy may not know all idempotent attempts, as sent to another instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unsure {
-    /// Keys minted before this epoch, and all that callers chose.
+    /// Keys minted before this epoch, and all keys chosen by callers.
     pub before: Epoch,
-    /// Time since it is so.
+    /// Time since this has been the case.
     pub age: Millis,
 }
 
-/// A piece of a whole copy of a slot.
+/// One chunk of a complete copy of a slot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     /// The slot.
     pub slot: Slot,
-    /// The sender, which owns the slot.
+    /// The sender, which is the slot's primary.
     pub from: id::Instance,
     /// The sender's process.
     pub life: Life,
     /// The sender's epoch.
     pub epoch: Epoch,
-    /// Number of this copy, rising at its sender.
+    /// Number of this copy; it increases at the sender.
     pub copy: u64,
-    /// Place of the piece in the copy.
+    /// Index of the chunk in the copy.
     pub index: u32,
-    /// Whether it is the last piece.
+    /// Whether this is the last chunk.
     pub last: bool,
-    /// Number of the last change that the copy holds.
+    /// Number of the last change that the copy contains.
     pub seq: Seq,
-    /// The slot's cold epoch.
+    /// Epoch since which the slot's records are complete; see
+    /// [`Entry::cold`](crate::slot::Entry::cold).
     pub cold: Epoch,
-    /// Time since the slot went cold.
+    /// Time since the slot was claimed without records.
     pub cold_age: Option<Millis>,
-    /// Keys whose idempotent work the sender may not know all of.
+    /// Keys for which the sender may not know all idempotent attempts.
     pub doubt: Option<Unsure>,
     /// Records, sorted by name.
     pub rows: Vec<Row>,
@@ -137,60 +138,60 @@
     pub tombstones: Vec<Tombstone>,
 }
 
-/// Number of a ledger's life: it differs after each start of its process, so
-/// that word given to a process does not count with the next of its name.
+/// Identifies one process of an instance: it differs after each restart, so that a message meant
+/// for one process has no effect on its successor of the same name.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Life(pub u64);
 
-/// A whole copy that a ledger holds.
+/// A complete copy that a ledger holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Whole {
-    /// Number of the copy, as its sender gave it.
+    /// Number that the sender gave the copy.
     pub copy: u64,
-    /// The last change that it holds.
+    /// The last change that it contains.
     pub seq: Seq,
-    /// The life of the ledger that holds it.
+    /// The process that holds it.
     pub life: Life,
 }
 
-/// What a copy says to a piece of a whole copy.
+/// Answer to a chunk of a complete copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Taken {
-    /// Send this piece next.
+    /// Send this chunk next.
     More(u32),
-    /// The copy is whole.
+    /// The copy is complete.
     Whole(Whole),
-    /// The sender is no longer the owner; the copy is at this epoch.
+    /// The sender is no longer the primary; the copy is at this epoch.
     Sealed(Epoch),
 }
 
 quick_error! {
-    /// A rule of the ledger that is broken; the program counts it, logs it and
-    /// ends itself under test.
+    /// A violated invariant of the ledger. The program counts and logs it, and exits under test.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Broken {
-        /// A record cannot take the change.
+        /// A record rejected the change.
         Record(err: record::Broken) {
             from()
             source(err)
             display("{err}")
         }
-        /// The request is not in the slot.
+        /// The slot has no record of the request.
         Absent(name: Name) {
-            display("request {name} was changed but is not in the ledger")
+            display("request {name} was changed but has no record in the ledger")
         }
-        /// A peer acknowledged what it was never sent.
+        /// A peer acknowledged a change that it was never sent.
         Ahead(slot: Slot, peer: id::Instance, acked: Seq) {
-            display("{peer} acknowledged change {} of slot {slot}, which was not made", acked.0)
+            display("{peer} acknowledged change {} of slot {slot}, which was never made", acked.0)
         }
-        /// The table names this instance owner without a claim or a copy.
+        /// The table names this instance primary without a claim or a copy.
         Unclaimed(slot: Slot, epoch: Epoch) {
-            display("slot {slot} at epoch {epoch} was given to this instance without a copy")
+            display("the slot table names this instance primary of slot {slot} at epoch {epoch}, but it has no copy")
         }
-        /// The owner replaced a backup before its copy held what had left.
+        /// The primary replaced a backup with one whose copy lacked changes that had already
+        /// taken effect.
         Behind(slot: Slot, peer: id::Instance) {
-            display("{peer} was named for slot {slot} before it held what had left")
+            display("{peer} was named backup of slot {slot} before it held all released changes")
         }
     }
 }
--- a/coltsfoothall/src/denial.rs
+++ b/coltsfoothall/src/denial.rs
@@ -1,10 +1,11 @@
-//! When an idempotent request may be told "not run".
+//! When an idempotent request may be reported as "not run".
 //!
-//! Others than its owner can run it: a sealed backup, and whoever claims the slot while
-//! the owner still lives. So its "not run" leaves only once each copy that may run it
-//! holds it, and a read of the table that began after that still named this owner.
-//! Whoever claims the slot takes older keys in, and runs none before such a word has been
-//! told. A "not run" that cannot be confirmed is taken back: the request ends as unknown.
+//! Instances other than its primary can run it: a sealed backup, and an instance that claims the
+//! slot while the primary is still alive. Its "not run" therefore becomes visible only once each
+//! copy that may run the request holds the end, and a read of the table that was sent after that
+//! still names this primary. An instance that claims a slot accepts older keys, but runs none
+//! until no such report can still be on its way. A "not run" that cannot be confirmed is
+//! retracted: the request ends as unknown.
 
 use std::time::Duration;
 
@@ -12,12 +13,12 @@
 use crate::key::Slot;
 use crate::ledger::Ledger;
 use crate::record::{End, Name};
-use crate::replica::{Item, Replica, Role, Seq, Word};
+use crate::replica::{Confirmation, Item, Replica, Role, Seq};
 use crate::takeover::Event;
 
 impl Ledger {
-    /// Notes that the service answered with the table that this ledger knows to
-    /// a read sent at `asked`: until then nobody else had claimed a slot.
+    /// Records that the store answered a read sent at `asked` with the table that this ledger
+    /// knows: until then no other instance had claimed a slot.
     pub fn confirm(&mut self, asked: Time, version: u64) {
         if version != self.version {
             return;
@@ -28,38 +29,38 @@
         }
         let owned = self.replicas.iter_mut().filter(|replica| replica.leads());
         owned.for_each(|replica| replica.confirm(asked));
-        self.awaited = self.replicas.iter().any(Replica::awaited);
+        self.confirmation_pending = self.replicas.iter().any(Replica::confirmation_pending);
     }
 
-    /// Whether a "not run" waits for the table to be read.
+    /// Whether a "not run" waits for a read of the table.
     #[must_use]
     pub fn unconfirmed(&self) -> bool {
-        self.awaited
+        self.confirmation_pending
     }
 
-    /// Lets a "not run" that was confirmed long ago, or elsewhere, wait for the table
-    /// anew before it is told: the slot may have been claimed since.
+    /// Requires a new confirmation for a "not run" that was confirmed long ago, or on another
+    /// instance: the slot may have been claimed since.
     pub fn recheck(&mut self, now: Time, slot: Slot, name: &Name) {
         let fresh = self.settings.confirmation_ttl;
         let Some(replica) = self.replica_mut(slot).filter(|replica| replica.leads()) else {
             return;
         };
-        let Ok(at) = replica.find(name) else {
+        let Ok(index) = replica.find(name) else {
             return;
         };
-        let item = &mut replica.items[at];
-        if item.denies() && item.word.old(now, fresh) {
-            item.word = Word::Awaited(now);
-            self.awaited = true;
+        let item = &mut replica.items[index];
+        if item.ended_not_run() && item.confirmation.old(now, fresh) {
+            item.confirmation = Confirmation::Awaited(now);
+            self.confirmation_pending = true;
         }
     }
 
-    /// Takes back each "not run" that has waited for the table for so long.
+    /// Retracts each "not run" that has waited for a read of the table for at least `waited`.
     pub fn retract(&mut self, now: Time, waited: Duration) -> Vec<Event> {
-        if !self.awaited {
+        if !self.confirmation_pending {
             return Vec::new();
         }
-        let old = |item: &Item| matches!(item.word, Word::Awaited(at) if now.since(at) >= waited);
+        let old = |item: &Item| matches!(item.confirmation, Confirmation::Awaited(at) if now.since(at) >= waited);
         for replica in self.replicas.iter_mut().filter(|replica| replica.leads()) {
             let items = replica.items.iter_mut().filter(|item| old(item));
             items.for_each(|item| item.unsure = true);
@@ -69,7 +70,8 @@
         events
     }
 
-    /// Records each "not run" that another copy may have made untrue as unknown.
+    /// Ends as unknown each request whose "not run" may be wrong, because another copy may have
+    /// run it.
     pub(crate) fn end_doubted(&mut self, now: Time, events: &mut Vec<Event>) {
         let owned = self.replicas.iter().filter(|replica| replica.leads());
         let doubted: Vec<_> = owned
@@ -80,34 +82,36 @@
         }
     }
 
-    /// How long the owner before may still tell "not run" after a claim: one `fresh` until
-    /// its read is answered, one until its word is out.
-    pub(crate) fn wait(&self) -> Duration {
+    /// How long the previous primary may still report "not run" after a claim: one
+    /// `confirmation_ttl` until its read is answered, and one until its report is out.
+    pub(crate) fn claim_wait(&self) -> Duration {
         self.settings.confirmation_ttl * 2
     }
 
-    /// Lets older keys of a claimed slot run once its former owner tells "not run" no more.
-    pub(crate) fn ripen(&mut self, now: Time, slot: Slot) {
-        let wait = self.wait();
+    /// Lets older keys of a claimed slot run once its previous primary can no longer report "not
+    /// run".
+    pub(crate) fn end_claim_wait(&mut self, now: Time, slot: Slot) {
+        let wait = self.claim_wait();
         if let Some(replica) = self.replica_mut(slot) {
-            replica.ripen(now, wait);
+            replica.end_claim_wait(now, wait);
         }
     }
 }
 
 impl Replica {
-    /// Ends the wait after a claim, once it is that old.
-    pub(crate) fn ripen(&mut self, now: Time, wait: Duration) {
-        let young = |since: Time| now.since(since) < wait;
-        self.young &= self.cold_since.is_some_and(young);
+    /// Ends the wait after a claim that is at least `wait` old.
+    pub(crate) fn end_claim_wait(&mut self, now: Time, wait: Duration) {
+        let recent = |since: Time| now.since(since) < wait;
+        self.recently_claimed &= self.cold_since.is_some_and(recent);
     }
 
-    /// Whether a request waits: the owner before the claim may still tell that it did not run.
+    /// Whether a request has to wait because the primary before the claim may still report that
+    /// it did not run.
     pub(crate) fn waits(&self, item: &Item) -> bool {
         let intake = &item.record.intake;
         let minted = intake.name.key.minted();
         let older = minted.is_none_or(|mint| mint.epoch < self.cold);
-        self.young && intake.idempotent && older && item.record.end.is_none()
+        self.recently_claimed && intake.idempotent && older && item.record.end.is_none()
     }
 
     fn confirm(&mut self, asked: Time) {
@@ -116,16 +120,16 @@
         };
         let held = |item: &Item| item.seq <= owner.released && !item.unsure;
         for item in self.items.iter_mut().filter(|item| held(item)) {
-            item.word.confirm(asked);
+            item.confirmation.confirm(asked);
         }
     }
 
-    fn awaited(&self) -> bool {
-        let waits = |item: &Item| matches!(item.word, Word::Awaited(_));
+    fn confirmation_pending(&self) -> bool {
+        let waits = |item: &Item| matches!(item.confirmation, Confirmation::Awaited(_));
         self.leads() && self.items.iter().any(waits)
     }
 
-    /// Requests whose "not run" is in doubt, and how they end instead.
+    /// Requests whose "not run" may be wrong, with the ends to record instead.
     fn doubted(&self) -> Option<Vec<(Name, End)>> {
         let unknown = |item: &Item| match item.record.end {
             Some(End::NotRun(cause)) if item.unsure => {
@@ -137,44 +141,47 @@
         (!ends.is_empty()).then_some(ends)
     }
 
-    /// Whether a "not run" is in doubt and not yet recorded as unknown.
+    /// Whether a "not run" may be wrong and is not yet recorded as unknown.
     pub(crate) fn doubts(&self) -> bool {
         self.doubted().is_some()
     }
 }
 
 impl Item {
-    /// Whether an idempotent request ended as not run.
-    pub(crate) fn denies(&self) -> bool {
+    /// Whether the request is idempotent and ended as not run.
+    pub(crate) fn ended_not_run(&self) -> bool {
         self.record.intake.idempotent && matches!(self.record.end, Some(End::NotRun(_)))
     }
 
-    /// Whether the change `seq` is a "not run" that is not confirmed, or was taken back.
+    /// Whether the change `seq` is a "not run" that is not confirmed or was retracted.
     pub(crate) fn withholds(&self, seq: Seq) -> bool {
-        let unconfirmed = self.denies() && !matches!(self.word, Word::Confirmed(_));
-        self.denied == Some(seq) || (unconfirmed && self.seq == seq)
+        let unconfirmed =
+            self.ended_not_run() && !matches!(self.confirmation, Confirmation::Confirmed(_));
+        self.retracted == Some(seq) || (unconfirmed && self.seq == seq)
     }
 
-    /// Whether the record may be dropped for room, if copies hold all changes up to `held`.
-    pub(crate) fn droppable(&self, held: Seq) -> bool {
-        self.ended.is_some() && self.seq <= held && !matches!(self.word, Word::Awaited(_))
+    /// Whether the record may be evicted, if the other copies hold all changes up to `held`.
+    pub(crate) fn is_evictable(&self, held: Seq) -> bool {
+        self.ended.is_some()
+            && self.seq <= held
+            && !matches!(self.confirmation, Confirmation::Awaited(_))
     }
 
-    /// Notes a change of the record, which is made already.
+    /// Updates the local state after a change of the record.
     pub(crate) fn follow(&mut self, now: Time, seq: Seq, denied: bool, owner: bool) {
         if denied {
-            self.denied = Some(self.seq);
+            self.retracted = Some(self.seq);
         }
         self.seq = seq;
-        self.word = match owner && self.denies() {
-            true => Word::Awaited(now),
-            false => Word::None,
+        self.confirmation = match owner && self.ended_not_run() {
+            true => Confirmation::Awaited(now),
+            false => Confirmation::None,
         };
     }
 }
 
-impl Word {
-    /// Whether it has to be confirmed before it is told now.
+impl Confirmation {
+    /// Whether it has to be confirmed again before it may be reported.
     fn old(self, now: Time, fresh: Duration) -> bool {
         match self {
             Self::None => true,
--- a/coltsfoothall/src/duty.rs
+++ b/coltsfoothall/src/duty.rs
@@ -1,47 +1,47 @@
-//! What an instance has to do for the slots, given the table that it knows, its
-//! ledger, and who is alive.
+//! What an instance has to do for the slots, given the latest table, its ledger and the live
+//! instances.
 //!
-//! The function is pure and is asked again and again; each duty is a small step
-//! whose outcome the next round sees.
+//! [`duties`] is pure and is called periodically; each duty is a small step whose outcome the
+//! next round observes.
 
 use crate::id;
 use crate::key::{Epoch, Slot};
 use crate::ledger::Ledger;
 use crate::slot::{Candidate, Entry, FIRST_EPOCH, Move, Table};
 
-/// Most copies started in one round; it keeps a change of members from
-/// crowding out requests.
+/// Upper bound on the copies started in one round; it prevents a membership change from crowding
+/// out requests.
 pub const MAX_COPIES_PER_ROUND: usize = 32;
 
-/// Bytes of records in the slots that are moved at once, beyond the first few; it
-/// keeps moves from taking the bandwidth of requests: 5 MB/s at five rounds a second.
+/// Upper bound on the bytes of records in the slots that are moved at once, beyond [`MIN_MOVES`];
+/// it prevents moves from using the bandwidth of requests: 5 MB/s at five rounds a second.
 pub const MAX_MOVED_BYTES: usize = 1 << 20;
 
-/// Slots that are moved at once however large they are.
+/// Number of slots that may be moved at once regardless of their size.
 const MIN_MOVES: usize = 4;
 
 /// A step for one slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Duty {
-    /// Claim it in the table with no records: those who kept it are lost.
+    /// Claim the slot in the table without records: the instances that kept it are lost.
     Claim(Slot),
     /// Seal the copy here and take the slot over in the table.
     TakeOver(Slot),
-    /// Send a whole copy.
+    /// Send a complete copy.
     Copy {
         /// The slot.
         slot: Slot,
-        /// Where to.
+        /// The receiver.
         to: id::Instance,
     },
-    /// Name the holder of a whole copy as backup in the table.
+    /// Name the holder of a complete copy as backup in the table.
     Name {
         /// The slot.
         slot: Slot,
         /// The backup.
         backup: id::Instance,
     },
-    /// Stop changes so that the copies catch up.
+    /// Stop accepting changes so that the copies catch up.
     Drain(Slot),
     /// Name another primary in the table; the slot is drained.
     HandOver {
@@ -50,11 +50,11 @@
         /// The new primary.
         to: id::Instance,
     },
-    /// Let the backup, or the holder of a copy that stands in for it, act as owner
-    /// without the service; the slot is drained.
+    /// Let the backup, or the holder of a copy that replaces the backup's, act as primary while
+    /// the store is down; the slot is drained.
     Yield(Slot),
-    /// Tell the backup that the primary's process began anew without the slot's
-    /// records; it takes over. If it has none either, they are lost.
+    /// Tell the backup that the primary's process restarted without the slot's records; the
+    /// backup takes over. If it has no records either, they are lost.
     Cede {
         /// The slot.
         slot: Slot,
@@ -63,8 +63,8 @@
         /// The backup.
         to: id::Instance,
     },
-    /// Ask a leaving backup to drop its copy: nobody can be named in its place
-    /// while the service is down, and changes must not wait for it then.
+    /// Ask a leaving backup to drop its copy: no other can be named in its place while the store
+    /// is down, and changes must not wait for it.
     Dismiss {
         /// The slot.
         slot: Slot,
@@ -73,15 +73,15 @@
         /// The backup.
         to: id::Instance,
     },
-    /// Take changes again.
+    /// Accept changes again.
     Resume(Slot),
-    /// Let idempotent requests go on without a backup.
+    /// Let idempotent requests continue without a backup.
     RunUnreplicated(Slot),
-    /// Wait no longer for a copy that the table does not name: its holder died.
+    /// Stop waiting for a copy that the table does not name: its holder died.
     GiveUp(Slot),
 }
 
-/// A backup that the table names and that has no copy.
+/// A backup that the table names but that has no copy.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Missing {
     /// The slot.
@@ -92,7 +92,7 @@
     pub at: id::Instance,
 }
 
-/// What duties follow from.
+/// Inputs from which the duties are derived.
 #[derive(Debug, Clone, Copy)]
 pub struct Context<'a> {
     /// This instance.
@@ -107,14 +107,14 @@
     pub missing: &'a [Missing],
     /// Whether this instance is leaving.
     pub leaving: bool,
-    /// Whether the key-value service answered lately.
+    /// Whether the key-value store has answered recently.
     pub service: bool,
-    /// Whether this instance has been up and undisturbed for long enough to
-    /// tell who is dead.
+    /// Whether this instance has been up without a stall for long enough to tell which others are
+    /// dead.
     pub settled: bool,
 }
 
-/// The duties of this instance, in the order in which they should be done.
+/// The duties of this instance, in the order in which they should be carried out.
 #[must_use]
 pub fn duties(context: &Context<'_>) -> Vec<Duty> {
     let moves = context.moves();
@@ -122,11 +122,11 @@
     for (slot, entry) in context.table.iter() {
         let next = if entry.primary == *context.me {
             let to = moves.iter().find(|m| m.slot == slot).map(|m| &m.to);
-            context.lead(slot, entry, to)
+            context.primary_duty(slot, entry, to)
         } else if entry.backup.as_ref() == Some(context.me) {
-            context.back(slot, entry)
+            context.backup_duty(slot, entry)
         } else {
-            context.watch(slot, entry)
+            context.bystander_duty(slot, entry)
         };
         duties.extend(next);
     }
@@ -136,8 +136,8 @@
     bound_copies(duties)
 }
 
-/// Chooses backups so that those chosen in this round count for the next choice;
-/// else the one with the least copies would get them all.
+/// Chooses backups such that each choice of this round counts for the next one; otherwise the
+/// instance with the fewest copies would receive all of them.
 fn spread_backups(context: &Context<'_>, moves: &[Move], duties: &mut [Duty]) {
     let moved = |slot: Slot| moves.iter().any(|step| step.slot == slot);
     let mut planned = context.table.clone();
@@ -158,15 +158,18 @@
 
 fn bound_copies(duties: Vec<Duty>) -> Vec<Duty> {
     let mut copies = 0;
-    let mut keep = |duty: &Duty| {
+    let mut within_bound = |duty: &Duty| {
         copies += usize::from(matches!(duty, Duty::Copy { .. }));
         copies <= MAX_COPIES_PER_ROUND || !matches!(duty, Duty::Copy { .. })
     };
-    duties.into_iter().filter(|duty| keep(duty)).collect()
+    duties
+        .into_iter()
+        .filter(|duty| within_bound(duty))
+        .collect()
 }
 
 impl Context<'_> {
-    /// Slots that are to change hands now.
+    /// Slots that should move to another primary now.
     fn moves(&self) -> Vec<Move> {
         if !self.service || !self.settled {
             return Vec::new();
@@ -177,8 +180,8 @@
             bytes += self.ledger.size(step.slot);
             bytes <= MAX_MOVED_BYTES
         });
-        let most = small.count().max(MIN_MOVES);
-        moves.truncate(most);
+        let count = small.count().max(MIN_MOVES);
+        moves.truncate(count);
         let staying = self.live.iter().filter(|c| !c.leaving).count();
         let fair = self.table.entries.len() / staying.max(1);
         for step in &mut moves {
@@ -188,7 +191,8 @@
                 step.to = copy.clone();
             }
         }
-        // A slot that stands still is given away before others are copied.
+        // Slots that already are drained are handed over before others are copied, as they serve
+        // no requests meanwhile.
         let drained = |step: &Move| self.ledger.drained(step.slot);
         if moves.iter().any(drained) {
             moves.retain(drained);
@@ -206,26 +210,27 @@
         found.is_ok_and(|at| !self.live[at].leaving)
     }
 
-    /// Whether the backup that the table names can take over.
+    /// Whether the backup that the table names is able to take over.
     fn backed(&self, slot: Slot, entry: &Entry, backup: &id::Instance) -> bool {
         let missing = |m: &Missing| (m.slot, m.epoch, &m.at) == (slot, entry.epoch, backup);
         self.alive(backup) && !self.missing.iter().any(missing)
     }
 
-    /// Whether a backup is in this instance's failure domain although there are others.
-    fn near(&self, backup: &id::Instance) -> bool {
+    /// Whether a backup is in this instance's failure domain although another domain is
+    /// available.
+    fn same_domain(&self, backup: &id::Instance) -> bool {
         let domain = |instance: &id::Instance| {
             let found = self.live.binary_search_by(|c| c.instance.cmp(instance));
             found.ok().map(|at| &self.live[at].domain)
         };
-        let home = domain(self.me);
-        let apart = |c: &Candidate| !c.leaving && Some(&c.domain) != home;
-        domain(backup) == home && self.live.iter().any(apart)
+        let own_domain = domain(self.me);
+        let apart = |c: &Candidate| !c.leaving && Some(&c.domain) != own_domain;
+        domain(backup) == own_domain && self.live.iter().any(apart)
     }
 
-    /// Duties of a primary without its copy: it handed the slot over, nobody has
-    /// kept it yet, or a restart under the same name lost the records.
-    fn lead_bare(&self, slot: Slot, entry: &Entry) -> Option<Duty> {
+    /// Duty of a primary without a copy: it handed the slot over, no instance has kept the slot
+    /// yet, or a restart under the same name lost the records.
+    fn bare_primary_duty(&self, slot: Slot, entry: &Entry) -> Option<Duty> {
         if self.ledger.drained(slot) {
             return Some(Duty::Yield(slot));
         }
@@ -241,10 +246,10 @@
         claim.then_some(Duty::Claim(slot))
     }
 
-    /// Duties of a slot's primary.
-    fn lead(&self, slot: Slot, entry: &Entry, to: Option<&id::Instance>) -> Option<Duty> {
+    /// Duty of a slot's primary.
+    fn primary_duty(&self, slot: Slot, entry: &Entry, to: Option<&id::Instance>) -> Option<Duty> {
         if !self.ledger.keeps(slot, entry.epoch) {
-            return self.lead_bare(slot, entry);
+            return self.bare_primary_duty(slot, entry);
         }
         if self
             .ledger
@@ -256,11 +261,11 @@
         let backup = entry.backup.as_ref();
         match backup.filter(|backup| self.backed(slot, entry, backup)) {
             None if self.leaving && !self.service && backup.is_some_and(|b| self.staying(b)) => {
-                self.pass_on(slot, backup?)
+                self.hand_to_restarted(slot, backup?)
             }
             None => self.find_backup(slot, entry),
             Some(backup) if self.leaving && self.staying(backup) => self.hand_over(slot, backup),
-            Some(_leaving) if self.leaving => self.stay_on(slot, entry),
+            Some(_leaving) if self.leaving => self.leaving_pair_duty(slot, entry),
             Some(backup) => match to {
                 Some(to) if to == backup => self.hand_over(slot, to),
                 Some(to) if self.ledger.ready(slot, to) => self.hand_over(slot, to),
@@ -268,16 +273,18 @@
                     slot,
                     to: to.clone(),
                 }),
-                None if !self.staying(backup) || self.near(backup) => self.find_backup(slot, entry),
+                None if !self.staying(backup) || self.same_domain(backup) => {
+                    self.find_backup(slot, entry)
+                }
                 None if self.ledger.drained(slot) => Some(Duty::Resume(slot)),
                 None => None,
             },
         }
     }
 
-    /// Who has a whole copy of an owned slot that the table does not name, if it
-    /// may be named. It is kept to: the one with the least slots changes with each
-    /// table that others write, and a copy made for that one alone is often in vain.
+    /// The holder of a complete copy of the slot that the table does not name, if it may be
+    /// named. The primary stays with this holder: the instance with the fewest slots changes with
+    /// each table that others write, and a copy sent to that one would often be wasted.
     fn copied(&self, slot: Slot) -> Option<&id::Instance> {
         let learner = self.ledger.learner(slot)?;
         let fits = self.staying(learner) && self.ledger.ready(slot, learner);
@@ -287,9 +294,9 @@
     fn find_backup(&self, slot: Slot, entry: &Entry) -> Option<Duty> {
         let known = entry.backup.as_ref();
         if !self.service {
-            return self.unbacked(slot, entry, known?);
+            return self.unreplicated_duty(slot, entry, known?);
         }
-        let copied = self.copied(slot).filter(|copy| !self.near(copy));
+        let copied = self.copied(slot).filter(|copy| !self.same_domain(copy));
         let backup = match copied {
             Some(copy) => copy.clone(),
             None => self.table.backup_for(slot, self.live)?,
@@ -300,8 +307,8 @@
         Some(Duty::Copy { slot, to: backup })
     }
 
-    /// Duties of a primary whose backup is lost or leaving, with the service down.
-    fn unbacked(&self, slot: Slot, entry: &Entry, backup: &id::Instance) -> Option<Duty> {
+    /// Duty of a primary whose backup is lost or leaving, while the store is down.
+    fn unreplicated_duty(&self, slot: Slot, entry: &Entry, backup: &id::Instance) -> Option<Duty> {
         if !self.backed(slot, entry, backup) {
             return Some(Duty::RunUnreplicated(slot));
         }
@@ -314,9 +321,9 @@
         })
     }
 
-    /// Duties of a primary that is leaving like its backup: a slot that went to
-    /// the backup would only come back. It goes to one that stays, if any does.
-    fn stay_on(&self, slot: Slot, entry: &Entry) -> Option<Duty> {
+    /// Duty of a primary that is leaving together with its backup: a slot handed to the backup
+    /// would only come back. It goes to an instance that stays, if there is one.
+    fn leaving_pair_duty(&self, slot: Slot, entry: &Entry) -> Option<Duty> {
         if self.ledger.drained(slot) {
             return Some(Duty::Resume(slot));
         }
@@ -324,10 +331,10 @@
         stays.then(|| self.find_backup(slot, entry)).flatten()
     }
 
-    /// Duties of a leaving owner without a backup, with the service down: the
-    /// other instance that the table names gets a new copy, and the slot by word.
-    /// Without that the slot would have no owner until the service is back.
-    fn pass_on(&self, slot: Slot, to: &id::Instance) -> Option<Duty> {
+    /// Duty of a leaving primary without a usable backup, while the store is down: the other
+    /// instance that the table names receives a new copy and a direct handoff. Otherwise the slot
+    /// would have no primary until the store is back.
+    fn hand_to_restarted(&self, slot: Slot, to: &id::Instance) -> Option<Duty> {
         if !self.ledger.drained(slot) && !self.ledger.ready(slot, to) {
             return Some(Duty::Copy {
                 slot,
@@ -337,7 +344,7 @@
         self.hand_over(slot, to)
     }
 
-    /// A slot is handed over once nothing in it could end as unknown by that.
+    /// Hands a slot over once no request in it would end as unknown because of that.
     fn hand_over(&self, slot: Slot, to: &id::Instance) -> Option<Duty> {
         let begun = |r: &crate::record::Record| !r.intake.idempotent && r.begun();
         if self.ledger.open(slot).any(begun) {
@@ -355,27 +362,27 @@
         Some(Duty::Yield(slot))
     }
 
-    /// Duties of a slot's backup.
-    fn back(&self, slot: Slot, entry: &Entry) -> Option<Duty> {
+    /// Duty of a slot's backup.
+    fn backup_duty(&self, slot: Slot, entry: &Entry) -> Option<Duty> {
         let lost = self.settled && !self.alive(&entry.primary);
         if !self.ledger.keeps(slot, entry.epoch) {
             if self.ledger.drained(slot) {
                 return Some(Duty::Yield(slot));
             }
-            // This process began anew, and the owner died before it made another copy.
+            // This process restarted, and the primary died before it sent another copy.
             let claim = lost && self.service && !self.leaving;
             return claim.then_some(Duty::Claim(slot));
         }
-        // Once a copy is sealed, only the table can tell who goes on.
+        // Once a copy is sealed, only the table can settle which instance continues.
         let owns = self.ledger.released(slot).is_some();
         if owns && self.leaving && !self.service && self.staying(&entry.primary) {
-            return self.pass_on(slot, &entry.primary);
+            return self.hand_to_restarted(slot, &entry.primary);
         }
         (owns || self.ledger.serving(slot) || lost).then_some(Duty::TakeOver(slot))
     }
 
-    /// Duties of the others: a slot that nobody keeps any more goes to one of them.
-    fn watch(&self, slot: Slot, entry: &Entry) -> Option<Duty> {
+    /// Duty of the other instances: one of them claims a slot that no live instance keeps.
+    fn bystander_duty(&self, slot: Slot, entry: &Entry) -> Option<Duty> {
         let backup = entry
             .backup
             .as_ref()
@@ -384,7 +391,7 @@
             return None;
         }
         let staying: Vec<_> = self.live.iter().filter(|c| !c.leaving).collect();
-        let heir = staying.get(usize::from(slot.0) % staying.len().max(1))?;
-        (heir.instance == *self.me).then_some(Duty::Claim(slot))
+        let claimant = staying.get(usize::from(slot.0) % staying.len().max(1))?;
+        (claimant.instance == *self.me).then_some(Duty::Claim(slot))
     }
 }
--- a/coltsfoothall/src/fingerprint.rs
+++ b/coltsfoothall/src/fingerprint.rs
@@ -1,5 +1,5 @@
-//! Marks by which requests that crash endpoints are known, and the evidence
-//! against them that instances tell each other.
+//! Fingerprints of requests, and the evidence against requests that crash endpoints, as instances
+//! report it to each other.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
@@ -8,27 +8,27 @@
 use crate::record::{Intake, Work};
 use crate::size::Millis;
 
-/// What evidence is kept against.
+/// A set of requests that evidence is collected against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Mark {
-    /// Requests of equal content, of whatever workspace and key.
+    /// Requests of equal content, in any workspace and under any key.
     Content(u64),
-    /// Requests of one workspace that begin alike.
+    /// Kin: requests of one workspace that start alike.
     Kin(u64),
 }
 
 /// The marks of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fingerprint {
-    /// Its content.
+    /// Mark of its content.
     pub content: Mark,
-    /// Its kin.
+    /// Mark of its kin.
     pub kin: Mark,
 }
 
 impl Fingerprint {
-    /// The marks of a request that is forwarded as it came: whose it is, what it asks, and
-    /// its body. Such requests have no kin, since their content is not read.
+    /// The fingerprint of a request that is forwarded unread, from its workspace, method, path
+    /// and body. Its kin equals its content, since the body is not parsed.
     #[must_use]
     pub fn of_call(workspace: &str, method: &str, path: &str, body: &[u8]) -> Self {
         let mut hash = Xxh3::new();
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The marks of `intake`.
+    /// The fingerprint of `intake`.
     #[must_use]
     pub fn new(intake: &Intake) -> Self {
         let mut hash = Xxh3::new();
@@ -71,7 +71,7 @@
     }
 }
 
-/// The first block, or of a shorter prompt the largest power of two in it.
+/// The first block of the prompt, or for a shorter prompt the largest power of two bytes.
 fn head(prompt: &[u8]) -> &[u8] {
     let len = match prompt.len() {
         0 => 0,
@@ -80,27 +80,27 @@
     &prompt[..len]
 }
 
-/// An endpoint's death, as peers are told.
+/// Death of an endpoint, as reported to peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
     /// The attempt that ran there.
     pub attempt: u64,
-    /// Time since it began.
+    /// Time since the attempt started.
     pub began: Millis,
-    /// Time since the death was known.
+    /// Time since the death was detected.
     pub age: Millis,
-    /// Whether nothing else ran there.
+    /// Whether the attempt was isolated: nothing else ran there.
     #[serde(rename = "alone")]
     pub isolated: bool,
 }
 
-/// The evidence against a mark, as peers are told.
+/// The evidence against a mark, as reported to peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The mark.
     pub mark: Mark,
     /// Deaths, at most four.
     pub deaths: Vec<Notice>,
-    /// Time since it was cleared.
+    /// Time since the mark was cleared.
     pub cleared: Option<Millis>,
 }
--- a/coltsfoothall/src/handoff.rs
+++ b/coltsfoothall/src/handoff.rs
@@ -1,8 +1,8 @@
-//! Slots that change hands by word, without a write of the table: an owner that leaves lets
-//! another copy's holder act for it, or a backup that leaves drops its copy.
+//! Direct handoff of slots, without a write of the table: a leaving primary lets the holder of
+//! another copy act as primary, or a leaving backup drops its copy.
 //!
-//! A word is from one process to another. It holds what the first knew of its own standing,
-//! and gives no more.
+//! A handoff is a message from one process to another. It carries what the sender knew about its
+//! own role, and grants no more than that.
 
 use crate::clock::Time;
 use crate::id;
@@ -12,16 +12,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// An owner's word that it is sealed and another copy's holder may act as owner.
+/// A primary's statement that it is sealed and that the holder of another copy may act as
+/// primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handoff {
     /// The slot.
     pub slot: Slot,
-    /// The owner's epoch.
+    /// The primary's epoch.
     pub epoch: Epoch,
     /// Number of its last change.
     pub seq: Seq,
-    /// The last change whose effect may have left.
+    /// The last change whose effect may have become visible.
     pub released: Seq,
     /// Whether a lost backup may have taken the slot over before.
     pub contested: bool,
@@ -30,7 +31,7 @@
 }
 
 impl Ledger {
-    /// Stops changes of an owned slot, so that the other copies catch up.
+    /// Stops changes of a slot whose primary is here, so that the other copies catch up.
     pub fn drain(&mut self, slot: Slot) {
         if let Some(replica) = self.replica_mut(slot)
             && matches!(replica.role, Role::Primary(_))
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Takes a drained slot up again, unless it is handed over already.
+    /// Accepts changes of a drained slot again, unless it has been handed over.
     pub fn resume(&mut self, slot: Slot) {
         if let Some(replica) = self.replica_mut(slot) {
             replica.draining &= replica.sealed;
@@ -52,10 +53,9 @@
         self.replica(slot).is_some_and(Replica::drained)
     }
 
-    /// Seals a drained slot for good and lets its backup act as owner, or the
-    /// holder of a copy that stands in for it, without a write of the table. None
-    /// while that copy lacks a change, or there is none, or a write of the entry
-    /// is under way.
+    /// Seals a drained slot for good and lets its backup, or the holder of a copy that replaces
+    /// the backup's, act as primary without a write of the table. `None` while that copy lacks a
+    /// change, there is none, or a write of the entry is under way.
     pub fn hand_over(&mut self, slot: Slot) -> Option<(id::Instance, Handoff)> {
         if self.proposals.iter().any(|proposal| proposal.slot == slot) {
             return None;
@@ -78,12 +78,12 @@
         Some((peer, handoff))
     }
 
-    /// Acts as owner after the owner's word; false if the copy here lacks a
-    /// change. The takeover should be written to the table soon.
+    /// Becomes primary by a direct handoff; false if the copy here lacks a change. The takeover
+    /// should be written to the table soon.
     ///
-    /// The word is for the process that took the copy: within one epoch a life is
-    /// sealed for good once it has owned the slot, so a word that comes twice or late
-    /// makes no second owner.
+    /// The handoff is for the process that received the copy. Within one epoch, a process is
+    /// sealed for good once it has been primary, so a duplicate or late handoff creates no second
+    /// primary.
     pub fn accept(&mut self, now: Time, handoff: Handoff) -> bool {
         let mine = handoff.life == self.settings.life;
         let Some(replica) = self.replica_mut(handoff.slot) else {
@@ -93,12 +93,12 @@
         let whole = same && mine && replica.seq >= handoff.seq;
         match replica.role {
             Role::Backup { .. } if whole => {
-                replica.own(handoff.life, None);
+                replica.become_primary(handoff.life, None);
                 replica.inherit(handoff);
                 true
             }
             Role::Learner { .. } if whole => {
-                replica.own(handoff.life, None);
+                replica.become_primary(handoff.life, None);
                 replica.inherit(handoff);
                 replica.doubt(now, handoff.epoch.next());
                 true
@@ -108,29 +108,29 @@
         }
     }
 
-    /// Drops the copy here for good, at its owner's wish. Some, with the process that
-    /// says so, if it has no copy left that could take the slot over at `epoch`: whoever
-    /// claims the slot after its owner then takes its keys for lost.
+    /// Drops the copy here for good, at the primary's request. Returns this process if it has no
+    /// copy left that could take the slot over at `epoch`: an instance that claims the slot after
+    /// its primary then treats its keys as lost.
     pub fn resign(&mut self, slot: Slot, epoch: Epoch) -> Option<Life> {
         let life = self.settings.life;
         let known = self.epochs.get(usize::from(slot.0));
         if known.is_some_and(|known| *known > epoch) {
-            // The copy here may have taken the slot over and given it on.
+            // The copy here may have taken the slot over and handed it on.
             return None;
         }
-        let Ok(at) = self.replicas.binary_search_by_key(&slot, |r| r.slot) else {
+        let Ok(index) = self.replicas.binary_search_by_key(&slot, |r| r.slot) else {
             return Some(life);
         };
-        let replica = &self.replicas[at];
+        let replica = &self.replicas[index];
         let backs = matches!(replica.role, Role::Backup { .. } | Role::Learner { .. });
         if !backs || replica.sealed || replica.epoch > epoch {
             return None;
         }
-        self.replicas.remove(at);
+        self.replicas.remove(index);
         Some(life)
     }
 
-    /// Waits for a backup no longer after its process `life` dropped its copy at `epoch`.
+    /// Stops waiting for a backup after its process `life` dropped its copy at `epoch`.
     pub fn resigned(
         &mut self,
         now: Time,
@@ -144,19 +144,19 @@
         }
         if let Some(replica) = self.replica_mut(slot).filter(|r| r.epoch == epoch) {
             if replica.backed() {
-                // A process before this one may have sealed its copy and worked on alone.
+                // An earlier process may have sealed its copy and continued unreplicated.
                 replica.doubt(now, epoch.next());
             }
             let Role::Primary(owner) = &mut replica.role else {
                 return;
             };
             let lost = owner.backup.take_if(|link| link.peer == *backup);
-            // Another process than the one that held it cannot speak for that.
+            // Only the process that held the backup can vouch that it did not take the slot over.
             owner.contested |= lost.is_some_and(|link| link.holder.life != life);
-            // A copy that was made before does not know of the doubt.
+            // A copy that was made earlier does not include the doubt.
             owner.learner = None;
             owner.release(replica.seq);
-            self.awaited = true;
+            self.confirmation_pending = true;
         }
     }
 
@@ -176,7 +176,7 @@
 }
 
 impl Replica {
-    /// Takes on what the owner before, which gave its word, knew of its own standing.
+    /// Takes over the restrictions of the previous primary.
     fn inherit(&mut self, handoff: Handoff) {
         if let Role::Primary(owner) = &mut self.role
             && handoff.contested
--- a/coltsfoothall/src/id.rs
+++ b/coltsfoothall/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of the things that the system knows, one type each.
+//! Names of the entities in the system, each as a type of its own.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,11 +7,11 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-/// Longest name in bytes; it stops a name from filling logs and label sets.
+/// Upper bound on the length of a name in bytes; it limits the size of logs and label sets.
 pub const MAX_LEN: usize = 64;
 
 quick_error! {
-    /// A name that cannot be taken.
+    /// An invalid name.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
         /// The name is empty.
@@ -22,7 +22,7 @@
         Long(len: usize) {
             display("name has {len} bytes, at most {MAX_LEN} are allowed")
         }
-        /// The name holds a character outside `A-Z a-z 0-9 . _ : -`.
+        /// The name contains a character outside `A-Z a-z 0-9 . _ : -`.
         Char(found: char) {
             display("name holds {found:?}; letters, digits and . _ : - are allowed")
         }
@@ -32,7 +32,7 @@
 /// Checks the length and the characters of a name.
 ///
 /// # Errors
-/// Says which rule the name breaks.
+/// The rule that the name violates.
 pub(crate) fn check(name: &str) -> Result<(), Error> {
     if name.is_empty() {
         return Err(Error::Empty);
@@ -57,7 +57,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// The name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -96,17 +96,17 @@
 }
 
 names! {
-    /// A machine that the cloud lends, entry or endpoint.
+    /// A machine rented from the cloud, running an entry or an endpoint.
     Instance;
     /// A failure domain: machines that can be lost together.
     Domain;
-    /// A region: failure domains with short hops between them.
+    /// A region: failure domains with low latency between them.
     Region;
-    /// A machine class, which sets price and speed.
+    /// A machine class, which determines price and speed.
     Class;
-    /// A customer whose requests share limits.
+    /// A customer; its requests share limits.
     Workspace;
-    /// A set of endpoints that answer the same requests.
+    /// A set of endpoints that serve the same requests.
     Service;
     /// A back end: a model engine or a plain service on one instance.
     Endpoint;
@@ -116,6 +116,6 @@
     Model;
     /// An adapter on top of a model.
     Adapter;
-    /// One operator's plan.
+    /// A plan of an operator.
     Plan;
 }
--- a/coltsfoothall/src/key.rs
+++ b/coltsfoothall/src/key.rs
@@ -1,8 +1,7 @@
-//! Keys that name requests within a workspace, and their slots.
+//! Keys that identify requests within a workspace, and their slots.
 //!
-//! A caller may bring a key of its own. A key that the system mints carries
-//! its slot and the slot's epoch, so that an owner who lost its ledger can
-//! tell keys from before the loss.
+//! A caller may supply its own key. A key minted by the system contains its slot and the slot's
+//! epoch, so that a primary that lost its records can recognize keys from before the loss.
 
 use std::fmt;
 use std::str::FromStr;
@@ -24,7 +23,7 @@
     }
 }
 
-/// Number of a slot's ownership; it rises with each change of owner.
+/// Version of a slot's entry in the table; it increases with each change of primary or backup.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Epoch(pub u32);
@@ -43,15 +42,15 @@
     }
 }
 
-/// What names a request within its workspace.
+/// Identifies a request within its workspace.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Key(Arc<str>);
 
-/// What a minted key says about itself.
+/// Slot and epoch encoded in a minted key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Mint {
-    /// The slot it was minted in.
+    /// The slot in which the key was minted.
     pub slot: Slot,
     /// The slot's epoch at that time.
     pub epoch: Epoch,
@@ -64,7 +63,7 @@
         Self(format!("k:{:x}:{:x}:{unique:016x}", slot.0, epoch.0).into())
     }
 
-    /// What the key says about itself, if the system minted it.
+    /// The slot and epoch in the key, if the system minted it.
     #[must_use]
     pub fn minted(&self) -> Option<Mint> {
         let mut parts = self.0.strip_prefix("k:")?.split(':');
@@ -88,7 +87,7 @@
         }
     }
 
-    /// The key as text.
+    /// The key as a string slice.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
--- a/coltsfoothall/src/ledger.rs
+++ b/coltsfoothall/src/ledger.rs
@@ -1,25 +1,25 @@
-//! The records that this instance keeps, as owner and as backup.
+//! The request records that this instance keeps, as primary and as backup.
 //!
 //! The ledger decides what may be accepted, sent and answered. Its rules:
 //!
-//! - A change's effect leaves once every copy that may take the slot over holds
-//!   the change ([`Ledger::released`]).
-//! - A backup seals its copy before it asks for the slot; a sealed copy
-//!   acknowledges nothing, so a paused owner that wakes sends nothing.
-//! - A copy that the table is to name holds what has left before the table is
-//!   written, and from then on holds what leaves.
-//! - The role that the table gives counts only with a copy of the same epoch;
-//!   an instance that restarted under its old name has none.
+//! - The effect of a change becomes visible only once every copy that may take the slot over
+//!   holds the change ([`Ledger::released`]).
+//! - A backup seals its copy before it asks for the slot; a sealed copy acknowledges nothing, so
+//!   a paused primary that resumes can release nothing.
+//! - Before the table is written to name a copy, that copy holds all changes that have been
+//!   released; from then on it must hold each change before its release.
+//! - A role in the table counts only with a copy of the same epoch; an instance that restarted
+//!   under its old name has none.
 //!
-//! An ended request keeps its answer and a digest of what was asked, not its
-//! prompt or body. Its record stays for [`Settings::retention`] or until the
-//! bytes of all records reach [`Settings::bytes`], whichever comes first; the
-//! oldest ended ones go first. A key older than that is, if idempotent, new
-//! again; if not, its name stays and it is answered [`Begin::Retired`], never
-//! run again. Open requests, and ends that a copy still lacks, are never
-//! dropped: only when they alone reach the bound is a new request refused.
+//! An ended request keeps its answer and a digest of the request, not its prompt or body. Its
+//! record stays for [`Settings::retention`] or until the bytes of all records reach
+//! [`Settings::bytes`], whichever comes first; the records that ended first are evicted first.
+//! After that, an idempotent key counts as new again; the name of a non-idempotent request stays
+//! as a tombstone, and the request is answered [`Begin::Retired`] and never run again. Open
+//! requests, and ends that a copy still lacks, are never dropped: a new request is refused only
+//! when they reach the bound by themselves.
 //!
-//! Times at which a caller's key can run twice are in docs/PROOFS.md.
+//! The cases in which a caller's key can run twice are in docs/PROOFS.md.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
 use crate::replica::{Replica, Role};
 use crate::size::Bytes;
 use crate::takeover::Proposal;
-use crate::transfer::Arrival;
+use crate::transfer::IncomingCopy;
 
 pub use crate::handoff::Handoff;
 pub use crate::replica::{Ack, Broken, Holder, Life, Seq, Step, Update};
@@ -41,27 +41,26 @@
 /// Limits of the ledger.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// How long an ended request is kept, if the bytes allow. Deadlines have to be under half of
-    /// it, so that no key outlives what is known about it.
+    /// How long the record of an ended request is kept, if [`Self::bytes`] allows. Deadlines must
+    /// be less than half of it, so that no key outlives what is known about it.
     pub retention: Duration,
-    /// How long the name of an ended non-idempotent request is kept.
+    /// How long the tombstone of an ended non-idempotent request is kept.
     pub tombstone_retention: Duration,
-    /// Bytes of all records, backup copies included; it stops slow callers and
-    /// long answers from filling the memory. The oldest ended records go first.
+    /// Upper bound on the bytes of all records, backup copies included; it prevents slow callers
+    /// and long answers from exhausting memory. The records that ended first are evicted first.
     pub bytes: Bytes,
-    /// Changes of a slot that wait for a copy; it stops a dead backup from
-    /// filling the memory.
+    /// Upper bound on the changes of a slot that wait for a copy; it prevents a dead backup from
+    /// exhausting memory.
     pub max_unacked: usize,
-    /// Names of ended requests in a slot, 16 bytes each; it stops a flood of
-    /// short requests from filling the memory. The oldest go first.
+    /// Upper bound on the tombstones of a slot, 16 bytes each; it prevents a flood of short
+    /// requests from exhausting memory. The oldest are dropped first.
     pub tombstones: usize,
-    /// Longest time for which a read of the table vouches for a "not run" of an idempotent
-    /// request, from when it was sent; whoever claims a slot waits twice as long before it
-    /// runs older keys. It has to be well above the service's usual answer of a few
-    /// milliseconds, and twice it below the 2 s for which a new request waits for an owner.
+    /// How long a read of the table confirms the "not run" of an idempotent request, from when
+    /// the read was sent. An instance that claims a slot waits twice as long before it runs older
+    /// keys. The value has to be well above the store's usual latency of a few milliseconds, and
+    /// twice the value has to be below the 2 s for which a new request waits for a primary.
     pub confirmation_ttl: Duration,
-    /// Tells this process from the one before it of the same name: a number drawn
-    /// at its start.
+    /// Identifies this process among all processes of the same name: a number drawn at startup.
     pub life: Life,
 }
 
@@ -79,24 +78,24 @@
     }
 }
 
-/// What becomes of a request that a caller sent.
+/// Outcome of [`Ledger::begin`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Begin {
-    /// It is new and now recorded.
+    /// The request is new and is now recorded.
     New(Step),
-    /// The same request is known; answer from its record once `seq` is released.
+    /// The same request is known; answer from its record once the given change is released.
     Join(Seq),
-    /// The key names another request.
+    /// The key belongs to a different request.
     Reused,
-    /// It ended so long ago that its answer is no longer kept.
+    /// The request ended so long ago that its answer is no longer kept.
     Retired,
-    /// It may have run at an owner whose records are lost: unknown.
+    /// The request may have run on a primary whose records are lost: unknown.
     Lost,
-    /// This instance does not own the slot.
+    /// This instance does not serve the slot.
     NotOwner,
-    /// At most once could not be kept up now: not run.
+    /// At-most-once execution cannot be guaranteed now: not run.
     NotSafe,
-    /// Open requests alone fill the ledger: not run.
+    /// Open requests fill the ledger: not run.
     Full,
     /// Too many changes of the slot wait for a copy: not run.
     Behind,
@@ -108,17 +107,17 @@
     pub enum Error {
         /// This instance may not change the slot.
         NotOwner(slot: Slot) {
-            display("slot {slot} is not owned here")
+            display("slot {slot} is not served by this instance")
         }
-        /// At most once could not be kept up now.
+        /// At-most-once execution cannot be guaranteed now.
         NotSafe(name: Name) {
-            display("request {name} cannot be sent safely now")
+            display("request {name} cannot be changed safely now")
         }
         /// Too many changes wait for a copy.
         Full(slot: Slot) {
-            display("too many changes of slot {slot} wait for its backup")
+            display("too many changes of slot {slot} are waiting for its backup")
         }
-        /// A rule is broken.
+        /// An invariant is violated.
         Broken(err: Broken) {
             from()
             source(err)
@@ -127,17 +126,17 @@
     }
 }
 
-/// What an owner does after an acknowledgement.
+/// What the primary does after an acknowledgement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Nothing more.
+    /// Nothing.
     Nothing,
-    /// Send the changes of [`Ledger::resend`], at most once a tick: each would
-    /// bring a gap of its own otherwise, and those more of them.
+    /// Send the changes of [`Ledger::resend`], at most once per tick: otherwise each gap would
+    /// trigger a resend, which would produce further gaps.
     Resend,
-    /// Make a whole copy there, or elsewhere.
+    /// Send a complete copy there, or to another instance.
     Copy,
-    /// Read the slot table: the slot may have another owner.
+    /// Read the slot table: the slot may have another primary.
     Table,
 }
 
@@ -146,13 +145,13 @@
 pub struct Lag {
     /// The slot.
     pub slot: Slot,
-    /// Who keeps the copy.
+    /// The instance that holds the copy.
     pub to: id::Instance,
     /// The first change that it lacks.
     pub seq: Seq,
 }
 
-/// What this instance keeps.
+/// The records and copies that this instance keeps.
 #[derive(Debug)]
 pub struct Ledger {
     pub(crate) me: id::Instance,
@@ -161,25 +160,26 @@
     pub(crate) replicas: Vec<Replica>,
     pub(crate) proposals: Vec<Proposal>,
     pub(crate) version: u64,
-    /// Epochs of all slots in that table, by slot.
+    /// Epochs of all slots in the table of that version, by slot.
     pub(crate) epochs: Vec<Epoch>,
     /// When the last read that confirmed that table was sent.
     pub(crate) confirmed: Time,
-    /// When a table was last taken in.
+    /// When a table was last observed.
     pub(crate) observed: Time,
-    /// Whether a "not run" waits for the table.
-    pub(crate) awaited: bool,
+    /// Whether a "not run" waits for a read of the table.
+    pub(crate) confirmation_pending: bool,
     pub(crate) copies: u64,
-    pub(crate) arrivals: Vec<Arrival>,
-    /// Changes that took effect without a second copy.
+    pub(crate) incoming: Vec<IncomingCopy>,
+    /// Number of changes that took effect without a second copy.
     pub(crate) unreplicated: u64,
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     #[must_use]
     pub fn new(me: id::Instance, settings: Settings) -> Self {
-        // An answer to a copy that an earlier process sent must not pass for one of these.
+        // Copy numbers start at the life, so that an answer to a copy sent by an earlier process
+        // is not taken for an answer to one of these.
         let copies = settings.life.0;
         Self {
             me,
@@ -190,28 +190,29 @@
             epochs: Vec::new(),
             confirmed: Time::START,
             observed: Time::START,
-            awaited: false,
+            confirmation_pending: false,
             copies,
-            arrivals: Vec::new(),
+            incoming: Vec::new(),
             unreplicated: 0,
         }
     }
 
-    /// Takes in a request from a caller. `slot` is its key's slot.
+    /// Accepts a request from a caller. `slot` is its key's slot.
     ///
     /// # Errors
-    /// A rule is broken.
+    /// An invariant is violated.
     pub fn begin(&mut self, now: Time, intake: Intake, slot: Slot) -> Result<Begin, Error> {
-        self.ripen(now, slot);
+        self.end_claim_wait(now, slot);
         let Some(replica) = self.replica(slot).filter(|replica| serves(replica)) else {
             return Ok(Begin::NotOwner);
         };
         if (intake.name.key.minted()).is_some_and(|mint| mint.epoch > replica.epoch) {
-            // Whoever minted it owns the slot now; the table has not come here yet.
+            // The instance that minted the key is primary now; its table has not arrived here
+            // yet.
             return Ok(Begin::NotOwner);
         }
-        if let Ok(at) = replica.find(&intake.name) {
-            let item = &replica.items[at];
+        if let Ok(index) = replica.find(&intake.name) {
+            let item = &replica.items[index];
             let (seq, same) = (item.seq, item.record.digest == intake.digest());
             self.recheck(now, slot, &intake.name);
             return Ok(if same {
@@ -235,16 +236,16 @@
         }
         let step = self.step(now, slot, name.clone(), Change::Accept(Box::new(intake)))?;
         if let Some(replica) = self.replica_mut(slot) {
-            replica.mark(&name, unsure);
+            replica.mark_unsure(&name, unsure);
         }
         Ok(Begin::New(step))
     }
 
-    /// Changes a request. A `Sent` of a non-idempotent request must be released
-    /// before the first byte leaves; so must any part, answer or end.
+    /// Changes a request. A `Sent` of a non-idempotent request must be released before its first
+    /// byte leaves; a part, answer or end must be released before it is shown to the caller.
     ///
     /// # Errors
-    /// The slot is not owned here, the change is not safe, or it breaks a rule.
+    /// The slot is not served here, the change is not safe, or it violates an invariant.
     pub fn change(
         &mut self,
         now: Time,
@@ -252,12 +253,12 @@
         name: Name,
         change: Change,
     ) -> Result<Step, Error> {
-        self.ripen(now, slot);
+        self.end_claim_wait(now, slot);
         let replica = self.replica(slot).filter(|replica| serves(replica));
         let replica = replica.ok_or(Error::NotOwner(slot))?;
-        let at = replica.find(&name);
-        let at = at.map_err(|_place| Broken::Absent(name.clone()))?;
-        if !self.safe(now, &replica.items[at], replica, &change) {
+        let index = replica.find(&name);
+        let index = index.map_err(|_place| Broken::Absent(name.clone()))?;
+        if !self.safe(now, &replica.items[index], replica, &change) {
             return Err(Error::NotSafe(name));
         }
         if backlog(replica) >= self.settings.max_unacked {
@@ -266,10 +267,10 @@
         self.step(now, slot, name, change)
     }
 
-    /// Applies a change that `from` sent as the owner to the copy here.
+    /// Applies a change that `from` sent as the primary to the copy here.
     ///
     /// # Errors
-    /// The change breaks a rule.
+    /// The change violates an invariant.
     pub fn receive(
         &mut self,
         now: Time,
@@ -279,7 +280,7 @@
         if matches!(update.change, Change::Accept(_)) {
             self.make_room(now);
         }
-        // What is not known of a key's past at its owner is not known here either.
+        // If the primary may not know the history of a key, neither does this copy.
         let unsure = match (&update.change, self.replica(update.slot)) {
             (Change::Accept(intake), Some(replica)) => self.unsure(now, intake, replica),
             _ => false,
@@ -298,14 +299,15 @@
             return Ok(Ack::Gap(replica.seq.next()));
         }
         let seq = replica.apply(now, &update.name, update.change)?;
-        replica.mark(&update.name, unsure);
+        replica.mark_unsure(&update.name, unsure);
         Ok(Ack::Ok(seq, replica.holder(life)))
     }
 
-    /// Notes what a copy said to an update of `epoch`. `released` tells what may leave then.
+    /// Handles the answer of a copy to an update of `epoch`. Afterwards, [`Ledger::released`]
+    /// tells which changes may take effect.
     ///
     /// # Errors
-    /// The peer acknowledged what was never sent.
+    /// The peer acknowledged a change that was never sent.
     pub fn acked(
         &mut self,
         slot: Slot,
@@ -332,14 +334,14 @@
             }
             Ack::Sealed(_) => {
                 let backup = owner.backup.as_ref().is_some_and(|link| link.peer == *from);
-                replica.told |= backup;
+                replica.backup_sealed |= backup;
                 Ok(Next::Table)
             }
             Ack::Gap(from) if owner.unacked.first().is_some_and(|u| u.seq <= from) => {
                 Ok(Next::Resend)
             }
             Ack::Gap(_) | Ack::Missing => {
-                // A copy that the table does not name is made anew, not waited for.
+                // A copy that the table does not name is replaced rather than waited for.
                 if !writing && owner.learner.take_if(|link| link.peer == *from).is_some() {
                     owner.release(seq);
                 }
@@ -348,8 +350,8 @@
         }
     }
 
-    /// All changes of the slot up to this one may have their effect. None
-    /// while the slot is not owned here or sealed: nothing may leave.
+    /// The changes of the slot up to this one may take effect. `None` while the slot is sealed or
+    /// this instance is not its primary: nothing may take effect.
     #[must_use]
     pub fn released(&self, slot: Slot) -> Option<Seq> {
         let replica = self.replica(slot).filter(|replica| replica.leads())?;
@@ -359,15 +361,15 @@
         }
     }
 
-    /// Whether the effect of a request's change may leave; this holds the
-    /// exception for idempotent requests that go on alone.
+    /// Whether the effect of a request's change may become visible, including the exception for
+    /// idempotent requests that run unreplicated.
     #[must_use]
     pub fn may_leave(&self, slot: Slot, name: &Name, seq: Seq) -> bool {
         let replica = self.replica(slot);
         replica.is_some_and(|replica| replica.may_leave(name, seq))
     }
 
-    /// Changes that a copy has not acknowledged, to be sent to it again.
+    /// Changes that a copy has not acknowledged, to be resent to it.
     #[must_use]
     pub fn resend(&self, slot: Slot, to: &id::Instance) -> Vec<Update> {
         let Some(replica) = self.replica(slot).filter(|replica| !replica.sealed) else {
@@ -382,7 +384,7 @@
         owner.since(link.acked).cloned().collect()
     }
 
-    /// Copies that lack changes, with the first change that each lacks.
+    /// Copies that lack changes, each with the first change that it lacks.
     #[must_use]
     pub fn lags(&self) -> Vec<Lag> {
         let mut lags = Vec::new();
@@ -402,26 +404,27 @@
         lags
     }
 
-    /// Lets idempotent requests go on while the backup is out of reach and the
-    /// service is down. Non-idempotent ones wait. It ends once the backup holds
-    /// all changes. A slot that was drained for the backup is taken up again.
+    /// Lets idempotent requests continue while the backup is unreachable and the store is down;
+    /// non-idempotent ones wait. The state ends once the backup holds all changes. A slot that
+    /// was draining towards the backup accepts changes again.
     pub fn run_unreplicated(&mut self, slot: Slot) {
         self.resume(slot);
         if let Some(replica) = self.replica_mut(slot)
             && let Role::Primary(owner) = &mut replica.role
         {
-            // A backup that dropped its copy is not waited for at all.
+            // There is no need for this state if the backup dropped its copy, as changes do not
+            // wait for it.
             owner.unreplicated = owner.backup.is_some() || owner.learner.is_some();
         }
     }
 
-    /// Drops requests that ended long ago, or for whose records there is no
-    /// room; names of non-idempotent ones stay.
+    /// Drops the records of requests that ended long ago, or that exceed the memory bound;
+    /// tombstones of non-idempotent ones stay.
     pub fn retire(&mut self, now: Time) {
         let settings = self.settings.clone();
-        let wait = self.wait();
+        let wait = self.claim_wait();
         for replica in &mut self.replicas {
-            replica.ripen(now, wait);
+            replica.end_claim_wait(now, wait);
             replica.retire(
                 now,
                 settings.retention,
@@ -432,7 +435,7 @@
         self.make_room(now);
     }
 
-    /// Whether too many changes of a slot wait for a copy: none may be made now.
+    /// Whether too many changes of a slot wait for a copy, so that no further one may be made.
     #[must_use]
     pub fn behind(&self, slot: Slot) -> bool {
         let replica = self.replica(slot);
@@ -440,13 +443,13 @@
     }
 
     pub(crate) fn replica(&self, slot: Slot) -> Option<&Replica> {
-        let at = self.replicas.binary_search_by_key(&slot, |r| r.slot).ok()?;
-        Some(&self.replicas[at])
+        let index = self.replicas.binary_search_by_key(&slot, |r| r.slot).ok()?;
+        Some(&self.replicas[index])
     }
 
     pub(crate) fn replica_mut(&mut self, slot: Slot) -> Option<&mut Replica> {
-        let at = self.replicas.binary_search_by_key(&slot, |r| r.slot).ok()?;
-        Some(&mut self.replicas[at])
+        let index = self.replicas.binary_search_by_key(&slot, |r| r.slot).ok()?;
+        Some(&mut self.replicas[index])
     }
 
     pub(crate) fn step(
@@ -459,15 +462,15 @@
         let replica = self.replica_mut(slot).ok_or(Error::NotOwner(slot))?;
         let seq = replica.apply(now, &name, change.clone())?;
         let step = replica.publish(seq, name, change);
-        let denies = |at: usize| replica.items[at].denies();
-        self.awaited |= replica.find(&step.update.name).is_ok_and(denies);
+        let denies = |index: usize| replica.items[index].ended_not_run();
+        self.confirmation_pending |= replica.find(&step.update.name).is_ok_and(denies);
         self.unreplicated += u64::from(step.released);
         Ok(step)
     }
 }
 
-/// Whether requests may be taken and changed: by its owner, or by a backup that
-/// has sealed it and carries idempotent work on.
+/// Whether requests may be accepted and changed: on the primary, or on a backup that has sealed
+/// its copy and continues idempotent work.
 pub(crate) fn serves(replica: &Replica) -> bool {
     match replica.role {
         Role::Primary(_) => replica.leads() && !replica.draining,
@@ -476,7 +479,7 @@
     }
 }
 
-/// Changes of a slot that wait for a copy.
+/// Number of changes of a slot that wait for a copy.
 pub(crate) fn backlog(replica: &Replica) -> usize {
     match &replica.role {
         Role::Primary(owner) => owner.unacked.len(),
--- a/coltsfoothall/src/log.rs
+++ b/coltsfoothall/src/log.rs
@@ -1,24 +1,24 @@
-//! Numbers of a request's changes, and which of them the backup holds.
+//! Numbers the changes of a request and tracks which of them the backup holds.
 
-/// The changes of one request at one owner, by number.
+/// The changes of one request on one primary, by number.
 #[derive(Debug, Clone, Default)]
 pub struct Log {
     recorded: u64,
     acked: u64,
     unreplicated: bool,
-    /// Changes that brought tokens and are not held yet, rising.
-    unheld: Vec<Unheld>,
+    /// Changes that the backup does not hold yet, ascending.
+    pending: Vec<PendingChange>,
     tokens: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Unheld {
+struct PendingChange {
     seq: u64,
     tokens: u64,
 }
 
 impl Log {
-    /// A log whose first `tokens` tokens are held already.
+    /// Creates a log whose first `tokens` tokens are already held.
     #[must_use]
     pub fn new(tokens: u64) -> Self {
         Self {
@@ -27,18 +27,19 @@
         }
     }
 
-    /// Numbers a change after which the answer has `tokens` tokens.
+    /// Adds a change after which the answer has `tokens` tokens, and returns its number.
     pub fn add(&mut self, tokens: u64) -> u64 {
         self.recorded += 1;
         let seq = self.recorded;
-        self.unheld.push(Unheld { seq, tokens });
+        self.pending.push(PendingChange { seq, tokens });
         if self.unreplicated {
             self.hold(seq);
         }
         seq
     }
 
-    /// Notes that the backup holds the changes up to `seq`; false if there are fewer.
+    /// Records that the backup holds the changes up to `seq`; false if no change has that number
+    /// yet.
     pub fn ack(&mut self, seq: u64) -> bool {
         if seq > self.recorded {
             return false;
@@ -47,7 +48,7 @@
         true
     }
 
-    /// Notes whether there is no backup; without one, all changes count as held.
+    /// Sets whether there is no backup; without one, all changes count as held.
     pub fn set_unreplicated(&mut self, unreplicated: bool) {
         self.unreplicated = unreplicated;
         if unreplicated {
@@ -57,13 +58,13 @@
 
     fn hold(&mut self, seq: u64) {
         self.acked = self.acked.max(seq);
-        let held = self.unheld.partition_point(|unheld| unheld.seq <= seq);
-        for unheld in self.unheld.drain(..held) {
-            self.tokens = unheld.tokens;
+        let held = self.pending.partition_point(|pending| pending.seq <= seq);
+        for pending in self.pending.drain(..held) {
+            self.tokens = pending.tokens;
         }
     }
 
-    /// Whether the change `seq` is held.
+    /// Whether the backup holds the change `seq`.
     #[must_use]
     pub fn holds(&self, seq: u64) -> bool {
         seq <= self.acked
@@ -81,7 +82,7 @@
         self.recorded
     }
 
-    /// Tokens of the answer that are held.
+    /// Tokens of the answer that the backup holds.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.tokens
--- a/coltsfoothall/src/progress.rs
+++ b/coltsfoothall/src/progress.rs
@@ -1,6 +1,7 @@
-//! How a request gets on: endpoints are chosen, attempts answer, break or move.
+//! Progress of a request: endpoints are picked, attempts answer, fail or move.
 //!
-//! [`Request`] keeps the rules of beginning, ending and of what the backup holds.
+//! Start and end of a request, and what the backup holds of it, are handled in [`Request`]'s own
+//! module.
 
 use std::time::Duration;
 
@@ -8,22 +9,22 @@
 use crate::clock::Time;
 use crate::id;
 use crate::record::{Answer, Cause, Change, End, Part};
-use crate::request::{Phase, Request, Search, insert};
+use crate::request::{Phase, Request, Search, insert_sorted};
 use crate::size::Tokens;
 use crate::step::{Action, Broken, Dropped};
 
-/// Shortest time between two asks for an endpoint; it stops a busy loop.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Minimum delay before an endpoint is requested again; it prevents a busy loop.
+const MIN_PICK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Request {
-    /// Asks for an endpoint.
+    /// Requests an endpoint.
     pub(crate) fn pick(&mut self, out: &mut Vec<Action>) -> Result<(), Broken> {
         if !self.record.intake.idempotent && self.log.unreplicated() {
             return self.give_up(Cause::NotSafe, out);
         }
-        let mut exclude = self.gone.clone();
+        let mut exclude = self.unavailable.clone();
         for endpoint in &self.failed {
-            insert(&mut exclude, endpoint.clone());
+            insert_sorted(&mut exclude, endpoint.clone());
         }
         self.search = Search::Pick;
         out.push(Action::Pick { exclude });
@@ -41,10 +42,10 @@
             out.push(Action::Abort { attempt });
             return Ok(());
         }
-        if self.gone.binary_search(&endpoint).is_ok() {
-            // Its notice crossed the choice.
+        if self.unavailable.binary_search(&endpoint).is_ok() {
+            // Its notice to stop arrived while it was being picked.
             out.push(Action::Abort { attempt });
-            self.search = Search::Later(now + PAUSE);
+            self.search = Search::Later(now + MIN_PICK_INTERVAL);
             return Ok(());
         }
         self.search = Search::Off;
@@ -68,7 +69,7 @@
             return Ok(());
         }
         self.failed.clear();
-        let at = now + retry_after.max(PAUSE);
+        let at = now + retry_after.max(MIN_PICK_INTERVAL);
         if at < self.deadline {
             self.search = Search::Later(at);
             return Ok(());
@@ -76,7 +77,7 @@
         self.given_up(cause, retry_after, out)
     }
 
-    /// The search is over; an attempt that still runs may yet end it well.
+    /// Ends the search; an attempt that is still running may yet complete the request.
     pub(crate) fn given_up(
         &mut self,
         cause: Cause,
@@ -94,7 +95,7 @@
         self.give_up(cause, out)
     }
 
-    /// Whether the attempt is the running one; else what came from it is dropped.
+    /// Whether the attempt is the running one; otherwise its input is dropped and counted.
     pub(crate) fn current(&self, attempt: u64, out: &mut Vec<Action>) -> bool {
         let current = self.running.as_ref().is_some_and(|a| a.number == attempt);
         if !current {
@@ -108,18 +109,18 @@
             return Ok(());
         }
         if self.running.as_ref().is_some_and(|running| running.begun) {
-            return self.spoiled(Dropped::Malformed, out);
+            return self.fail_attempt(Dropped::Malformed, out);
         }
         let Some(refused) = self.running.take() else {
             return Ok(());
         };
         self.starts = self.starts.saturating_sub(1);
         self.change(Change::Refused { attempt }, out)?;
-        insert(&mut self.failed, refused.endpoint);
+        insert_sorted(&mut self.failed, refused.endpoint);
         self.retry(refused.leaving, out)
     }
 
-    pub(crate) fn note_cached(&mut self, cached: Option<Tokens>, out: &mut Vec<Action>) {
+    pub(crate) fn record_cached(&mut self, cached: Option<Tokens>, out: &mut Vec<Action>) {
         if let (Some(running), Some(cached)) = (&self.running, cached)
             && !running.begun
         {
@@ -143,8 +144,8 @@
             ChunkKind::Last => running.last = Some(part),
             ChunkKind::Empty => {}
             ChunkKind::Duplicate => out.push(Action::Count(Dropped::Duplicate)),
-            ChunkKind::Gap => return self.spoiled(Dropped::Gap, out),
-            ChunkKind::Malformed => return self.spoiled(Dropped::Malformed, out),
+            ChunkKind::Gap => return self.fail_attempt(Dropped::Gap, out),
+            ChunkKind::Malformed => return self.fail_attempt(Dropped::Malformed, out),
         }
         Ok(())
     }
@@ -163,7 +164,7 @@
             return Ok(());
         }
         if !running.takes(&self.record, &answer) {
-            return self.spoiled(Dropped::Malformed, out);
+            return self.fail_attempt(Dropped::Malformed, out);
         }
         running.answer = Some(answer);
         Ok(())
@@ -175,15 +176,15 @@
         let change = match (last, answer) {
             (Some(part), _) => Change::Part(part),
             (None, Some(answer)) => Change::Answer(answer),
-            (None, None) => return self.spoiled(Dropped::Malformed, out),
+            (None, None) => return self.fail_attempt(Dropped::Malformed, out),
         };
         self.running = None;
         self.change(change, out)?;
         self.finish(End::Done, out)
     }
 
-    /// Gives up an attempt whose answer cannot be trusted to go on.
-    fn spoiled(&mut self, why: Dropped, out: &mut Vec<Action>) -> Result<(), Broken> {
+    /// Aborts an attempt whose answer is inconsistent.
+    fn fail_attempt(&mut self, why: Dropped, out: &mut Vec<Action>) -> Result<(), Broken> {
         out.push(Action::Count(why));
         if let Some(running) = &self.running {
             out.push(Action::Abort {
@@ -200,11 +201,11 @@
         if !self.record.intake.idempotent {
             return self.give_up(Cause::Failed, out);
         }
-        insert(&mut self.failed, broken.endpoint);
+        insert_sorted(&mut self.failed, broken.endpoint);
         self.retry(broken.leaving, out)
     }
 
-    /// Looks for another endpoint, unless that is under way.
+    /// Searches for another endpoint, unless a search is under way.
     fn retry(&mut self, announced: bool, out: &mut Vec<Action>) -> Result<(), Broken> {
         if self.search != Search::Off || self.waiting.is_some() {
             return Ok(());
@@ -236,7 +237,7 @@
             moves = !stays;
         }
         moves |= self.withdraw_from(&endpoint, out)?;
-        insert(&mut self.gone, endpoint);
+        insert_sorted(&mut self.unavailable, endpoint);
         if moves {
             return self.retry(true, out);
         }
@@ -253,18 +254,18 @@
             .running
             .as_ref()
             .is_some_and(|a| a.endpoint == endpoint);
-        insert(&mut self.gone, endpoint);
+        insert_sorted(&mut self.unavailable, endpoint);
         if ran {
             self.broke(out)?;
         }
         if withdrawn && self.phase == Phase::Open {
-            // Nothing ran there, so this is no retry.
+            // Nothing ran there, so this does not count as a retry.
             return self.retry(true, out);
         }
         Ok(())
     }
 
-    /// Takes the waiting attempt back if it is for `endpoint`.
+    /// Withdraws the waiting attempt if it is for `endpoint`.
     fn withdraw_from(
         &mut self,
         endpoint: &id::Endpoint,
--- a/coltsfoothall/src/record.rs
+++ b/coltsfoothall/src/record.rs
@@ -1,8 +1,7 @@
-//! What the owner of a request and its backup keep of it.
+//! The record of a request, as the primary of its slot and the backup keep it.
 //!
-//! A record is made by [`Change::Accept`] and then changed by the further
-//! changes, in order. Owner and backup apply the same changes, so both can
-//! carry the request on or answer for it.
+//! [`Change::Accept`] creates a record; later changes are applied to it in order. Primary and
+//! backup apply the same changes, so either can continue the request or answer for it.
 
 use std::fmt;
 
@@ -15,12 +14,12 @@
 use crate::key::Key;
 use crate::size::Millis;
 
-/// Names a request in the fleet.
+/// Identifies a request in the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Name {
     /// The caller's workspace.
     pub workspace: id::Workspace,
-    /// The request's key there.
+    /// The request's key within the workspace.
     pub key: Key,
 }
 
@@ -30,27 +29,27 @@
     }
 }
 
-/// How urgent a request is.
+/// Priority class of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Somebody waits for the first token.
+    /// The caller waits for the first token; latency matters.
     #[default]
     Interactive,
-    /// Only the whole answer matters.
+    /// Only the time to the complete answer matters.
     Batch,
 }
 
-/// A header that is passed on.
+/// A header that is forwarded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Its name, in lower case.
+    /// Header name, in lower case.
     pub name: String,
-    /// Its value.
+    /// Header value.
     pub value: String,
 }
 
-/// What is to be done.
+/// The work that a request asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Work {
     /// A completion by a model engine.
@@ -61,7 +60,7 @@
         adapter: Option<id::Adapter>,
         /// The prompt.
         prompt: String,
-        /// Most tokens to generate.
+        /// Upper bound on the generated tokens.
         max_tokens: u64,
     },
     /// A call of a plain service.
@@ -70,7 +69,7 @@
         method: String,
         /// Path and query behind the service's prefix.
         path: String,
-        /// Headers that are passed on.
+        /// Forwarded headers.
         headers: Vec<Header>,
         /// Body.
         body: Bytes,
@@ -82,20 +81,20 @@
 pub struct Intake {
     /// Its name.
     pub name: Name,
-    /// The service that does it.
+    /// The service that runs it.
     pub service: id::Service,
-    /// What is to be done.
+    /// The work that a request asks for.
     pub work: Work,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// How urgent it is.
+    /// Its priority class.
     pub class: Class,
-    /// Time that was left to its deadline when it was accepted.
+    /// Time to the deadline when the request was accepted.
     pub deadline: Millis,
 }
 
 impl Intake {
-    /// Tells requests under one key apart; equal requests have equal digests.
+    /// Digest that distinguishes requests under one key; equal requests have equal digests.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let mut hash = Xxh3::new();
@@ -128,37 +127,37 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Finish {
-    /// The model ended it.
+    /// The model emitted its end token.
     Stop,
-    /// The request's most tokens were reached.
+    /// `max_tokens` was reached.
     Length,
 }
 
-/// A piece of a completion.
+/// A chunk of a completion.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Tokens of the answer before this piece.
+    /// Tokens of the answer before this chunk.
     pub offset: u64,
-    /// Tokens in this piece.
+    /// Tokens in this chunk.
     pub tokens: u64,
-    /// Its text.
+    /// Text of this chunk.
     pub text: String,
-    /// Set in the last piece.
+    /// Set in the last chunk.
     pub finish: Option<Finish>,
 }
 
-/// A whole answer of a plain service.
+/// A complete answer of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Headers that are passed on.
+    /// Forwarded headers.
     pub headers: Vec<Header>,
     /// Body.
     pub body: Bytes,
 }
 
-/// Why a request ended without a whole answer.
+/// Why a request ended without a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
@@ -166,17 +165,17 @@
     Cancelled,
     /// Its deadline passed.
     Deadline,
-    /// No endpoint could take it.
+    /// No endpoint was available.
     NoEndpoint,
-    /// There was no capacity within its deadline.
+    /// No capacity became free before its deadline.
     Overloaded,
-    /// Its retry budget is used up.
+    /// Its attempts failed and its retry budget is exhausted.
     Failed,
-    /// Endpoints died each time that it ran.
+    /// Endpoints crashed each time it ran.
     Poisonous,
-    /// Its owner was lost after it may have been sent.
+    /// The primary of its slot was lost after the request may have been sent.
     OwnerLost,
-    /// At-most-once could not be kept up.
+    /// At-most-once execution could not be guaranteed.
     NotSafe,
 }
 
@@ -184,104 +183,104 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// With its whole answer.
+    /// With its complete answer.
     Done,
-    /// It was never begun at any endpoint.
+    /// No endpoint started it.
     NotRun(Cause),
-    /// It may have run.
+    /// It may have run; the outcome is unknown.
     Unknown(Cause),
 }
 
-/// A change of a record.
+/// A change to a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// The request is accepted.
+    /// The request was accepted.
     Accept(Box<Intake>),
-    /// An attempt is about to be sent; recorded before the first byte leaves.
+    /// An attempt is about to be sent; recorded before its first byte leaves.
     Sent {
         /// The attempt's number, unique in the fleet.
         attempt: u64,
-        /// Where it goes.
+        /// The endpoint it is sent to.
         endpoint: id::Endpoint,
     },
-    /// The endpoint refused the attempt before it began.
+    /// The endpoint rejected the attempt before it started.
     Refused {
         /// The attempt.
         attempt: u64,
     },
-    /// A piece of the answer arrived.
+    /// A chunk of a completion arrived.
     Part(Part),
-    /// The whole answer of a plain service arrived.
+    /// The complete answer of a plain service arrived.
     Answer(Box<Answer>),
     /// The request ended.
     End(End),
 }
 
 quick_error! {
-    /// A change that a record cannot take; a rule of the system is broken.
+    /// A change that violates an invariant of the record.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Broken {
-        /// Changed after its end.
+        /// The record was changed after its end.
         Ended(name: Name) {
             display("request {name} was changed after its end")
         }
-        /// Accepted twice.
+        /// The request was accepted twice.
         Twice(name: Name) {
             display("request {name} was accepted twice")
         }
-        /// A piece does not follow the one before.
+        /// A chunk does not follow the one before it.
         Gap(name: Name, have: u64, got: u64) {
-            display("request {name} has {have} tokens, the piece begins at {got}")
+            display("request {name} has {have} tokens, but the chunk starts at token {got}")
         }
-        /// A non-idempotent request was sent again after it may have begun.
+        /// A non-idempotent request was sent again after it may have started.
         Again(name: Name) {
             display("non-idempotent request {name} was about to be sent a second time")
         }
-        /// It ended as done without a whole answer.
+        /// The request ended as done without a complete answer.
         Partial(name: Name) {
-            display("request {name} ended as done without its whole answer")
+            display("request {name} ended as done without a complete answer")
         }
-        /// It ended as not run although an attempt may have begun.
+        /// The request ended as not run although an attempt may have started.
         Ran(name: Name) {
-            display("request {name} ended as not run but may have run")
+            display("request {name} ended as not run although an attempt may have started")
         }
     }
 }
 
-/// Where a piece ends in the text.
+/// Position in the text at which a chunk ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// Tokens up to here.
+    /// Tokens up to this position.
     pub tokens: u64,
-    /// Bytes of text up to here.
+    /// Bytes of text up to this position.
     pub bytes: usize,
 }
 
 /// The state of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The request; its work is empty once an ended record was trimmed.
+    /// The request; its prompt or body is empty once the ended record was trimmed.
     pub intake: Intake,
-    /// Digest of the whole request, which tells another one under its key.
+    /// Digest of the request as accepted; detects another request under the same key.
     pub digest: u64,
-    /// Attempts that may have begun; those refused before they began are taken out.
+    /// Attempts that may have started; those rejected before they started are removed.
     pub sent: Vec<u64>,
-    /// Attempts recorded in all.
+    /// Total number of attempts recorded.
     pub attempts: u32,
     /// Text generated so far.
     pub text: String,
-    /// Ends of the pieces of `text`, rising.
+    /// Ends of the chunks of `text`, ascending.
     pub marks: Vec<Mark>,
-    /// Set once the completion is whole.
+    /// Set once the completion is complete.
     pub finish: Option<Finish>,
-    /// Set once the plain service's answer is whole.
+    /// Set once the answer of a plain service is complete.
     pub answer: Option<Box<Answer>>,
     /// Set once the request has ended.
     pub end: Option<End>,
 }
 
 impl Record {
-    /// The record of a request that was just accepted.
+    /// Creates the record of a request that was just accepted.
     #[must_use]
     pub fn new(intake: Intake) -> Self {
         Self {
@@ -303,32 +302,32 @@
         self.marks.last().map_or(0, |mark| mark.tokens)
     }
 
-    /// Whether the answer is whole.
+    /// Whether the answer is complete.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.finish.is_some() || self.answer.is_some()
     }
 
-    /// Whether an attempt may have begun.
+    /// Whether an attempt may have started.
     #[must_use]
     pub fn begun(&self) -> bool {
         !self.sent.is_empty()
     }
 
-    /// The text after `tokens` tokens, or none if no piece ends there.
+    /// The text after `tokens` tokens, or `None` if no chunk ends there.
     #[must_use]
     pub fn text_after(&self, tokens: u64) -> Option<&str> {
         if tokens == 0 {
             return Some(&self.text);
         }
-        let at = self
+        let index = self
             .marks
             .binary_search_by_key(&tokens, |mark| mark.tokens)
             .ok()?;
-        Some(&self.text[self.marks[at].bytes..])
+        Some(&self.text[self.marks[index].bytes..])
     }
 
-    /// Bytes of memory that the record takes, roughly.
+    /// Approximate memory use of the record, in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         let work = match &self.intake.work {
@@ -340,7 +339,8 @@
         size_of::<Self>() + work + answer + marks + self.text.len()
     }
 
-    /// Drops what only a running request needs; the answer and the digest stay.
+    /// Drops what only a running request needs: prompt, body and request headers. The answer and
+    /// the digest stay.
     pub fn trim(&mut self) {
         match &mut self.intake.work {
             Work::Completion { prompt, .. } => *prompt = String::new(),
@@ -356,10 +356,10 @@
     /// Applies a change.
     ///
     /// # Errors
-    /// The change breaks a rule; the record stays as it was.
+    /// The change violates an invariant; the record stays as it was.
     pub fn apply(&mut self, change: Change) -> Result<(), Broken> {
         let name = &self.intake.name;
-        if (self.end).is_some_and(|end| !takes_back(end, &change)) {
+        if (self.end).is_some_and(|end| !retracts(end, &change)) {
             return Err(Broken::Ended(name.clone()));
         }
         match change {
@@ -410,7 +410,7 @@
     }
 }
 
-/// Whether the change takes a "not run" back that nobody was told.
-fn takes_back(end: End, change: &Change) -> bool {
+/// Whether the change replaces a "not run" that has not been reported to any caller.
+fn retracts(end: End, change: &Change) -> bool {
     matches!(end, End::NotRun(_)) && matches!(change, Change::End(End::Unknown(_)))
 }
--- a/coltsfoothall/src/replica.rs
+++ b/coltsfoothall/src/replica.rs
@@ -1,8 +1,8 @@
-//! One copy of one slot's records, as its owner or its backup keeps it.
+//! One copy of the records of one slot, on its primary or its backup.
 //!
-//! The owner numbers its changes; the backup applies them in that order. An
-//! effect may leave the owner only once the change behind it is released,
-//! that is, held by each copy that may take the slot over.
+//! The primary numbers its changes; the backup applies them in that order. The effect of a change
+//! may become visible outside the primary only once the change is released, that is, held by each
+//! copy that may take the slot over.
 
 use std::time::Duration;
 
@@ -17,27 +17,27 @@
     Ack, Broken, Chunk, Holder, Life, Row, Seq, Step, Taken, Tombstone, Unsure, Update, Whole,
 };
 
-/// Another copy, as the owner sees it.
+/// Another copy, as tracked by the primary.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Link {
     pub(crate) peer: id::Instance,
     pub(crate) acked: Seq,
-    /// Whose copy is meant; only its acknowledgements count.
+    /// Identity of the copy; acknowledgements of any other copy are ignored.
     pub(crate) holder: Holder,
 }
 
-/// Where a copy came from.
+/// Origin of a copy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Source {
     pub(crate) from: id::Instance,
     /// The sender's process.
     pub(crate) life: Life,
-    /// Its number there; none if the sender, once the backup here, took the records over in
-    /// its own copy.
+    /// Its number at the sender; `None` if the sender was the backup before and took the records
+    /// over in its own copy.
     pub(crate) copy: Option<u64>,
 }
 
-/// A copy that is being made.
+/// A copy that is being sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Copying {
     pub(crate) peer: id::Instance,
@@ -45,126 +45,127 @@
     pub(crate) seq: Seq,
 }
 
-/// What an owner keeps beyond the records.
+/// State of a primary beyond the records.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Primary {
     /// The copy that may take over.
     pub(crate) backup: Option<Link>,
-    /// A copy being made: where, its number and its last change.
+    /// The copy that is being sent, if any.
     pub(crate) copying: Option<Copying>,
-    /// A whole copy that the table does not name yet; it must hold what leaves.
+    /// A complete copy that the table does not name yet; changes are released only once it holds
+    /// them.
     pub(crate) learner: Option<Link>,
     /// Changes that some copy has not acknowledged.
     pub(crate) unacked: Vec<Update>,
-    /// All changes up to here may have their effect.
+    /// All changes up to this one may take effect.
     pub(crate) released: Seq,
-    /// Idempotent work goes on without the backup.
+    /// Idempotent work continues without the backup.
     pub(crate) unreplicated: bool,
-    /// The process that held the backup is gone, and may have taken the slot over before. Until
-    /// the table is written from here, only idempotent work has its effect.
+    /// The process that held the backup is gone and may have taken the slot over before. Until
+    /// this instance has written the table, only idempotent work takes effect.
     pub(crate) contested: bool,
 }
 
-/// What an instance is to a slot.
+/// Role of an instance in a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// The owner.
+    /// The primary.
     Primary(Primary),
-    /// The second copy that may take over from `primary`.
+    /// The second copy, which may take over from `primary`.
     Backup { primary: id::Instance },
-    /// A copy of `primary`'s that the table does not name yet.
+    /// A copy of `primary`'s records that the table does not name yet.
     Learner { primary: id::Instance },
 }
 
-/// Keys whose idempotent work this copy may not know all of: another copy may
-/// have carried some on alone before the slot changed hands.
+/// Keys for which this copy may not know all idempotent attempts: another copy may have run some
+/// unreplicated before the slot changed hands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Doubt {
-    /// Keys minted before this epoch, and all that callers chose.
+    /// Keys minted before this epoch, and all keys chosen by callers.
     pub(crate) before: Epoch,
     pub(crate) since: Time,
 }
 
-/// A record with what its holder notes about it.
+/// A record with the local state kept about it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Item {
     pub(crate) record: Box<Record>,
     pub(crate) seq: Seq,
     pub(crate) ended: Option<Time>,
-    /// An attempt may have begun that the record does not know: its owner was
-    /// lost, and idempotent attempts need no second copy.
+    /// An attempt may have started that is not in the record: the primary was lost, and
+    /// idempotent attempts need no second copy.
     pub(crate) unsure: bool,
-    /// How far its "not run" may be told, if it is idempotent and ended so.
-    pub(crate) word: Word,
-    /// Number of a "not run" that was taken back; it never leaves.
-    pub(crate) denied: Option<Seq>,
+    /// Confirmation of its "not run", if the request is idempotent and ended so.
+    pub(crate) confirmation: Confirmation,
+    /// Number of a "not run" that was retracted; it is never reported.
+    pub(crate) retracted: Option<Seq>,
 }
 
-/// What stands behind a "not run" of an idempotent request.
+/// Whether a "not run" of an idempotent request is confirmed by the slot table.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) enum Word {
-    /// Nothing, and nobody waits to be told.
+pub(crate) enum Confirmation {
+    /// Not confirmed, and no caller is waiting for it.
     #[default]
     None,
-    /// Nothing yet; somebody waits since then.
+    /// Not confirmed yet; a caller has been waiting since this time.
     Awaited(Time),
-    /// The table, asked for then.
+    /// Confirmed by a read of the table that was sent at this time.
     Confirmed(Time),
 }
 
-/// A tombstone by its holder's clock.
+/// A tombstone with its time on the local clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct TimedTombstone {
     pub(crate) hash: u64,
     pub(crate) since: Time,
 }
 
-/// One copy.
+/// One copy of a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Replica {
     pub(crate) slot: Slot,
     pub(crate) epoch: Epoch,
     pub(crate) role: Role,
-    /// An owner that is sealed lets nothing leave; a backup that is sealed
-    /// acknowledges nothing.
+    /// A sealed primary releases nothing; a sealed backup acknowledges nothing.
     pub(crate) sealed: bool,
-    /// An owner that gave its backup its word to be sealed for good.
+    /// A primary that handed the slot over directly; it stays sealed for good.
     pub(crate) yielded: bool,
-    /// An owner whose backup has sealed its copy; only the table can settle who
-    /// goes on.
-    pub(crate) told: bool,
-    /// An owner that makes no more changes, to hand over.
+    /// A primary whose backup has sealed its copy; only the table can settle which of the two
+    /// continues.
+    pub(crate) backup_sealed: bool,
+    /// A primary that accepts no more changes, to hand the slot over.
     pub(crate) draining: bool,
-    /// What a sealed backup did of its own.
-    pub(crate) parted: Option<Parted>,
-    /// Whose records a backup's or learner's copy follows; none at an owner.
+    /// Changes made by a sealed backup.
+    pub(crate) divergence: Option<Divergence>,
+    /// Origin of a backup's or learner's copy; `None` on a primary.
     pub(crate) source: Option<Source>,
     pub(crate) seq: Seq,
     pub(crate) items: Vec<Item>,
     pub(crate) tombstones: Vec<TimedTombstone>,
     pub(crate) cold: Epoch,
     pub(crate) cold_since: Option<Time>,
-    /// Whether the claim is so young that the owner before may still tell "not run".
-    pub(crate) young: bool,
+    /// Whether the slot was claimed so recently that the previous primary may still report "not
+    /// run".
+    pub(crate) recently_claimed: bool,
     pub(crate) doubt: Option<Doubt>,
     pub(crate) bytes: usize,
 }
 
-/// Own changes that a sealed backup keeps for the backup that the table may give it: a long
-/// answer has some thousand. With more, that backup gets a whole copy instead.
-const PARTED: usize = 4096;
+/// Upper bound on the changes that a sealed backup keeps for the backup that the table may give
+/// it: a long answer has some thousand. Beyond it, that backup receives a complete copy instead.
+const MAX_DIVERGED_UPDATES: usize = 4096;
 
-/// Changes that a sealed backup made of its own; no other copy holds them.
+/// Changes that a sealed backup made; no other copy holds them.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Parted {
+pub(crate) struct Divergence {
     /// The last change before them.
     pub(crate) before: Seq,
-    /// All of them, or none if they were too many to keep.
+    /// All of them, or `None` if there were too many to keep.
     pub(crate) updates: Option<Vec<Update>>,
 }
 
-impl Parted {
-    /// None yet; the first will have this number.
+impl Divergence {
+    /// Starts an empty list whose first change will have the number `first`.
     fn after(first: Seq) -> Self {
         Self {
             before: Seq(first.0 - 1),
@@ -173,7 +174,8 @@
     }
 
     fn add(&mut self, update: Update) {
-        self.updates.take_if(|updates| updates.len() == PARTED);
+        self.updates
+            .take_if(|updates| updates.len() == MAX_DIVERGED_UPDATES);
         if let Some(updates) = &mut self.updates {
             updates.push(update);
         }
@@ -181,22 +183,22 @@
 }
 
 impl Link {
-    /// Whether word of `from`'s copy `holder` is about this one.
+    /// Whether a message about `from`'s copy `holder` refers to this link.
     fn is(&self, from: &id::Instance, holder: Holder) -> bool {
         self.peer == *from && self.holder == holder
     }
 }
 
 impl Primary {
-    /// The copies that are kept in step. A new copy that the backup's process has in place of
-    /// one that is gone stands in for it.
+    /// The copies that receive each change. If the backup's process holds a replacement for a
+    /// copy that is gone, the replacement is used instead.
     pub(crate) fn links(&self) -> impl Iterator<Item = &Link> {
         let backup = self.backup.as_ref();
-        let kept = backup.filter(|_| self.renewed().is_none());
+        let kept = backup.filter(|_| self.replacement().is_none());
         kept.into_iter().chain(&self.learner)
     }
 
-    /// Notes what a copy holds.
+    /// Records what a copy holds.
     pub(crate) fn acked(&mut self, from: &id::Instance, holder: Holder, seq: Seq) {
         let links = self.backup.iter_mut().chain(&mut self.learner);
         links
@@ -204,17 +206,17 @@
             .for_each(|link| link.acked = link.acked.max(seq));
     }
 
-    /// The last change that all copies in step hold, if there are any.
+    /// The last change that all linked copies hold, or `None` without links.
     fn held(&self) -> Option<Seq> {
         self.links().map(|link| link.acked).min()
     }
 
-    /// Whether idempotent work may have its effect although the change `seq` is not released.
+    /// Whether idempotent work may take effect although the change `seq` is not released.
     fn unreleased(&self, seq: Seq) -> bool {
         self.unreplicated || self.contested && self.held().is_none_or(|held| seq <= held)
     }
 
-    /// Moves `released` up to what all copies hold; it never falls.
+    /// Advances `released` to what all copies hold; it never decreases.
     pub(crate) fn release(&mut self, seq: Seq) {
         let held = self.held().unwrap_or(seq);
         if !self.contested {
@@ -225,27 +227,27 @@
         self.unacked.retain(|update| update.seq > held.min(cut));
     }
 
-    /// The copy that may act as owner after this one's word: the backup's, or one
-    /// that stands in for it since the backup has begun anew or dropped its own.
+    /// The copy that may become primary by a direct handoff: the backup's, or one that replaces
+    /// it because the backup restarted or dropped its own.
     pub(crate) fn successor(&self) -> Option<&Link> {
-        let known = self.renewed().or(self.backup.as_ref());
+        let known = self.replacement().or(self.backup.as_ref());
         known.or(self.learner.as_ref())
     }
 
-    /// The new copy that the backup's process has in place of its own.
-    fn renewed(&self) -> Option<&Link> {
+    /// The new copy that the backup's process holds in place of its own.
+    fn replacement(&self) -> Option<&Link> {
         let (backup, learner) = (self.backup.as_ref()?, self.learner.as_ref()?);
         (backup.peer == learner.peer).then_some(learner)
     }
 
-    /// Changes after `seq`.
+    /// Unacknowledged changes after `seq`.
     pub(crate) fn since(&self, seq: Seq) -> impl Iterator<Item = &Update> {
         self.unacked.iter().filter(move |update| update.seq > seq)
     }
 }
 
 impl Replica {
-    /// An empty copy.
+    /// Creates an empty copy.
     pub(crate) fn new(slot: Slot, epoch: Epoch, role: Role) -> Self {
         Self {
             slot,
@@ -253,33 +255,33 @@
             role,
             sealed: false,
             yielded: false,
-            told: false,
+            backup_sealed: false,
             draining: false,
-            parted: None,
+            divergence: None,
             source: None,
             seq: Seq(0),
             items: Vec::new(),
             tombstones: Vec::new(),
             cold: epoch,
             cold_since: None,
-            young: false,
+            recently_claimed: false,
             doubt: None,
             bytes: 0,
         }
     }
 
-    /// The place of a request's record.
+    /// Index of a request's record, or where to insert it.
     pub(crate) fn find(&self, name: &Name) -> Result<usize, usize> {
         self.items
             .binary_search_by(|item| item.record.intake.name.cmp(name))
     }
 
-    /// Applies a change and numbers it.
+    /// Applies a change and returns its number.
     pub(crate) fn apply(&mut self, now: Time, name: &Name, change: Change) -> Result<Seq, Broken> {
         let seq = self.seq.next();
         let owner = matches!(self.role, Role::Primary(_));
         match (self.find(name), change) {
-            (Err(at), Change::Accept(intake)) => {
+            (Err(index), Change::Accept(intake)) => {
                 let record = Box::new(Record::new(*intake));
                 self.bytes += record.size();
                 let item = Item {
@@ -287,18 +289,18 @@
                     seq,
                     ended: None,
                     unsure: false,
-                    word: Word::None,
-                    denied: None,
+                    confirmation: Confirmation::None,
+                    retracted: None,
                 };
-                self.items.insert(at, item);
+                self.items.insert(index, item);
             }
-            // A "not run" is taken back whose record was dropped here for room.
+            // A "not run" was retracted whose record was dropped here to free memory.
             (Err(_), Change::End(End::Unknown(_))) if !owner => {}
             (Err(_), _) => return Err(Broken::Absent(name.clone())),
-            (Ok(at), change) => {
-                let item = &mut self.items[at];
+            (Ok(index), change) => {
+                let item = &mut self.items[index];
                 let before = item.record.size();
-                let denied = item.denies();
+                let denied = item.ended_not_run();
                 item.record.apply(change)?;
                 item.follow(now, seq, denied, owner);
                 item.ended = item.record.end.map(|_| now);
@@ -312,15 +314,15 @@
         Ok(seq)
     }
 
-    /// Marks a request of which an attempt may have begun that the copy here does not know.
-    pub(crate) fn mark(&mut self, name: &Name, unsure: bool) {
-        if let Ok(at) = self.find(name) {
-            self.items[at].unsure |= unsure;
+    /// Marks a request that may have an attempt which is not in the record here.
+    pub(crate) fn mark_unsure(&mut self, name: &Name, unsure: bool) {
+        if let Ok(index) = self.find(name) {
+            self.items[index].unsure |= unsure;
         }
     }
 
-    /// Non-idempotent requests that may have begun at a lost owner, and how
-    /// they end now.
+    /// Non-idempotent requests that may have started on a lost primary, with the ends to record
+    /// for them.
     pub(crate) fn orphans(&self) -> Vec<(Name, End)> {
         let open = self.items.iter().map(|item| &item.record);
         let begun = open.filter(|r| r.end.is_none() && !r.intake.idempotent && r.begun());
@@ -337,16 +339,16 @@
             .collect()
     }
 
-    /// What an update is told if it does not come from this copy's owner.
+    /// Answer to an update that does not come from the primary of this copy; `None` accepts it.
     pub(crate) fn admit(&mut self, from: &id::Instance, update: &Update) -> Option<Ack> {
         if update.epoch < self.epoch {
             return Some(Ack::Sealed(self.epoch));
         }
         let later = update.epoch > self.epoch;
         match &self.role {
-            // The owner has written the table, which has not come here yet.
-            // Another sender has claimed the slot or taken it over: its records differ.
-            // Whether it names this copy, only the table tells.
+            // The primary has written a table that has not arrived here yet. Another sender has
+            // claimed the slot or taken it over, so its records differ. Only the table says
+            // whether it names this copy.
             Role::Learner { primary } if update.epoch == self.epoch.next() && from == primary => {
                 self.epoch = update.epoch;
                 None
@@ -357,18 +359,18 @@
             Role::Backup { .. } | Role::Learner { .. } if self.sealed => {
                 Some(Ack::Sealed(self.epoch))
             }
-            // The sender's changes follow on a copy of its own.
+            // The sender's changes continue a copy of its own.
             Role::Backup { .. } | Role::Learner { .. } if !self.follows(from) => Some(Ack::Missing),
             Role::Backup { .. } | Role::Learner { .. } => None,
         }
     }
 
-    /// Whether this copy is one of `from`'s records.
+    /// Whether this copy originates from `from`.
     fn follows(&self, from: &id::Instance) -> bool {
         (self.source.as_ref()).is_some_and(|source| source.from == *from)
     }
 
-    /// This copy, held by the process `life`.
+    /// Identity of this copy, held by the process `life`.
     pub(crate) fn holder(&self, life: Life) -> Holder {
         let owner = self.source.as_ref().map(|source| source.life);
         Holder {
@@ -377,7 +379,7 @@
         }
     }
 
-    /// Makes a change known to the other copies.
+    /// Queues a change for the other copies.
     pub(crate) fn publish(&mut self, seq: Seq, name: Name, change: Change) -> Step {
         let (slot, epoch) = (self.slot, self.epoch);
         let update = Update {
@@ -397,8 +399,10 @@
                 owner.release(seq);
             }
             Role::Backup { .. } | Role::Learner { .. } => {
-                let parted = self.parted.get_or_insert_with(|| Parted::after(seq));
-                parted.add(update.clone());
+                let divergence = self
+                    .divergence
+                    .get_or_insert_with(|| Divergence::after(seq));
+                divergence.add(update.clone());
             }
         }
         let released = self.may_leave(&update.name, seq);
@@ -411,10 +415,10 @@
         }
     }
 
-    /// Whether the effect of a request's change may leave. A change that waited in a copy
-    /// which another has replaced since has no record here.
+    /// Whether the effect of a request's change may become visible. A change that waited in a
+    /// copy which was replaced since has no record here.
     pub(crate) fn may_leave(&self, name: &Name, seq: Seq) -> bool {
-        let found = self.find(name).ok().map(|at| &self.items[at]);
+        let found = self.find(name).ok().map(|index| &self.items[index]);
         let leaves = |item: &&Item| !item.withholds(seq) && !self.waits(item);
         let Some(item) = found.filter(leaves) else {
             return false;
@@ -430,12 +434,12 @@
         }
     }
 
-    /// Whether this copy is its owner's and nothing speaks against it.
+    /// Whether this instance is the primary and is neither sealed nor superseded by its backup.
     pub(crate) fn leads(&self) -> bool {
-        matches!(self.role, Role::Primary(_)) && !self.sealed && !self.told
+        matches!(self.role, Role::Primary(_)) && !self.sealed && !self.backup_sealed
     }
 
-    /// Whether every change is held by every other copy, and no more are made.
+    /// Whether the slot is draining and every other copy holds every change.
     pub(crate) fn drained(&self) -> bool {
         let Role::Primary(owner) = &self.role else {
             return false;
@@ -444,44 +448,47 @@
             return false;
         }
         let whole = owner.links().all(|link| link.acked == self.seq);
-        whole && (owner.renewed().is_some() || !owner.unreplicated)
+        whole && (owner.replacement().is_some() || !owner.unreplicated)
     }
 
-    /// Whether a request of this name ended and was dropped.
+    /// Whether a request with this name hash ended and its record was dropped.
     pub(crate) fn has_tombstone(&self, hash: u64) -> bool {
         self.tombstones
             .binary_search_by_key(&hash, |tombstone| tombstone.hash)
             .is_ok()
     }
 
-    /// Drops records that ended before `keep`, and tombstones since before `names`.
-    pub(crate) fn retire(&mut self, now: Time, keep: Duration, names: Duration, most: usize) {
+    /// Drops records that ended at least `keep` ago, and tombstones at least `names` old.
+    pub(crate) fn retire(&mut self, now: Time, keep: Duration, names: Duration, max: usize) {
         let old = |item: &Item| item.ended.is_some_and(|ended| now.since(ended) >= keep);
         let dropped: Vec<_> = self.items.extract_if(.., |item| old(item)).collect();
-        self.bury(now, dropped);
+        self.drop_records(now, dropped);
         self.tombstones
             .retain(|tombstone| now.since(tombstone.since) < names);
-        self.cap(most);
+        self.cap_tombstones(max);
     }
 
-    /// Times and sizes of the records that may be dropped for room: those that
-    /// ended, and whose end the other copies hold.
-    pub(crate) fn settled(&self) -> impl Iterator<Item = (Time, usize)> {
+    /// End times and sizes of the records that may be evicted: those that ended and whose end the
+    /// other copies hold.
+    pub(crate) fn evictable(&self) -> impl Iterator<Item = (Time, usize)> {
         let held = self.held();
-        let ended = self.items.iter().filter(move |item| item.droppable(held));
+        let ended = self
+            .items
+            .iter()
+            .filter(move |item| item.is_evictable(held));
         ended.filter_map(|item| Some((item.ended?, item.record.size())))
     }
 
-    /// Drops records that ended by `until` to make room, as [`Self::retire`] does.
-    pub(crate) fn shed(&mut self, now: Time, until: Time, most: usize) {
+    /// Evicts records that ended by `until`, to free memory.
+    pub(crate) fn evict(&mut self, now: Time, until: Time, max: usize) {
         let held = self.held();
-        let old = |item: &Item| item.droppable(held) && item.ended.is_some_and(|at| at <= until);
+        let old = |item: &Item| item.is_evictable(held) && item.ended.is_some_and(|at| at <= until);
         let dropped: Vec<_> = self.items.extract_if(.., |item| old(item)).collect();
-        self.bury(now, dropped);
-        self.cap(most);
+        self.drop_records(now, dropped);
+        self.cap_tombstones(max);
     }
 
-    /// The last change that the other copies hold, as far as it matters here.
+    /// The last change that the other copies hold, as far as eviction is concerned.
     fn held(&self) -> Seq {
         match &self.role {
             Role::Primary(owner) => owner.released,
@@ -489,41 +496,42 @@
         }
     }
 
-    /// Forgets dropped records, but for the names of non-idempotent ones.
-    fn bury(&mut self, now: Time, dropped: Vec<Item>) {
+    /// Accounts for dropped records and leaves tombstones for the non-idempotent ones.
+    fn drop_records(&mut self, now: Time, dropped: Vec<Item>) {
         for item in dropped {
             self.bytes = self.bytes.saturating_sub(item.record.size());
             if !item.record.intake.idempotent {
-                self.remember(name_hash(&item.record.intake.name), now);
+                self.add_tombstone(name_hash(&item.record.intake.name), now);
             }
         }
     }
 
-    /// Keeps the youngest `most` tombstones.
-    fn cap(&mut self, most: usize) {
-        if self.tombstones.len() > most {
+    /// Keeps the newest `max` tombstones.
+    fn cap_tombstones(&mut self, max: usize) {
+        if self.tombstones.len() > max {
             let mut since: Vec<_> = self
                 .tombstones
                 .iter()
                 .map(|tombstone| tombstone.since)
                 .collect();
             since.sort_unstable();
-            let limit = since[since.len() - most];
+            let limit = since[since.len() - max];
             self.tombstones.retain(|tombstone| tombstone.since >= limit);
         }
     }
 
-    fn remember(&mut self, hash: u64, since: Time) {
-        if let Err(at) = self
+    fn add_tombstone(&mut self, hash: u64, since: Time) {
+        if let Err(index) = self
             .tombstones
             .binary_search_by_key(&hash, |tombstone| tombstone.hash)
         {
-            self.tombstones.insert(at, TimedTombstone { hash, since });
+            self.tombstones
+                .insert(index, TimedTombstone { hash, since });
         }
     }
 }
 
-/// Hash of a request's name for its tombstone.
+/// Hash of a request's name, for its tombstone.
 pub(crate) fn name_hash(name: &Name) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(name.workspace.as_str().as_bytes());
--- a/coltsfoothall/src/request.rs
+++ b/coltsfoothall/src/request.rs
@@ -1,15 +1,14 @@
-//! The life of one request at its owner.
+//! State machine of one request on the primary of its slot.
 //!
-//! Three rules carry the promises. Each change is recorded, and what follows
-//! from it waits until the backup holds it: an attempt is started after its
-//! [`Change::Sent`], tokens are released after their [`Change::Part`], the
-//! caller is told after [`Change::End`]. An answer is whole only with its end
-//! marker. Whoever is sealed does nothing more.
+//! The delivery guarantees rest on three rules. Each change is recorded, and its effect waits
+//! until the backup holds it: an attempt starts after its [`Change::Sent`], tokens are released
+//! after their [`Change::Part`], and the caller is told the outcome after [`Change::End`]. An
+//! answer is complete only with its end marker. A sealed request does nothing more.
 //!
-//! A move away from a leaving endpoint leaves the old attempt running until
-//! the new one may start, and asks neither budget nor number of attempts: it
-//! is no failure. Moves are bounded by the deadline and by the number of
-//! endpoints, as one that left is not chosen again.
+//! When an endpoint is leaving, its attempt keeps running until the attempt elsewhere may start.
+//! Such a move is not a failure, so it consumes neither the retry budget nor an attempt. Moves
+//! are bounded by the deadline and by the number of endpoints, as an endpoint that left is not
+//! chosen again.
 
 use std::time::Duration;
 
@@ -23,7 +22,7 @@
 /// Bounds on retries.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// Most attempts that fail without notice, for each owner; it stops one
+    /// Upper bound on the attempts that fail without notice, on each primary; it prevents one
     /// request from multiplying load.
     pub attempts: u32,
 }
@@ -43,19 +42,19 @@
     Later(Time),
 }
 
-/// Where a request is.
+/// Phase of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Before [`Input::Begin`].
     New,
     Open,
-    /// Its end is the change of this number; the caller is not told yet.
+    /// The end was recorded as this change; the caller is not told before the backup holds it.
     Ending(u64),
-    Told,
+    Ended,
     Sealed,
 }
 
-/// One request at its owner.
+/// One request on the primary of its slot.
 #[derive(Debug, Clone)]
 pub struct Request {
     pub(crate) settings: Settings,
@@ -64,34 +63,34 @@
     pub(crate) phase: Phase,
     pub(crate) search: Search,
     pub(crate) deadline: Time,
-    /// Whether the record came from another owner.
+    /// Whether the record was taken over from another primary.
     resumed: bool,
     pub(crate) released: u64,
     pub(crate) running: Option<Attempt>,
-    /// The attempt that starts once the backup holds its change.
+    /// The attempt that starts once the backup holds its [`Change::Sent`].
     pub(crate) waiting: Option<Attempt>,
-    /// Endpoints that are gone or going, sorted.
-    pub(crate) gone: Vec<id::Endpoint>,
-    /// Endpoints that failed, sorted; tried again if nothing else is there.
+    /// Endpoints that died or are leaving, sorted.
+    pub(crate) unavailable: Vec<id::Endpoint>,
+    /// Endpoints where an attempt failed, sorted; used again if no other is available.
     pub(crate) failed: Vec<id::Endpoint>,
     pub(crate) failures: u32,
-    /// Attempts started, less those refused before they began.
+    /// Attempts started, less those rejected before they ran.
     pub(crate) starts: u32,
     pub(crate) retry_after: Option<Duration>,
 }
 
 impl Request {
-    /// A request that its caller sent just now.
+    /// Creates a request that its caller has just sent.
     #[must_use]
     pub fn new(intake: Intake, now: Time, settings: Settings) -> Self {
         Self::build(Record::new(intake), now, settings, false)
     }
 
-    /// A request taken over from another owner, whose record arrived at
-    /// `accepted` on this instance's clock.
+    /// Resumes a request taken over from another primary, whose record arrived at `accepted` on
+    /// this instance's clock.
     ///
-    /// The new owner grants its own number of attempts, as the record counts
-    /// moves too.
+    /// The new primary grants the full number of attempts, because the attempts in the record
+    /// include moves.
     #[must_use]
     pub fn resume(record: Record, accepted: Time, settings: Settings) -> Self {
         Self::build(record, accepted, settings, true)
@@ -108,7 +107,7 @@
             released: 0,
             running: None,
             waiting: None,
-            gone: Vec::new(),
+            unavailable: Vec::new(),
             failed: Vec::new(),
             failures: 0,
             starts: 0,
@@ -117,47 +116,47 @@
         }
     }
 
-    /// Its record, with the changes that the backup may not hold yet.
+    /// The record, including changes that the backup may not hold yet.
     #[must_use]
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    /// Number of the last change; a copy of the record holds the changes up to it.
+    /// Number of the last change; a copy of the record contains the changes up to it.
     #[must_use]
     pub fn seq(&self) -> u64 {
         self.log.recorded()
     }
 
-    /// Tokens that callers may see.
+    /// Tokens released to callers.
     #[must_use]
     pub fn released(&self) -> u64 {
         self.released
     }
 
-    /// The end, once callers may know it.
+    /// The end, once the backup holds it and callers may be told.
     #[must_use]
     pub fn end(&self) -> Option<End> {
-        let told = self.phase == Phase::Told;
-        self.record.end.filter(|_| told)
+        let ended = self.phase == Phase::Ended;
+        self.record.end.filter(|_| ended)
     }
 
-    /// When it is given up.
+    /// When the request is given up.
     #[must_use]
     pub fn deadline(&self) -> Time {
         self.deadline
     }
 
-    /// The attempt that runs, with its endpoint.
+    /// The running attempt.
     #[must_use]
     pub fn running(&self) -> Option<&Attempt> {
         self.running.as_ref()
     }
 
-    /// Whether it needs no further input.
+    /// Whether the request needs no further input.
     #[must_use]
     pub fn over(&self) -> bool {
-        matches!(self.phase, Phase::Told | Phase::Sealed)
+        matches!(self.phase, Phase::Ended | Phase::Sealed)
     }
 
     /// When the next [`Input::Tick`] is due.
@@ -166,17 +165,17 @@
         match (self.phase, self.search) {
             (Phase::Open, Search::Later(at)) => Some(at.min(self.deadline)),
             (Phase::Open, _) => Some(self.deadline),
-            (Phase::New | Phase::Ending(_) | Phase::Told | Phase::Sealed, _) => None,
+            (Phase::New | Phase::Ending(_) | Phase::Ended | Phase::Sealed, _) => None,
         }
     }
 
-    /// Takes an input and adds what is to be done to `actions`.
+    /// Handles an input and appends the resulting actions to `actions`.
     ///
-    /// Before [`Input::Begin`] only news of the backup and of endpoints count.
+    /// Before [`Input::Begin`], only inputs about the backup and about endpoints have an effect.
     ///
     /// # Errors
-    /// A rule is broken. What was to be done, but for the records, is withdrawn;
-    /// the request ends as unknown and its attempts are aborted.
+    /// An invariant is violated. Pending actions other than records and aborts are discarded; the
+    /// request ends as unknown and its attempts are aborted.
     pub fn handle(
         &mut self,
         now: Time,
@@ -202,18 +201,18 @@
         match self.phase {
             Phase::New => self.step_new(input, out),
             Phase::Open if now >= self.deadline => {
-                late(&input, out);
+                ignore_late(&input, out);
                 self.give_up(Cause::Deadline, out)
             }
             Phase::Open => self.step_open(now, input, out),
-            Phase::Ending(_) | Phase::Told | Phase::Sealed => {
-                late(&input, out);
+            Phase::Ending(_) | Phase::Ended | Phase::Sealed => {
+                ignore_late(&input, out);
                 Ok(())
             }
         }
     }
 
-    /// News of the backup, which count in every phase but the last.
+    /// Handles inputs about the backup, which apply in every phase but the last.
     fn step_backup(&mut self, input: &Input, out: &mut Vec<Action>) -> Option<Result<(), Broken>> {
         let sealed = self.phase == Phase::Sealed;
         match input {
@@ -251,9 +250,9 @@
         match input {
             Input::Begin => return self.begin(out),
             Input::Leaving { endpoint, .. } | Input::EndpointDied { endpoint } => {
-                insert(&mut self.gone, endpoint);
+                insert_sorted(&mut self.unavailable, endpoint);
             }
-            other => late(&other, out),
+            other => ignore_late(&other, out),
         }
         Ok(())
     }
@@ -272,7 +271,7 @@
                 if !self.current(attempt, out) {
                     return Ok(());
                 }
-                self.note_cached(cached, out);
+                self.record_cached(cached, out);
                 self.chunk(part, out)
             }
             Input::Answer { attempt, answer } if self.current(attempt, out) => {
@@ -308,7 +307,8 @@
             return self.pick(out);
         }
         if self.record.end.is_some() {
-            // The record holds its end, so it is held: number 0 is before all changes.
+            // The record came with its end, so the backup holds it: number 0 precedes all
+            // changes.
             self.phase = Phase::Ending(0);
             return Ok(());
         }
@@ -338,7 +338,7 @@
         Ok(())
     }
 
-    /// Takes the waiting attempt back; it was never sent.
+    /// Withdraws the waiting attempt; it was never sent.
     pub(crate) fn withdraw(&mut self, out: &mut Vec<Action>) -> Result<(), Broken> {
         if let Some(waiting) = self.waiting.take() {
             let attempt = waiting.number;
@@ -348,7 +348,8 @@
         Ok(())
     }
 
-    /// Ends it without a whole answer, as far as anybody can say.
+    /// Ends the request without a complete answer: as unknown if an attempt may have started,
+    /// else as not run.
     pub(crate) fn give_up(&mut self, cause: Cause, out: &mut Vec<Action>) -> Result<(), Broken> {
         self.withdraw(out)?;
         let end = if self.record.begun() {
@@ -367,7 +368,7 @@
         Ok(())
     }
 
-    /// Stops all that goes on.
+    /// Stops the search for an endpoint and aborts all attempts.
     pub(crate) fn abort(&mut self, out: &mut Vec<Action>) {
         self.search = Search::Off;
         let stopped = [self.running.take(), self.waiting.take()];
@@ -387,8 +388,9 @@
     }
 }
 
-/// Drops what comes for a request that does not run.
-fn late(input: &Input, out: &mut Vec<Action>) {
+/// Handles an input for a request that is not running: aborts a picked attempt and counts dropped
+/// answers.
+fn ignore_late(input: &Input, out: &mut Vec<Action>) {
     match input {
         Input::Picked { attempt, .. } => out.push(Action::Abort { attempt: *attempt }),
         Input::Chunk { .. } | Input::Answer { .. } => out.push(Action::Count(Dropped::Late)),
@@ -396,8 +398,8 @@
     }
 }
 
-pub(crate) fn insert(endpoints: &mut Vec<id::Endpoint>, endpoint: id::Endpoint) {
-    if let Err(at) = endpoints.binary_search(&endpoint) {
-        endpoints.insert(at, endpoint);
+pub(crate) fn insert_sorted(endpoints: &mut Vec<id::Endpoint>, endpoint: id::Endpoint) {
+    if let Err(index) = endpoints.binary_search(&endpoint) {
+        endpoints.insert(index, endpoint);
     }
 }
--- a/coltsfoothall/src/retry.rs
+++ b/coltsfoothall/src/retry.rs
@@ -1,9 +1,8 @@
-//! How often an attempt may follow a failed one.
+//! Retry budget: how often a failed attempt may be followed by another.
 //!
-//! A budget lets retries be a fixed share of first attempts, so an outage
-//! adds that share to the load and no more. It holds for attempts after
-//! failures; an attempt that carries a request on after an announced reclaim
-//! is owed to the caller and passes [`Budget::carry`], which only spaces them.
+//! The budget limits retries to a fixed share of first attempts, so an outage adds at most that
+//! share to the load. It applies to attempts after failures. An attempt that continues a request
+//! after an announced reclaim is always allowed; [`Budget::carry`] only spaces such attempts out.
 
 use std::time::Duration;
 
@@ -13,29 +12,29 @@
 use crate::clock::Time;
 use crate::size::Millis;
 
-/// Most doublings of the wait; it stops the shift from overflowing.
+/// Upper bound on the doublings of the wait; it prevents the shift from overflowing.
 const MAX_DOUBLINGS: u32 = 16;
-/// Longest time, in seconds, that a stop asks to stay away.
-const LONGEST_STOP: f64 = 30.0;
+/// Upper bound on the wait that [`Verdict::Stop`] suggests.
+const MAX_STOP_SECONDS: f64 = 30.0;
 
 /// Bounds on retries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Retries allowed for each first attempt.
+    /// Retries added to the budget by each first attempt.
     pub ratio: f64,
-    /// Most retries that are saved up; it bounds the burst after a calm.
+    /// Upper bound on the accumulated retries; it limits the burst after a quiet period.
     pub burst: f64,
-    /// Retries a second that are allowed without any first attempt, so that a
-    /// quiet service can retry at all.
+    /// Retries per second that are allowed without any first attempt, so that a service with
+    /// little traffic can retry at all.
     pub floor: f64,
-    /// Most attempts of one request.
+    /// Upper bound on the attempts of one request.
     pub attempts: u32,
     /// Wait before the first retry; it doubles with each further one.
     pub wait: Millis,
-    /// Longest wait.
+    /// Upper bound on the wait.
     pub longest: Millis,
-    /// Carried-on attempts a second that are let through at once; more are spaced.
+    /// Continued attempts per second that start without delay; further ones are spaced out.
     pub carry: f64,
 }
 
@@ -58,67 +57,67 @@
 pub enum Verdict {
     /// Try again after this time.
     After(Duration),
-    /// Give up now; a new request may fare better after this time.
+    /// Give up now; a new request may succeed after this time.
     Stop(Duration),
 }
 
-/// The retries that one service may still make.
+/// The retry budget of one service: a token bucket.
 #[derive(Debug, Clone)]
 pub struct Budget {
     settings: Settings,
-    saved: f64,
-    carried: f64,
-    at: Time,
+    tokens: f64,
+    carry_tokens: f64,
+    updated: Time,
 }
 
 impl Budget {
-    /// A full budget.
+    /// Creates a full budget.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
-            saved: settings.burst,
-            carried: settings.carry,
+            tokens: settings.burst,
+            carry_tokens: settings.carry,
             settings,
-            at: Time::START,
+            updated: Time::START,
         }
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt.
     pub fn record_first_attempt(&mut self, now: Time) {
         self.advance(now);
-        self.saved = (self.saved + self.settings.ratio).min(self.settings.burst);
+        self.tokens = (self.tokens + self.settings.ratio).min(self.settings.burst);
     }
 
     /// Decides on a retry after `attempts` attempts of a request.
     pub fn retry<R: Rng>(&mut self, now: Time, attempts: u32, random: &mut R) -> Verdict {
         self.advance(now);
-        if attempts >= self.settings.attempts || self.saved < 1.0 {
+        if attempts >= self.settings.attempts || self.tokens < 1.0 {
             return Verdict::Stop(self.refill());
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         Verdict::After(self.wait(attempts, random))
     }
 
-    /// Time after which an attempt that carries a request on may go out.
+    /// Delay before an attempt that continues a request may start.
     pub fn carry(&mut self, now: Time) -> Duration {
         self.advance(now);
-        self.carried -= 1.0;
-        Duration::from_secs_f64((-self.carried).max(0.0) / self.settings.carry.max(1e-3))
+        self.carry_tokens -= 1.0;
+        Duration::from_secs_f64((-self.carry_tokens).max(0.0) / self.settings.carry.max(1e-3))
     }
 
-    /// Retries that are left.
+    /// Retries that remain.
     #[must_use]
     pub fn remaining(&self) -> f64 {
-        self.saved
+        self.tokens
     }
 
     fn advance(&mut self, now: Time) {
-        let span = now.since(self.at).as_secs_f64();
-        self.at = now;
-        let saved = self.saved + span * self.settings.floor;
-        self.saved = saved.min(self.settings.burst);
-        let carried = self.carried + span * self.settings.carry;
-        self.carried = carried.min(self.settings.carry);
+        let span = now.since(self.updated).as_secs_f64();
+        self.updated = now;
+        let tokens = self.tokens + span * self.settings.floor;
+        self.tokens = tokens.min(self.settings.burst);
+        let carry_tokens = self.carry_tokens + span * self.settings.carry;
+        self.carry_tokens = carry_tokens.min(self.settings.carry);
     }
 
     /// Exponential backoff with full jitter.
@@ -134,11 +133,11 @@
         Millis(random.random_range(0..=span)).duration()
     }
 
-    /// Time until the floor alone pays for a retry.
+    /// Time until [`Settings::floor`] has added enough for one retry.
     fn refill(&self) -> Duration {
-        let missing = (1.0 - self.saved).max(0.0);
+        let missing = (1.0 - self.tokens).max(0.0);
         let span = missing / self.settings.floor.max(1e-3);
         let longest = self.settings.longest.duration();
-        Duration::from_secs_f64(span.min(LONGEST_STOP)).max(longest / 2)
+        Duration::from_secs_f64(span.min(MAX_STOP_SECONDS)).max(longest / 2)
     }
 }
--- a/coltsfoothall/src/safety.rs
+++ b/coltsfoothall/src/safety.rs
@@ -1,4 +1,4 @@
-//! What an owner may take in and do without risking a promise.
+//! What a primary may accept and do without breaking a guarantee.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use crate::replica::{Item, Replica, Role, name_hash};
 
 impl Ledger {
-    /// Why a new non-idempotent request is not taken in, if it is not.
+    /// Why a new non-idempotent request is refused, or `None` if it is accepted.
     pub(crate) fn refusal(&self, now: Time, intake: &Intake, replica: &Replica) -> Option<Begin> {
         if replica.has_tombstone(name_hash(&intake.name)) {
             return Some(Begin::Retired);
         }
-        if self.lost(now, intake, replica) {
+        if self.records_lost(now, intake, replica) {
             return Some(Begin::Lost);
         }
         let backed = match &replica.role {
@@ -26,8 +26,8 @@
         (!backed || !known).then_some(Begin::NotSafe)
     }
 
-    /// Whether the key may have been used at an owner whose records are lost.
-    pub(crate) fn lost(&self, now: Time, intake: &Intake, replica: &Replica) -> bool {
+    /// Whether the key may have been used on a primary whose records are lost.
+    pub(crate) fn records_lost(&self, now: Time, intake: &Intake, replica: &Replica) -> bool {
         match intake.name.key.minted() {
             Some(mint) => mint.epoch < replica.cold,
             None => replica
@@ -36,13 +36,13 @@
         }
     }
 
-    /// Whether a new request may have run before without the copy here knowing.
+    /// Whether a new request may have run before without a record here.
     pub(crate) fn unsure(&self, now: Time, intake: &Intake, replica: &Replica) -> bool {
-        self.lost(now, intake, replica) || self.doubted(now, intake, replica)
+        self.records_lost(now, intake, replica) || self.doubted(now, intake, replica)
     }
 
-    /// Whether idempotent work of the key may have been done that the copy here
-    /// does not know: "not run" would be a guess then.
+    /// Whether idempotent attempts for the key may have run without a record here, so that "not
+    /// run" could be wrong.
     pub(crate) fn doubted(&self, now: Time, intake: &Intake, replica: &Replica) -> bool {
         let Some(doubt) = replica.doubt else {
             return false;
@@ -52,16 +52,16 @@
         intake.idempotent && old && now.since(doubt.since) < self.settings.retention
     }
 
-    /// Whether nobody else can take the key for new: minted keys tell their
-    /// epoch, others rely on a table that is not too old.
+    /// Whether no other instance can treat the key as new: minted keys carry their epoch, others
+    /// rely on a table that is recent enough.
     fn known(&self, now: Time, intake: &Intake, age: Duration) -> bool {
         intake.name.key.minted().is_some() || now.since(self.confirmed) < age
     }
 
-    /// Whether a request may take the change now. "Not run" needs an owner that
-    /// knows all attempts. A sealed copy may not touch non-idempotent requests.
-    /// What an owner without backup has accepted, it may send: whoever claims
-    /// its slot answers "unknown" for the key.
+    /// Whether a request may be changed so now. "Not run" requires a primary that knows all
+    /// attempts. A sealed copy may not change non-idempotent requests. A primary without a backup
+    /// may send what it has accepted: an instance that claims its slot answers "unknown" for the
+    /// key.
     pub(crate) fn safe(&self, now: Time, item: &Item, replica: &Replica, change: &Change) -> bool {
         let intake = &item.record.intake;
         let owner = match &replica.role {
@@ -77,17 +77,17 @@
         }
     }
 
-    /// Whether there is room for one more record, after the oldest ended ones
-    /// have gone if need be. They go an eighth of the bound at a time, so that
-    /// the search for them is rare.
+    /// Whether there is room for one more record, after evicting the records that ended first if
+    /// necessary. An eighth of the bound is evicted at a time, so that the search for candidates
+    /// is rare.
     pub(crate) fn make_room(&mut self, now: Time) -> bool {
-        let (have, most) = (self.bytes().0, self.settings.bytes.0);
-        if have < most {
+        let (have, max) = (self.bytes().0, self.settings.bytes.0);
+        if have < max {
             return true;
         }
-        let mut ended: Vec<_> = self.replicas.iter().flat_map(Replica::settled).collect();
+        let mut ended: Vec<_> = self.replicas.iter().flat_map(Replica::evictable).collect();
         ended.sort_unstable();
-        let mut left = have - (most - most / 8).min(have);
+        let mut left = have - (max - max / 8).min(have);
         let mut until = None;
         for (at, size) in ended {
             if left == 0 && until != Some(at) {
@@ -99,8 +99,8 @@
         if let Some(until) = until {
             let tombstones = self.settings.tombstones;
             let replicas = self.replicas.iter_mut();
-            replicas.for_each(|replica| replica.shed(now, until, tombstones));
+            replicas.for_each(|replica| replica.evict(now, until, tombstones));
         }
-        self.bytes().0 < most
+        self.bytes().0 < max
     }
 }
--- a/coltsfoothall/src/settle.rs
+++ b/coltsfoothall/src/settle.rs
@@ -1,12 +1,12 @@
-//! What a request does once its backup holds a change, and the rules that are
-//! checked after each step.
+//! Effects of a request once its backup holds a change, and the invariants checked after each
+//! step.
 
 use crate::record::{Cause, Change, End};
 use crate::request::{Phase, Request};
 use crate::step::{Action, Broken};
 
 impl Request {
-    /// Does what waited for the backup.
+    /// Applies the effects that waited for the backup.
     pub(crate) fn settle(&mut self, out: &mut Vec<Action>) -> Result<(), Broken> {
         if matches!(self.phase, Phase::Open | Phase::Ending(_)) {
             self.release(out);
@@ -18,7 +18,7 @@
         if let (Phase::Ending(seq), Some(end)) = (self.phase, self.record.end)
             && self.log.holds(seq)
         {
-            self.phase = Phase::Told;
+            self.phase = Phase::Ended;
             let retry_after = self.retry_after;
             out.push(Action::Finish { end, retry_after });
         }
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// Ends a request whose rules are broken.
+    /// Ends a request that violated an invariant.
     pub(crate) fn stop(&mut self, out: &mut Vec<Action>) {
         out.retain(|action| matches!(action, Action::Record { .. } | Action::Abort { .. }));
         self.abort(out);
--- a/coltsfoothall/src/size.rs
+++ b/coltsfoothall/src/size.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 quick_error! {
-    /// A quantity that cannot be read.
+    /// A quantity that cannot be parsed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
         /// Not a whole number of the unit.
@@ -27,13 +27,13 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Sum, at most the largest value.
+            /// Saturating addition.
             #[must_use]
             pub fn plus(self, rest: Self) -> Self {
                 Self(self.0.saturating_add(rest.0))
             }
 
-            /// Difference, at least zero.
+            /// Saturating subtraction.
             #[must_use]
             pub fn minus(self, rest: Self) -> Self {
                 Self(self.0.saturating_sub(rest.0))
@@ -62,18 +62,18 @@
     Tokens, " tokens";
     /// Bytes.
     Bytes, " B";
-    /// Millionths of the currency for an hour of one instance.
+    /// Price of one instance per hour, in millionths of the currency.
     Price, " u/h";
-    /// Requests in a second.
+    /// Requests per second.
     Rate, " requests/s";
-    /// What a machine's link carries, in millions of bits a second.
+    /// Bandwidth of a machine's network link, in megabits per second.
     Megabits, " Mbit/s";
-    /// Milliseconds, where a duration is written in settings or messages.
+    /// A duration in milliseconds, for settings and messages.
     Millis, " ms";
 }
 
 impl Millis {
-    /// The same span as a duration.
+    /// Converts to a [`Duration`](std::time::Duration).
     #[must_use]
     pub fn duration(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
--- a/coltsfoothall/src/slot.rs
+++ b/coltsfoothall/src/slot.rs
@@ -1,8 +1,8 @@
-//! The slot table: who keeps which requests.
+//! The slot table: which instances keep which requests.
 //!
-//! One value of the platform's key-value service. It changes only with
-//! membership, always by compare-and-swap on its revision, never for a
-//! request. The functions here are pure; the caller writes their result.
+//! The table is one value in the platform's key-value store. It changes only with membership,
+//! never for a request, and always by compare-and-swap on its revision. The functions here are
+//! pure; the caller writes their result.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -11,37 +11,38 @@
 use crate::id;
 use crate::key::{Epoch, Slot};
 
-/// Slots of a new table. At 330 instances most hold one or two copies; the
-/// whole table stays under 64 KB, far from the service's limit of a megabyte.
+/// Number of slots in a new table. At 330 instances most hold one or two copies; the whole table
+/// stays under 64 KB, far below the store's limit of one megabyte.
 pub const SLOT_COUNT: u16 = 256;
 
-/// Most slots that one instance gives away in one table. A move takes three rounds
-/// of duties: a member that owned all 256 slots shared them out to five others in 6 s and
-/// 29 writes; at 4 it took 29 s and 142, each of which may stop another's write
-/// (measured). Their records are bounded apart, see [`crate::duty::MAX_MOVED_BYTES`].
+/// Upper bound on the slots that one instance gives away in one table. A move takes three rounds
+/// of duties. Measured on a member that owned all 256 slots: with 32 it distributed them to five
+/// others in 6 s and 29 writes; with 4 it took 29 s and 142 writes, each of which may invalidate
+/// another instance's write. The bytes moved are bounded separately, see
+/// [`crate::duty::MAX_MOVED_BYTES`].
 pub const MAX_MOVES: usize = 32;
 
-/// Epoch of a first table's entries. The instances named there still claim
-/// them, since an instance that began anew could not tell otherwise whether it
-/// kept requests before.
+/// Epoch of the entries of a first table. The instances named there still have to claim their
+/// slots, because a restarted instance could not tell otherwise whether it kept requests before.
 pub const FIRST_EPOCH: Epoch = Epoch(1);
 
-/// Who keeps one slot.
+/// The instances that keep one slot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The owner.
+    /// The primary.
     pub primary: id::Instance,
-    /// Holder of the second copy.
+    /// The instance that holds the second copy.
     pub backup: Option<id::Instance>,
-    /// The process whose copy gives it its role here: the backup's, or that of a primary which
-    /// the slot was handed to. A copy of another process of that name may lack changes.
+    /// The process whose copy gives it its role here: the backup's, or that of a primary to which
+    /// the slot was handed over. A copy held by another process of the same instance may lack
+    /// changes.
     pub holder: Option<Life>,
-    /// Number of this ownership.
+    /// Epoch of the slot; it increases with each change of the entry.
     pub epoch: Epoch,
-    /// Epoch since which the ledger is complete; older keys may be lost.
+    /// Epoch since which the records are complete; requests with older keys may be lost.
     pub cold: Epoch,
-    /// Epoch since which all idempotent work is known: a backup that lost its role, or took
-    /// the slot over, may have carried older keys on without the owner, or the owner without it.
+    /// Epoch since which all idempotent attempts are known: a backup that lost its role, or took
+    /// the slot over, may have run older keys without the primary, or the primary without it.
     pub sure: Epoch,
 }
 
@@ -54,12 +55,12 @@
     pub life: Life,
 }
 
-/// The whole table.
+/// The slot table.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// Rises with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// One entry a slot.
+    /// One entry per slot.
     pub entries: Vec<Entry>,
 }
 
@@ -74,12 +75,12 @@
     pub leaving: bool,
 }
 
-/// A slot that should change hands.
+/// A slot that should move to another primary.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Move {
     /// The slot.
     pub slot: Slot,
-    /// Who should get it.
+    /// The new primary.
     pub to: id::Instance,
 }
 
@@ -87,23 +88,23 @@
     /// A change that the table does not allow.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Refused {
-        /// There is no such slot.
+        /// The slot does not exist.
         Slot(slot: Slot) {
             display("slot {slot} is not in the table")
         }
-        /// The entry has changed since it was looked at.
+        /// The entry has changed since it was read.
         Epoch(slot: Slot, have: Epoch, want: Epoch) {
-            display("slot {slot} is at epoch {have}, the change names {want}")
+            display("slot {slot} is at epoch {have}, but the change expects epoch {want}")
         }
-        /// Whoever asks may not change the entry so.
+        /// The instance does not have the role that this change requires.
         Role(slot: Slot, by: id::Instance) {
-            display("{by} has not the role in slot {slot} for this change")
+            display("{by} does not have the role in slot {slot} that this change requires")
         }
         /// Primary and backup would be the same.
         Same(slot: Slot) {
             display("primary and backup of slot {slot} would be one instance")
         }
-        /// Nobody could keep slots.
+        /// No instance can keep slots.
         Nobody {
             display("no instance can keep slots")
         }
@@ -111,8 +112,8 @@
 }
 
 impl Entry {
-    /// `sure` of the next entry, in which this backup has lost its role: it may have sealed
-    /// its copy and carried idempotent work on.
+    /// `sure` of the next entry, in which this backup has lost its role: it may have sealed its
+    /// copy and run idempotent requests.
     fn sure_without(&self, backup: Option<&id::Instance>) -> Epoch {
         match backup {
             Some(_lost) => self.epoch.next(),
@@ -122,7 +123,7 @@
 }
 
 impl Table {
-    /// The first table, made by whoever finds none. Slots begin without
+    /// Creates the first table; any instance that finds none does so. Slots start without
     /// backups: a backup is named only once it holds a copy.
     ///
     /// # Errors
@@ -163,20 +164,20 @@
         (0..self.count()).map(Slot).zip(&self.entries)
     }
 
-    /// Slots that somebody keeps, with their epochs. At the first epoch nobody
-    /// does yet, and whoever claims the slot takes keys of that epoch for lost.
+    /// Slots that have been claimed, with their epochs. At the first epoch no instance keeps the
+    /// slot yet, and the instance that claims it treats keys of that epoch as lost.
     pub fn claimed(&self) -> impl Iterator<Item = (Slot, Epoch)> {
         let claimed = self.iter().filter(|(_, entry)| entry.epoch > FIRST_EPOCH);
         claimed.map(|(slot, entry)| (slot, entry.epoch))
     }
 
-    /// Claims a slot whose copies are both lost: older keys are lost with them.
+    /// Claims a slot whose copies are both lost; requests with older keys are lost with them.
     ///
     /// # Errors
     /// The slot is unknown or at another epoch.
     pub fn claim(&self, slot: Slot, epoch: Epoch, by: &id::Instance) -> Result<Self, Refused> {
-        let next = self.at(slot, epoch)?.epoch.next();
-        Ok(self.with(
+        let next = self.entry_at(slot, epoch)?.epoch.next();
+        Ok(self.with_entry(
             slot,
             Entry {
                 primary: by.clone(),
@@ -189,16 +190,16 @@
         ))
     }
 
-    /// The backup becomes the owner, after it sealed its copy.
+    /// The backup becomes the primary, after it has sealed its copy.
     ///
     /// # Errors
     /// `by` is not the backup, or the slot is unknown or at another epoch.
     pub fn takeover(&self, slot: Slot, epoch: Epoch, by: &id::Instance) -> Result<Self, Refused> {
-        let entry = self.at(slot, epoch)?;
+        let entry = self.entry_at(slot, epoch)?;
         if entry.backup.as_ref() != Some(by) {
             return Err(Refused::Role(slot, by.clone()));
         }
-        Ok(self.with(
+        Ok(self.with_entry(
             slot,
             Entry {
                 primary: by.clone(),
@@ -211,7 +212,7 @@
         ))
     }
 
-    /// The primary names another backup, which holds a copy already, or none.
+    /// The primary names another backup, which already holds a copy, or none.
     ///
     /// # Errors
     /// `by` is not the primary, or the slot is unknown or at another epoch.
@@ -222,7 +223,7 @@
         by: &id::Instance,
         backup: Option<Process>,
     ) -> Result<Self, Refused> {
-        let entry = self.at(slot, epoch)?;
+        let entry = self.entry_at(slot, epoch)?;
         if entry.primary != *by {
             return Err(Refused::Role(slot, by.clone()));
         }
@@ -231,7 +232,7 @@
         if backup.as_ref() == Some(by) {
             return Err(Refused::Same(slot));
         }
-        Ok(self.with(
+        Ok(self.with_entry(
             slot,
             Entry {
                 primary: by.clone(),
@@ -244,8 +245,8 @@
         ))
     }
 
-    /// The primary gives the slot to `to`, which holds a copy already, and
-    /// stays as its backup.
+    /// The primary hands the slot over to `to`, which already holds a copy, and becomes its
+    /// backup.
     ///
     /// # Errors
     /// `by` is not the primary, or the slot is unknown or at another epoch.
@@ -256,29 +257,28 @@
         by: &id::Instance,
         to: &Process,
     ) -> Result<Self, Refused> {
-        let entry = self.at(slot, epoch)?;
+        let entry = self.entry_at(slot, epoch)?;
         if entry.primary != *by {
             return Err(Refused::Role(slot, by.clone()));
         }
-        let heir = &to.instance;
-        if heir == by {
+        let new_primary = &to.instance;
+        if new_primary == by {
             return Err(Refused::Same(slot));
         }
-        Ok(self.with(
+        Ok(self.with_entry(
             slot,
             Entry {
-                primary: heir.clone(),
+                primary: new_primary.clone(),
                 backup: Some(by.clone()),
                 holder: Some(to.life),
                 epoch: entry.epoch.next(),
                 cold: entry.cold,
-                sure: entry.sure_without(entry.backup.as_ref().filter(|old| *old != heir)),
+                sure: entry.sure_without(entry.backup.as_ref().filter(|old| *old != new_primary)),
             },
         ))
     }
 
-    /// Joins the changes of several slots, made from this same table, into one
-    /// write.
+    /// Merges changes of several slots, each made from this same table, into one write.
     #[must_use]
     pub fn merge(&self, changed: &[Self]) -> Self {
         let mut all = self.clone();
@@ -292,30 +292,30 @@
         all
     }
 
-    /// The instance that should back a slot up: in another failure domain
-    /// where there is one, with the fewest backups, then by name.
+    /// The instance that should back a slot up: in another failure domain if there is one, then
+    /// the one with the fewest backups, then by a hash of slot and name.
     #[must_use]
     pub fn backup_for(&self, slot: Slot, candidates: &[Candidate]) -> Option<id::Instance> {
         let primary = &self.entry(slot)?.primary;
-        let home = candidates.iter().find(|c| c.instance == *primary);
-        let home = home.map(|c| &c.domain);
+        let primary_domain = candidates.iter().find(|c| c.instance == *primary);
+        let primary_domain = primary_domain.map(|c| &c.domain);
         candidates
             .iter()
             .filter(|c| !c.leaving && c.instance != *primary)
             .min_by_key(|c| {
-                let near = Some(&c.domain) == home;
+                let same_domain = Some(&c.domain) == primary_domain;
                 (
-                    near,
+                    same_domain,
                     self.backups(&c.instance),
-                    spread(slot, &c.instance),
+                    tie_break(slot, &c.instance),
                     &c.instance,
                 )
             })
             .map(|c| c.instance.clone())
     }
 
-    /// Slots that `from` should give away: all if it is leaving, else those
-    /// above its fair share, to members under theirs; at most [`MAX_MOVES`].
+    /// Slots that `from` should give away, at most [`MAX_MOVES`]: all if it is leaving, otherwise
+    /// those above its fair share, to members below theirs.
     #[must_use]
     pub fn moves(&self, from: &id::Instance, candidates: &[Candidate]) -> Vec<Move> {
         let staying: Vec<_> = candidates.iter().filter(|c| !c.leaving).collect();
@@ -328,15 +328,15 @@
         let mut have = self.primaries(from);
         let mut moves = Vec::new();
         for (slot, entry) in self.iter().filter(|(_, entry)| entry.primary == *from) {
-            let least = (0..staying.len())
-                .filter(|at| staying[*at].instance != *from)
-                .min_by_key(|at| {
+            let least_loaded = (0..staying.len())
+                .filter(|index| staying[*index].instance != *from)
+                .min_by_key(|index| {
                     (
-                        loads[*at],
-                        entry.backup.as_ref() != Some(&staying[*at].instance),
+                        loads[*index],
+                        entry.backup.as_ref() != Some(&staying[*index].instance),
                     )
                 });
-            let Some(to) = least else { break };
+            let Some(to) = least_loaded else { break };
             let wanted =
                 leaving || (have > fair && loads[to] + 1 < have && loads[to] < fair.max(1));
             if !wanted || moves.len() == MAX_MOVES {
@@ -352,14 +352,14 @@
         moves
     }
 
-    /// Slots that an instance owns.
+    /// Number of slots of which an instance is the primary.
     #[must_use]
     pub fn primaries(&self, instance: &id::Instance) -> usize {
         let owned = self.entries.iter().filter(|e| e.primary == *instance);
         owned.count()
     }
 
-    /// Slots that an instance backs up.
+    /// Number of slots that an instance backs up.
     #[must_use]
     pub fn backups(&self, instance: &id::Instance) -> usize {
         let kept = self
@@ -369,7 +369,7 @@
         kept.count()
     }
 
-    fn at(&self, slot: Slot, epoch: Epoch) -> Result<&Entry, Refused> {
+    fn entry_at(&self, slot: Slot, epoch: Epoch) -> Result<&Entry, Refused> {
         let entry = self.entry(slot).ok_or(Refused::Slot(slot))?;
         if entry.epoch != epoch {
             return Err(Refused::Epoch(slot, entry.epoch, epoch));
@@ -377,7 +377,7 @@
         Ok(entry)
     }
 
-    fn with(&self, slot: Slot, entry: Entry) -> Self {
+    fn with_entry(&self, slot: Slot, entry: Entry) -> Self {
         let mut table = self.clone();
         table.entries[usize::from(slot.0)] = entry;
         table.version += 1;
@@ -385,7 +385,7 @@
     }
 }
 
-/// Breaks ties differently for each slot, so equal members share them.
-fn spread(slot: Slot, instance: &id::Instance) -> u64 {
+/// Breaks ties differently for each slot, so that equal members share the slots.
+fn tie_break(slot: Slot, instance: &id::Instance) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(instance.as_str().as_bytes(), u64::from(slot.0))
 }
--- a/coltsfoothall/src/status.rs
+++ b/coltsfoothall/src/status.rs
@@ -1,4 +1,4 @@
-//! What a ledger tells about what it keeps.
+//! Queries on a ledger.
 
 use crate::key::{Epoch, Slot};
 use crate::ledger::{Ledger, serves};
@@ -11,16 +11,16 @@
     #[must_use]
     pub fn record(&self, slot: Slot, name: &Name) -> Option<&Record> {
         let replica = self.replica(slot)?;
-        let at = replica.find(name).ok()?;
-        Some(&replica.items[at].record)
+        let index = replica.find(name).ok()?;
+        Some(&replica.items[index].record)
     }
 
     /// The number of a request's last change.
     #[must_use]
     pub fn seq(&self, slot: Slot, name: &Name) -> Option<Seq> {
         let replica = self.replica(slot)?;
-        let at = replica.find(name).ok()?;
-        Some(replica.items[at].seq)
+        let index = replica.find(name).ok()?;
+        Some(replica.items[index].seq)
     }
 
     /// Requests of a slot that have not ended.
@@ -30,20 +30,21 @@
         records.filter(|record| record.end.is_none())
     }
 
-    /// Slots that this instance may serve, with their epochs.
+    /// Slots that this instance may serve, as primary or as a backup that has sealed its copy,
+    /// with their epochs.
     pub fn served_slots(&self) -> impl Iterator<Item = (Slot, Epoch)> {
         let serving = self.replicas.iter().filter(|replica| serves(replica));
         serving.map(|replica| (replica.slot, replica.epoch))
     }
 
-    /// Whether a slot may be served here: by its owner, or by a backup that
-    /// has sealed its copy.
+    /// Whether this instance may serve a slot, as primary or as a backup that has sealed its
+    /// copy.
     #[must_use]
     pub fn serving(&self, slot: Slot) -> bool {
         self.replica(slot).is_some_and(serves)
     }
 
-    /// Whether a write of the table is noted that may still take effect.
+    /// Whether any write of the table is recorded that may still take effect.
     #[must_use]
     pub fn has_proposals(&self) -> bool {
         !self.proposals.is_empty()
@@ -55,8 +56,8 @@
         self.replica(slot).map(|replica| replica.epoch)
     }
 
-    /// Whether the copy here may serve the slot at this epoch, now or after a
-    /// takeover. An owner that handed over may not.
+    /// Whether the copy here may serve the slot at this epoch, now or after a takeover. A primary
+    /// that handed the slot over may not.
     #[must_use]
     pub fn keeps(&self, slot: Slot, epoch: Epoch) -> bool {
         let copy = self.replica(slot).filter(|replica| replica.epoch == epoch);
@@ -79,7 +80,7 @@
         self.replica(slot).map_or(0, |replica| replica.bytes)
     }
 
-    /// Changes that took effect without a second copy.
+    /// Number of changes that took effect without a second copy.
     #[must_use]
     pub fn unreplicated(&self) -> u64 {
         self.unreplicated
--- a/coltsfoothall/src/step.rs
+++ b/coltsfoothall/src/step.rs
@@ -1,4 +1,4 @@
-//! What a request takes in and what it asks for in return.
+//! Inputs and actions of the request state machine.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use crate::record::{self, Answer, Cause, Change, End, Part};
 use crate::size::Tokens;
 
-/// What happened to a request.
+/// An event that a request handles.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// Run it. For a resumed request: its record is held by the new backup, or
+    /// Run the request. For a resumed request, the new backup already holds its record, or
     /// [`Input::Unreplicated`] was given before.
     Begin,
     /// The backup holds all changes up to this number.
@@ -19,14 +19,14 @@
         /// Number of the last change held.
         seq: u64,
     },
-    /// There is no backup now, and this instance is the owner for certain.
+    /// There is no backup now, and this instance is certainly the primary.
     Unreplicated,
-    /// "Not run" could not be recorded, or was taken back, as another copy may have run
-    /// the request: its end is recorded as unknown.
+    /// "Not run" could not be recorded, or was retracted, because another copy may have run the
+    /// request: its end is recorded as unknown.
     Retracted,
-    /// A new backup holds a copy of the record and gets each change after it.
+    /// A new backup holds a copy of the record and receives each later change.
     Replicated,
-    /// Another owner has taken over.
+    /// Another primary has taken over.
     Sealed,
     /// An endpoint was chosen.
     Picked {
@@ -35,47 +35,47 @@
         /// Number of the attempt, unique in the fleet.
         attempt: u64,
     },
-    /// No endpoint can be chosen now.
+    /// No endpoint is available now.
     NoPick {
         /// Why.
         cause: Cause,
         /// When to ask again.
         retry_after: Duration,
     },
-    /// The request's wait for an endpoint is given up: no room in time.
+    /// The wait for an endpoint was given up: none becomes available in time.
     GivenUp {
         /// Why.
         cause: Cause,
-        /// When its caller may come back.
+        /// When the caller may try again.
         retry_after: Duration,
     },
-    /// The endpoint refused the attempt before it began.
+    /// The endpoint rejected the attempt before it started.
     Refused {
         /// The attempt.
         attempt: u64,
     },
-    /// No connection came up, so nothing of the attempt was sent.
+    /// No connection was established, so nothing of the attempt was sent.
     Unsent {
         /// The attempt.
         attempt: u64,
     },
-    /// A piece of a completion.
+    /// A chunk of a completion.
     Chunk {
-        /// The attempt that it names.
+        /// The attempt that it belongs to.
         attempt: u64,
-        /// The piece.
+        /// The chunk.
         part: Part,
-        /// Tokens of prompt and resumed text that came from the engine's cache.
+        /// Tokens of prompt and resumed text that the engine read from its cache.
         cached: Option<Tokens>,
     },
-    /// The answer of a plain service; it counts once [`Input::Ended`] follows.
+    /// The answer of a plain service; it takes effect once [`Input::Ended`] follows.
     Answer {
-        /// The attempt that it names.
+        /// The attempt that it belongs to.
         attempt: u64,
         /// The answer.
         answer: Box<Answer>,
     },
-    /// The answer's framing and end marker are whole.
+    /// The answer's framing is complete and its end marker has arrived.
     Ended {
         /// The attempt.
         attempt: u64,
@@ -85,11 +85,11 @@
         /// The attempt.
         attempt: u64,
     },
-    /// An endpoint was given notice.
+    /// An endpoint was given notice to stop.
     Leaving {
         /// The endpoint.
         endpoint: id::Endpoint,
-        /// Whether the running attempt will surely finish there in time.
+        /// Whether the running attempt is certain to finish there in time.
         finishes: bool,
     },
     /// An endpoint died.
@@ -97,11 +97,11 @@
         /// The endpoint.
         endpoint: id::Endpoint,
     },
-    /// Endpoints die of this content.
+    /// This content crashes endpoints.
     Poisoned,
-    /// Its caller cancelled it.
+    /// The caller cancelled the request.
     Cancel,
-    /// The time of [`Request::wake`](crate::request::Request::wake) has come.
+    /// The time given by [`Request::wake`](crate::request::Request::wake) has come.
     Tick,
     /// Answer to [`Action::Retry`].
     Budget {
@@ -110,12 +110,12 @@
     },
 }
 
-/// What is to be done for a request, in this order.
+/// An action that the caller of the state machine carries out, in the order given.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send the change to the ledger and to the backup.
     Record {
-        /// Number of the change in this request's life at this owner, from 1.
+        /// Number of the change within this request on this primary, from 1.
         seq: u64,
         /// The change.
         change: Change,
@@ -123,95 +123,95 @@
     /// Choose an endpoint; answered by [`Input::Picked`], [`Input::NoPick`] or
     /// [`Input::GivenUp`].
     Pick {
-        /// Endpoints that are not to be chosen, sorted.
+        /// Endpoints to exclude, sorted.
         exclude: Vec<id::Endpoint>,
     },
-    /// Ask for a retry from the budget; answered by [`Input::Budget`].
+    /// Request a retry from the budget; answered by [`Input::Budget`].
     Retry,
     /// Send the request to an endpoint.
     Start {
         /// The attempt.
         attempt: u64,
-        /// Where to.
+        /// The endpoint.
         endpoint: id::Endpoint,
-        /// Text generated so far, which the answer continues.
+        /// Text generated so far; the endpoint continues it.
         resume: String,
         /// Tokens in `resume`.
         offset: u64,
     },
-    /// Stop an attempt, started or only chosen, and give its place back.
+    /// Stop an attempt, whether started or only picked, and free its capacity.
     Abort {
         /// The attempt.
         attempt: u64,
     },
-    /// The caller may see the answer up to here.
+    /// The answer may be shown to the caller up to this point.
     Release {
         /// Tokens from the start of the answer.
         tokens: u64,
     },
-    /// The request ended; tell the caller.
+    /// The request ended; report the outcome to the caller.
     Finish {
-        /// How.
+        /// The outcome.
         end: End,
-        /// When the caller may come back, if it was given up.
+        /// When the caller may try again, if the request was given up.
         retry_after: Option<Duration>,
     },
-    /// What an engine took from its cache when an attempt began.
+    /// Cache use of an engine when an attempt started.
     Cached {
         /// The attempt.
         attempt: u64,
-        /// Tokens from cache.
+        /// Tokens read from the cache.
         cached: Tokens,
         /// Tokens of the answer that were resumed.
         resumed: u64,
     },
-    /// Count something that was dropped.
+    /// Count a dropped input.
     Count(Dropped),
 }
 
-/// What was dropped.
+/// Why an input was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dropped {
-    /// From an attempt that another has replaced.
+    /// It belongs to an attempt that has been replaced.
     Superseded,
-    /// A piece that had arrived before.
+    /// The chunk had already arrived.
     Duplicate,
-    /// For a request that has ended or is sealed.
+    /// The request has ended or is sealed.
     Late,
-    /// A piece that does not follow the one before; it broke its attempt.
+    /// The chunk does not follow the one before it; its attempt is aborted.
     Gap,
-    /// A piece that makes no sense; it broke its attempt.
+    /// The chunk is malformed; its attempt is aborted.
     Malformed,
 }
 
 quick_error! {
-    /// A rule of the system is broken.
+    /// A violated invariant.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Broken {
-        /// The record refused a change.
+        /// The record rejected a change.
         Record(error: record::Broken) {
             display("{error}")
             from()
         }
         /// A change was acknowledged that was never recorded.
         Unrecorded(name: record::Name, seq: u64, recorded: u64) {
-            display("request {name}: change {seq} acknowledged, only {recorded} recorded")
+            display("request {name}: change {seq} was acknowledged, but only {recorded} were recorded")
         }
-        /// An attempt runs although the backup does not know of it.
+        /// An attempt runs although the backup does not hold its [`Change::Sent`].
         Unbacked(name: record::Name, attempt: u64) {
-            display("request {name}: attempt {attempt} runs unknown to the backup")
+            display("request {name}: attempt {attempt} runs but is not recorded on the backup")
         }
-        /// An attempt goes on after the end.
+        /// An attempt is still running after the end.
         Running(name: record::Name, attempt: u64) {
-            display("request {name}: attempt {attempt} goes on after the end")
+            display("request {name}: attempt {attempt} is still running after the end")
         }
         /// A non-idempotent request runs a second time.
         Again(name: record::Name) {
             display("non-idempotent request {name} was started a second time")
         }
-        /// More was released than the backup holds.
+        /// More tokens were released than the backup holds.
         Released(name: record::Name, released: u64, held: u64) {
-            display("request {name}: {released} tokens released, {held} held by the backup")
+            display("request {name}: {released} tokens were released, but the backup holds only {held}")
         }
     }
 }
