--- a/coltsfoothall/src/suspicion.rs
+++ b/coltsfoothall/src/suspicion.rs
@@ -1,43 +1,41 @@
-//! Requests that crash the endpoints which run them, known by content.
+//! Detects requests that crash the endpoints running them, by content.
 //!
-//! A key does not help: callers send such a request again under a new one. So
-//! each death of an endpoint is evidence against all contents that ran there.
-//! A death that was announced says nothing; the caller of [`Tracker::record_death`]
-//! also leaves out the loss of a whole failure domain.
+//! A key does not identify such a request, because callers resend it under a new one. Each death
+//! of an endpoint is therefore evidence against all contents that were running there. An
+//! announced death is no evidence; the caller of [`Tracker::record_death`] also excludes the loss
+//! of a whole failure domain.
 //!
 //! | evidence | verdict |
 //! | --- | --- |
 //! | none | [`Verdict::Free`] |
-//! | one death with others in the batch | [`Verdict::Isolated`]: it runs where nothing else runs, one copy at a time |
-//! | two such deaths, the second run begun after the first death was known, or one death alone | [`Verdict::Poisonous`] |
+//! | one death while other requests ran there | [`Verdict::Isolated`]: it runs where nothing else runs, one copy at a time |
+//! | two such deaths, the second run started after the first death was known, or one death while isolated | [`Verdict::Poisonous`] |
 //!
-//! Deaths of copies that ran at the same time count as one, so that a common
-//! request is not condemned by two endpoints that die together. A content that
-//! finishes is cleared of the deaths so far; one that died alone is not.
+//! Deaths of copies that ran at the same time count as one, so that a common request is not
+//! condemned by two endpoints that die together. A content that completes is cleared of the
+//! deaths so far, except for a death while isolated.
 //!
-//! Small variations share a [`Mark::Kin`]: workspace, service, model and head
-//! of the prompt. Many innocent prompts of a workspace may share it too, so it
-//! needs more: two batch deaths or one alone isolate the kin, three alone
-//! condemn it until they expire. It reaches no other workspace.
+//! Small variations of a request share a [`Mark::Kin`]: workspace, service, model and the start
+//! of the prompt. Many innocent prompts of a workspace may share it too, so more evidence is
+//! required: two batch deaths or one while isolated isolate the kin, three while isolated condemn
+//! it until they expire. It never affects another workspace.
 //!
 //! # Bound on endpoints lost
-//! Let F entry instances learn of a death after at most G, and let a run take
-//! at least D from its start until its death is known. Equal content, whatever
-//! its keys, costs at most
+//! Let F entry instances learn of a death after at most G, and let a run take at least D from its
+//! start until its death is known. Equal content, under any keys, costs at most
 //!
 //! - the C copies that run when the first death is known, and then
-//! - for each instance, those it starts before it hears of that death, at most
-//!   G/D for one caller that waits for each answer, and one more alone.
+//! - for each instance, those it starts before it learns of that death, at most G/D for one
+//!   caller that waits for each answer, and one more that is isolated.
 //!
-//! One caller that sends again after each death so costs 2 + min(2(F - 1),
-//! ceil(G/D)) endpoints; C copies at once cost C + F if none begins between the
-//! first death and its arrival. With variations, the kin costs two for each of
-//! the first variations until it is condemned. Evidence is kept [`Settings::retention`]
-//! after the death, so the cost comes again once in that time at most.
-//! A full tracker forgets the oldest evidence first.
+//! One caller that resends after each death therefore costs 2 + min(2(F - 1), ceil(G/D))
+//! endpoints; C copies at once cost C + F if none starts between the first death and the arrival
+//! of its report. With variations, the kin costs two for each of the first variations until it is
+//! condemned. Evidence is kept for [`Settings::retention`] after the death, so the cost recurs at
+//! most once in that time. A full tracker drops the oldest evidence first.
 //!
-//! Not bounded: variations without a common head, and non-idempotent variations
-//! sent once each whose kin is cleared by innocent ones in between.
+//! Not bounded: variations without a common start, and non-idempotent variations sent once each
+//! whose kin is cleared by innocent requests in between.
 
 use std::time::Duration;
 
@@ -46,19 +44,20 @@
 pub use crate::fingerprint::{Evidence, Fingerprint, Mark, Notice};
 use crate::id;
 
-/// Batch deaths that condemn a content, and that isolate a kin.
+/// Number of batch deaths that condemn a content, and that isolate a kin.
 const BATCH_DEATHS: usize = 2;
-/// Deaths alone that condemn a kin.
+/// Number of deaths while isolated that condemn a kin.
 const KIN_DEATHS: usize = 3;
-/// Most deaths kept for one mark; it stops a mass loss from filling messages.
+/// Upper bound on the deaths kept for one mark; it prevents a mass loss from filling messages.
 const MAX_DEATHS: usize = 4;
 
-/// Bounds on what is kept.
+/// Bounds on the evidence that is kept.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
     /// How long a death counts.
     pub retention: Duration,
-    /// Most marks with evidence; it stops a mass loss from filling memory and messages.
+    /// Upper bound on the marks with evidence; it prevents a mass loss from filling memory and
+    /// messages.
     pub max_marks: usize,
 }
 
@@ -76,15 +75,15 @@
 pub enum Verdict {
     /// Anywhere.
     Free,
-    /// Only where nothing else runs, and nothing may join it.
+    /// Only on an endpoint where nothing else runs, and nothing may join it.
     Isolated,
-    /// Not now: a copy of it runs alone, whose outcome decides.
+    /// Not now: a copy of it is running in isolation, and its outcome decides.
     Later,
-    /// Never; its final answer is given at once.
+    /// Never; the request is rejected at once.
     Poisonous,
 }
 
-/// An endpoint's death as evidence.
+/// Death of an endpoint, as evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Death {
     /// The attempt that ran there, unique in the fleet.
@@ -97,13 +96,13 @@
 #[derive(Debug, Clone)]
 struct Entry {
     mark: Mark,
-    /// By time, then attempt.
+    /// Sorted by time, then attempt.
     deaths: Vec<Death>,
-    /// Batch deaths up to here are void.
+    /// Batch deaths up to this time do not count.
     cleared: Option<Time>,
 }
 
-/// An attempt that runs.
+/// A running attempt.
 #[derive(Debug, Clone)]
 struct Run {
     attempt: u64,
@@ -113,7 +112,7 @@
     isolated: bool,
 }
 
-/// Evidence against contents, and the attempts of this instance that run.
+/// Evidence against contents, and the running attempts of this instance.
 #[derive(Debug, Clone)]
 pub struct Tracker {
     settings: Settings,
@@ -124,7 +123,7 @@
 }
 
 impl Tracker {
-    /// A tracker without evidence.
+    /// Creates a tracker without evidence.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -137,21 +136,21 @@
     /// How a request may run now.
     #[must_use]
     pub fn verdict(&self, now: Time, fingerprint: Fingerprint) -> Verdict {
-        let content = self.grade(now, fingerprint.content);
-        let kin = self.grade(now, fingerprint.kin);
+        let content = self.assess(now, fingerprint.content);
+        let kin = self.assess(now, fingerprint.kin);
         let verdict = content.max(kin);
-        let tried = self.runs.iter().any(|run| {
+        let isolated_now = self.runs.iter().any(|run| {
             run.isolated
                 && (run.fingerprint.content == fingerprint.content
                     || run.fingerprint.kin == fingerprint.kin)
         });
-        if verdict == Verdict::Isolated && tried {
+        if verdict == Verdict::Isolated && isolated_now {
             return Verdict::Later;
         }
         verdict
     }
 
-    /// An attempt starts; `isolated` if it was chosen to run where nothing else runs.
+    /// Records the start of an attempt; `isolated` if it was placed where nothing else runs.
     pub fn record_start(
         &mut self,
         now: Time,
@@ -168,25 +167,26 @@
             isolated,
         };
         match self.runs.binary_search_by_key(&attempt, |run| run.attempt) {
-            Ok(at) => self.runs[at] = run,
-            Err(at) => self.runs.insert(at, run),
+            Ok(index) => self.runs[index] = run,
+            Err(index) => self.runs.insert(index, run),
         }
     }
 
-    /// An attempt ended while its endpoint lives; `whole` if it gave its whole answer.
-    pub fn record_end(&mut self, now: Time, attempt: u64, whole: bool) {
-        let Ok(at) = self.runs.binary_search_by_key(&attempt, |run| run.attempt) else {
+    /// Records the end of an attempt on a live endpoint; `complete` if it returned its complete
+    /// answer.
+    pub fn record_end(&mut self, now: Time, attempt: u64, complete: bool) {
+        let Ok(index) = self.runs.binary_search_by_key(&attempt, |run| run.attempt) else {
             return;
         };
-        let run = self.runs.remove(at);
-        if whole {
+        let run = self.runs.remove(index);
+        if complete {
             self.clear(now, run.fingerprint.content);
             self.clear(now, run.fingerprint.kin);
         }
     }
 
-    /// An endpoint died; `announced` if it had been given notice, or its whole
-    /// failure domain is lost. Returns the marks to tell peers of.
+    /// Records the death of an endpoint; `announced` if it had been given notice, or if its whole
+    /// failure domain is lost. Returns the marks whose evidence is to be reported to peers.
     pub fn record_death(
         &mut self,
         now: Time,
@@ -212,60 +212,65 @@
             };
             for mark in [run.fingerprint.content, run.fingerprint.kin] {
                 self.add(now, mark, death);
-                if let Err(at) = marks.binary_search(&mark) {
-                    marks.insert(at, mark);
+                if let Err(index) = marks.binary_search(&mark) {
+                    marks.insert(index, mark);
                 }
             }
         }
         marks
     }
 
-    /// The evidence to tell peers, all of it.
+    /// All evidence, for a report to peers.
     #[must_use]
     pub fn evidence(&self, now: Time) -> Vec<Evidence> {
-        self.entries.iter().map(|entry| tell(now, entry)).collect()
+        self.entries
+            .iter()
+            .map(|entry| evidence_of(now, entry))
+            .collect()
     }
 
-    /// At most `most` of the evidence, for one message of many: half of it against marks
-    /// with several deaths, as far as there are any, and all of it in its turn.
+    /// At most `max` entries of the evidence, for one of a series of messages: up to half of them
+    /// against marks with several deaths. Over the rounds, all evidence is included.
     #[must_use]
-    pub fn evidence_batch(&self, now: Time, most: usize, round: usize) -> Vec<Evidence> {
+    pub fn evidence_batch(&self, now: Time, max: usize, round: usize) -> Vec<Evidence> {
         let (strong, weak): (Vec<&Entry>, Vec<&Entry>) = self
             .entries
             .iter()
             .partition(|entry| entry.deaths.len() > 1);
-        let strong = batch::select(&strong, most.div_ceil(2), round);
-        let weak = batch::select(&weak, most.saturating_sub(strong.len()), round);
+        let strong = batch::select(&strong, max.div_ceil(2), round);
+        let weak = batch::select(&weak, max.saturating_sub(strong.len()), round);
         let entries = strong.iter().chain(&weak);
-        entries.map(|entry| tell(now, entry)).collect()
+        entries.map(|entry| evidence_of(now, entry)).collect()
     }
 
-    /// The evidence against some marks, such as those of [`Tracker::record_death`].
+    /// The evidence against the given marks, such as those of [`Tracker::record_death`].
     #[must_use]
     pub fn evidence_for(&self, now: Time, marks: &[Mark]) -> Vec<Evidence> {
         let found = marks.iter().filter_map(|mark| self.find(*mark).ok());
-        found.map(|at| tell(now, &self.entries[at])).collect()
+        found
+            .map(|index| evidence_of(now, &self.entries[index]))
+            .collect()
     }
 
-    /// Takes in what a peer told. Order and repeats make no difference.
+    /// Merges evidence reported by a peer. The result does not depend on order or repetition.
     pub fn merge(&mut self, now: Time, evidence: &[Evidence]) {
-        for told in evidence {
-            for notice in told.deaths.iter().take(MAX_DEATHS) {
+        for reported in evidence {
+            for notice in reported.deaths.iter().take(MAX_DEATHS) {
                 let death = Death {
                     attempt: notice.attempt,
                     began: now - notice.began.duration(),
                     at: now - notice.age.duration(),
                     isolated: notice.isolated,
                 };
-                self.add(now, told.mark, death);
+                self.add(now, reported.mark, death);
             }
-            if let Some(age) = told.cleared {
-                self.clear(now - age.duration(), told.mark);
+            if let Some(age) = reported.cleared {
+                self.clear(now - age.duration(), reported.mark);
             }
         }
     }
 
-    /// Drops what has expired.
+    /// Drops expired evidence.
     pub fn expire(&mut self, now: Time) {
         let retention = self.settings.retention;
         for entry in &mut self.entries {
@@ -274,12 +279,12 @@
         self.entries.retain(|entry| !entry.deaths.is_empty());
     }
 
-    /// Forgets attempts that began before a time and whose end was never learnt.
+    /// Forgets attempts that started before a time and whose end was never reported.
     pub fn abandon(&mut self, before: Time) {
         self.runs.retain(|run| run.began >= before);
     }
 
-    /// Marks with evidence.
+    /// Number of marks with evidence.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
@@ -295,11 +300,11 @@
         self.entries.binary_search_by_key(&mark, |entry| entry.mark)
     }
 
-    fn grade(&self, now: Time, mark: Mark) -> Verdict {
-        let Ok(at) = self.find(mark) else {
+    fn assess(&self, now: Time, mark: Mark) -> Verdict {
+        let Ok(index) = self.find(mark) else {
             return Verdict::Free;
         };
-        let entry = &self.entries[at];
+        let entry = &self.entries[index];
         let live = |death: &&Death| now.since(death.at) < self.settings.retention;
         let isolated = entry
             .deaths
@@ -307,12 +312,12 @@
             .filter(live)
             .filter(|d| d.isolated)
             .count();
-        let batch = apart(
+        let batch = count_separate(
             entry
                 .deaths
                 .iter()
                 .filter(live)
-                .filter(|d| counts(entry, d)),
+                .filter(|d| is_valid(entry, d)),
         );
         let (poisonous, suspect) = match mark {
             Mark::Content(_) => (isolated > 0 || batch >= BATCH_DEATHS, batch > 0),
@@ -332,45 +337,45 @@
         if now.since(death.at) >= self.settings.retention {
             return;
         }
-        let at = match self.find(mark) {
-            Ok(at) => at,
+        let index = match self.find(mark) {
+            Ok(index) => index,
             Err(_) if self.settings.max_marks == 0 => return,
             Err(_) => {
                 self.make_room();
-                let at = self.find(mark).unwrap_or_else(|at| at);
+                let index = self.find(mark).unwrap_or_else(|index| index);
                 self.entries.insert(
-                    at,
+                    index,
                     Entry {
                         mark,
                         deaths: Vec::new(),
                         cleared: None,
                     },
                 );
-                at
+                index
             }
         };
-        let deaths = &mut self.entries[at].deaths;
+        let deaths = &mut self.entries[index].deaths;
         if deaths.iter().any(|known| known.attempt == death.attempt) {
             return;
         }
-        let place = deaths.partition_point(|d| (d.at, d.attempt) < (death.at, death.attempt));
-        deaths.insert(place, death);
+        let position = deaths.partition_point(|d| (d.at, d.attempt) < (death.at, death.attempt));
+        deaths.insert(position, death);
         if deaths.len() > MAX_DEATHS {
-            // A death alone weighs more, so it is kept longest.
+            // A death while isolated is stronger evidence, so it is kept longest.
             let spare = deaths.iter().position(|death| !death.isolated).unwrap_or(0);
             deaths.remove(spare);
         }
     }
 
-    /// Drops the entry whose last death is the oldest, if there is no room.
+    /// If the tracker is full, drops the entry whose last death is the oldest.
     fn make_room(&mut self) {
         if self.entries.len() < self.settings.max_marks {
             return;
         }
         let last = |entry: &Entry| entry.deaths.last().map(|death| death.at);
-        let oldest = (0..self.entries.len()).min_by_key(|at| last(&self.entries[*at]));
-        if let Some(at) = oldest {
-            self.entries.remove(at);
+        let oldest = (0..self.entries.len()).min_by_key(|index| last(&self.entries[*index]));
+        if let Some(index) = oldest {
+            self.entries.remove(index);
         }
     }
 
@@ -382,13 +387,13 @@
     }
 }
 
-/// Whether a death in a batch still counts.
-fn counts(entry: &Entry, death: &Death) -> bool {
+/// Whether a death has not been cleared.
+fn is_valid(entry: &Entry, death: &Death) -> bool {
     death.isolated || entry.cleared.is_none_or(|cleared| death.at > cleared)
 }
 
-/// Deaths of runs that each began after the death before was known.
-fn apart<'a>(deaths: impl Iterator<Item = &'a Death>) -> usize {
+/// Counts the deaths of runs that each started after the previous counted death was known.
+fn count_separate<'a>(deaths: impl Iterator<Item = &'a Death>) -> usize {
     let mut count = 0;
     let mut known = None;
     for death in deaths {
@@ -400,7 +405,7 @@
     count
 }
 
-fn tell(now: Time, entry: &Entry) -> Evidence {
+fn evidence_of(now: Time, entry: &Entry) -> Evidence {
     let deaths = entry.deaths.iter().map(|death| Notice {
         attempt: death.attempt,
         began: now.since(death.began).into(),
--- a/coltsfoothall/src/takeover.rs
+++ b/coltsfoothall/src/takeover.rs
@@ -1,9 +1,8 @@
-//! How slots change hands: proposals for the table, and what a table means for
-//! the copies here.
+//! Changes of a slot's primary: proposals for the slot table, and what a new table means for the
+//! copies on this instance.
 //!
-//! A proposal is noted before it is written. If the write's answer is lost it
-//! stays noted until a table of a later version settles it, and meanwhile
-//! both its outcomes are safe.
+//! A proposal is recorded before it is written. If the answer to the write is lost, the proposal
+//! stays recorded until a table of a later version settles it; until then both outcomes are safe.
 
 use crate::clock::Time;
 use crate::id;
@@ -11,38 +10,37 @@
 use crate::ledger::{Error, Ledger};
 use crate::record::{Change, End, Name};
 use crate::replica::{
-    Broken, Doubt, Holder, Item, Life, Link, Primary, Replica, Role, Source, Word,
+    Broken, Confirmation, Doubt, Holder, Item, Life, Link, Primary, Replica, Role, Source,
 };
 use crate::slot::{Entry, FIRST_EPOCH, Table};
 
-/// What a new table meant for this instance.
+/// What a new table changed for this instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// It owns the slot now. Open requests are to be carried on.
+    /// It is the primary of the slot now; open requests are to be resumed.
     Owns(Slot),
-    /// It backs the slot up now.
+    /// It is the backup of the slot now.
     Backs(Slot),
-    /// It kept the slot and no longer does; attempts and answers are to stop.
+    /// It no longer has a copy of the slot; attempts and answers must stop.
     Dropped(Slot),
-    /// A request that a lost owner had sent ended here, or its "not run" was taken back.
+    /// A request that a lost primary had sent was ended, or its "not run" was retracted.
     Ended(Name, End),
-    /// A rule is broken.
+    /// An invariant is violated.
     Broken(Broken),
 }
 
-/// A write of the slot table that may take effect.
+/// A write of the slot table that may still take effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Proposal {
     pub(crate) slot: Slot,
-    /// Version of the table that it changes.
+    /// Version of the table that it is based on.
     base: u64,
     entry: Entry,
 }
 
 impl Ledger {
-    /// Seals the copy here: its owner gets no more acknowledgements. Returns
-    /// the epoch to name in the takeover, or none if there is no copy that
-    /// may take over.
+    /// Seals the copy here: its primary receives no more acknowledgements. Returns the epoch to
+    /// name in the takeover, or `None` if there is no copy that may take over.
     pub fn seal(&mut self, slot: Slot) -> Option<Epoch> {
         let replica = self.replica_mut(slot)?;
         match replica.role {
@@ -54,8 +52,8 @@
         }
     }
 
-    /// Notes a change of the table before it is written over version `base`.
-    /// The same change may be noted and written again.
+    /// Records a change of the table before it is written over version `base`. The same change
+    /// may be recorded and written again.
     ///
     /// # Errors
     /// The change is not safe now.
@@ -80,14 +78,14 @@
         Ok(())
     }
 
-    /// Whether a change of the slot's entry is noted that may take effect.
+    /// Whether a change of the slot's entry is recorded that may still take effect.
     #[must_use]
     pub fn has_proposal(&self, slot: Slot) -> bool {
         self.proposals.iter().any(|proposal| proposal.slot == slot)
     }
 
-    /// Forgets a noted change of the slot's entry that was never sent to the
-    /// service; an owner that was to give the slot up goes on.
+    /// Discards a recorded change of the slot's entry that was never sent to the store; a primary
+    /// that was about to give the slot up continues.
     pub fn withdraw(&mut self, slot: Slot) {
         self.proposals.retain(|proposal| proposal.slot != slot);
         if let Some(replica) = self.replica_mut(slot)
@@ -97,7 +95,7 @@
         }
     }
 
-    /// Takes in a table that was read or written. Older ones are passed over.
+    /// Applies a table that was read or written; older versions are ignored.
     pub fn observe(&mut self, now: Time, table: &Table) -> Vec<Event> {
         if table.version < self.version {
             return Vec::new();
@@ -107,12 +105,13 @@
         self.epochs = table.iter().map(|(_, entry)| entry.epoch).collect();
         let mut events = Vec::new();
         for (slot, entry) in table.iter() {
-            self.adopt(now, slot, entry, &mut events);
+            self.apply_entry(now, slot, entry, &mut events);
         }
         let settled = |proposal: &mut Proposal| proposal.base < table.version;
         let failed: Vec<_> = self.proposals.extract_if(.., settled).collect();
         for proposal in failed {
-            // The entry is as it was, so the owner that was to give it up goes on.
+            // The entry did not change, so the primary that was about to give the slot up
+            // continues.
             if let Some(replica) = self.replica_mut(proposal.slot)
                 && replica.epoch.next() == proposal.entry.epoch
                 && matches!(replica.role, Role::Primary(_))
@@ -124,7 +123,7 @@
         events
     }
 
-    /// Whether the copy here allows the entry to be written.
+    /// Whether it is safe for this instance to write the entry.
     fn allows(&self, slot: Slot, entry: &Entry) -> bool {
         let Some(replica) = self.replica(slot) else {
             return entry.primary == self.me
@@ -155,21 +154,21 @@
         process.is_some_and(|process| entry.holder == Some(process.life))
     }
 
-    fn adopt(&mut self, now: Time, slot: Slot, entry: &Entry, events: &mut Vec<Event>) {
+    fn apply_entry(&mut self, now: Time, slot: Slot, entry: &Entry, events: &mut Vec<Event>) {
         let proposed = self
             .proposals
             .iter()
             .any(|p| p.slot == slot && p.entry == *entry);
-        let Ok(at) = self.replicas.binary_search_by_key(&slot, |r| r.slot) else {
+        let Ok(index) = self.replicas.binary_search_by_key(&slot, |r| r.slot) else {
             if proposed {
-                self.found(now, slot, entry, events);
+                self.create_claimed(now, slot, entry, events);
             }
             return;
         };
         let (me, life) = (self.me.clone(), self.settings.life);
-        let replica = &mut self.replicas[at];
+        let replica = &mut self.replicas[index];
         if entry.epoch == replica.epoch && replica.confirmed(entry, &me, life) {
-            replica.back(entry);
+            replica.become_backup(entry);
             replica.learn(now, entry);
             events.push(Event::Backs(slot));
         }
@@ -188,26 +187,26 @@
                 self.end_orphans(now, slot, events);
             }
             Follow::Dropped => {
-                self.replicas.remove(at);
+                self.replicas.remove(index);
                 events.push(Event::Dropped(slot));
                 if proposed && fresh && entry.primary == me {
-                    self.found(now, slot, entry, events);
+                    self.create_claimed(now, slot, entry, events);
                 }
             }
         }
     }
 
-    /// An empty copy for a slot that was claimed.
-    fn found(&mut self, now: Time, slot: Slot, entry: &Entry, events: &mut Vec<Event>) {
+    /// Creates an empty copy for a slot that this instance claimed.
+    fn create_claimed(&mut self, now: Time, slot: Slot, entry: &Entry, events: &mut Vec<Event>) {
         if entry.primary != self.me || entry.cold != entry.epoch {
             return;
         }
         let mut replica = Replica::new(slot, entry.epoch, Role::Primary(Primary::default()));
-        // Nobody keeps a slot at the first table's epoch, so nothing was lost.
+        // No instance holds a slot at the epoch of the first table, so no records were lost.
         replica.cold_since = (entry.epoch > FIRST_EPOCH.next()).then_some(now);
-        replica.young = replica.cold_since.is_some();
-        if let Err(at) = self.replicas.binary_search_by_key(&slot, |r| r.slot) {
-            self.replicas.insert(at, replica);
+        replica.recently_claimed = replica.cold_since.is_some();
+        if let Err(index) = self.replicas.binary_search_by_key(&slot, |r| r.slot) {
+            self.replicas.insert(index, replica);
             events.push(Event::Owns(slot));
         }
     }
@@ -217,7 +216,7 @@
         self.end_all(now, slot, orphans, events);
     }
 
-    /// Records ends that follow from a change of the slot's owner or copies.
+    /// Records the ends that follow from a change of the slot's primary or copies.
     pub(crate) fn end_all(
         &mut self,
         now: Time,
@@ -245,12 +244,16 @@
 }
 
 impl Replica {
-    /// Becomes the owner with the given backup, which holds the same but for the changes
-    /// that this copy made while it was sealed.
-    pub(crate) fn own(&mut self, me: Life, backup: Option<id::Instance>) {
-        let parted = self.parted.take().filter(|_| backup.is_some());
-        let acked = parted.as_ref().map_or(self.seq, |parted| parted.before);
-        let mut unacked = parted.and_then(|parted| parted.updates).unwrap_or_default();
+    /// Becomes the primary. The given backup holds the same records except for the changes that
+    /// this copy made while it was sealed.
+    pub(crate) fn become_primary(&mut self, me: Life, backup: Option<id::Instance>) {
+        let divergence = self.divergence.take().filter(|_| backup.is_some());
+        let acked = divergence
+            .as_ref()
+            .map_or(self.seq, |divergence| divergence.before);
+        let mut unacked = divergence
+            .and_then(|divergence| divergence.updates)
+            .unwrap_or_default();
         for update in &mut unacked {
             update.epoch = self.epoch;
         }
@@ -272,14 +275,15 @@
         });
         self.sealed = false;
         self.yielded = false;
-        self.told = false;
+        self.backup_sealed = false;
         self.draining = false;
     }
 
-    /// Follows a newer entry of the table.
+    /// Applies a newer entry of the table.
     fn follow(&mut self, entry: &Entry, me: &id::Instance, life: Life, proposed: bool) -> Follow {
         if entry.epoch != self.epoch.next() || entry.cold == entry.epoch {
-            // Claimed cold, or moved on by more than a step without this copy.
+            // The slot was claimed without records, or advanced by more than one epoch without
+            // this copy.
             return Follow::Dropped;
         }
         let mine = entry.primary == *me;
@@ -294,46 +298,46 @@
                 }
                 self.epoch = entry.epoch;
                 owner.release(self.seq);
-                self.told = false;
+                self.backup_sealed = false;
                 Follow::Kept
             }
             Role::Primary(owner) if backing && proposed => {
-                let heir = owner.links().find(|link| link.peer == entry.primary);
-                self.source = heir.map(|link| Source {
+                let successor = owner.links().find(|link| link.peer == entry.primary);
+                self.source = successor.map(|link| Source {
                     from: link.peer.clone(),
                     life: link.holder.life,
                     copy: None,
                 });
-                self.back(entry);
+                self.become_backup(entry);
                 Follow::Backs
             }
             Role::Backup { .. } if mine && proposed => {
                 self.epoch = entry.epoch;
-                self.own(life, None);
+                self.become_primary(life, None);
                 Follow::TookOver
             }
             Role::Backup { primary } | Role::Learner { primary }
                 if mine && entry.backup.as_ref() == Some(primary) && entry.holder == Some(life) =>
             {
                 self.epoch = entry.epoch;
-                self.own(life, entry.backup.clone());
+                self.become_primary(life, entry.backup.clone());
                 Follow::Owns
             }
             Role::Backup { primary } | Role::Learner { primary }
                 if backing
                     && entry.primary == *primary
                     && entry.holder == Some(life)
-                    && self.parted.is_none() =>
+                    && self.divergence.is_none() =>
             {
-                self.back(entry);
+                self.become_backup(entry);
                 Follow::Backs
             }
             Role::Primary(_) | Role::Backup { .. } | Role::Learner { .. } => Follow::Dropped,
         }
     }
 
-    /// Whether the entry gives a role to the copy here, which its owner's changes brought to
-    /// the entry's epoch before the table came.
+    /// Whether the entry gives a role to a copy that its primary's changes had already advanced
+    /// to the entry's epoch.
     fn confirmed(&self, entry: &Entry, me: &id::Instance, life: Life) -> bool {
         let Role::Learner { primary } = &self.role else {
             return false;
@@ -342,7 +346,7 @@
         named && entry.primary == *primary
     }
 
-    /// Learns from an entry that idempotent work may not be known.
+    /// Takes over from an entry that idempotent work may be unknown.
     fn learn(&mut self, now: Time, entry: &Entry) {
         let arisen = entry.sure == entry.epoch && entry.cold < entry.epoch;
         if arisen || entry.sure > self.sure() {
@@ -350,32 +354,33 @@
         }
     }
 
-    /// The epoch since which this copy knows all idempotent work.
+    /// The epoch since which this copy knows all idempotent attempts.
     pub(crate) fn sure(&self) -> Epoch {
         self.doubt.map_or(self.cold, |doubt| doubt.before)
     }
 
-    /// Whether the owner here has a backup. Any may have sealed its copy and worked on
-    /// alone, also one that holds all changes: its owner hears of it with the next only.
+    /// Whether the primary here has a backup. Any backup may have sealed its copy and continued
+    /// unreplicated, even one that holds all changes: the primary learns of it only with the next
+    /// change.
     pub(crate) fn backed(&self) -> bool {
         matches!(&self.role, Role::Primary(owner) if owner.backup.is_some())
     }
 
-    fn back(&mut self, entry: &Entry) {
+    fn become_backup(&mut self, entry: &Entry) {
         self.epoch = entry.epoch;
         self.role = Role::Backup {
             primary: entry.primary.clone(),
         };
-        (self.items.iter_mut()).for_each(|item| item.word = Word::None);
+        (self.items.iter_mut()).for_each(|item| item.confirmation = Confirmation::None);
         self.sealed = false;
         self.yielded = false;
-        self.told = false;
+        self.backup_sealed = false;
         self.draining = false;
     }
 
-    /// Idempotent requests may have been carried on by another copy alone: by an
-    /// owner that is lost, or by a backup that had sealed its copy and dropped it
-    /// since. None that is older than this change can be told "not run", unless it was.
+    /// Records that idempotent requests may have been run by another copy: by a primary that is
+    /// lost, or by a backup that had sealed its copy and dropped it since. No request older than
+    /// this change may be reported as "not run", unless that was reported already.
     pub(crate) fn doubt(&mut self, now: Time, before: Epoch) {
         self.doubt = Some(Doubt { before, since: now });
         let told = |item: &Item| item.record.end.is_some() && !item.withholds(item.seq);
--- a/coltsfoothall/src/transfer.rs
+++ b/coltsfoothall/src/transfer.rs
@@ -1,39 +1,38 @@
-//! Whole copies of slots, for new backups and new owners.
+//! Complete copies of slots, for new backups and new primaries.
 //!
-//! The owner cuts the slot as it is into pieces and sends the changes after
-//! them as updates. The copy counts once it is whole; the table may name it
-//! only then.
+//! The primary splits the slot into chunks and sends later changes as updates. The table may name
+//! the copy only once it is complete.
 
 use crate::clock::Time;
 use crate::id;
 use crate::key::Slot;
 use crate::ledger::Ledger;
 use crate::replica::{
-    Broken, Chunk, Copying, Doubt, Holder, Item, Link, Replica, Role, Row, Seq, Source, Taken,
-    TimedTombstone, Tombstone, Unsure, Update, Whole, Word,
+    Broken, Chunk, Confirmation, Copying, Doubt, Holder, Item, Link, Replica, Role, Row, Seq,
+    Source, Taken, TimedTombstone, Tombstone, Unsure, Update, Whole,
 };
 use crate::size::Millis;
 use crate::slot::Process;
 
-/// Bytes of records in a piece, beyond the first record; it keeps a copy from
-/// blocking the connection for requests.
+/// Upper bound on the bytes of records in a chunk, beyond the first record; it prevents a copy
+/// from blocking the connection for requests.
 pub const MAX_CHUNK_BYTES: usize = 64 << 10;
 
-/// Tombstones in a piece, for the same reason.
+/// Upper bound on the tombstones in a chunk, for the same reason.
 pub const MAX_TOMBSTONES_PER_CHUNK: usize = 4096;
 
-/// A copy that is on its way here.
+/// A copy that is being received.
 #[derive(Debug)]
-pub(crate) struct Arrival {
+pub(crate) struct IncomingCopy {
     source: Source,
     next: u32,
     replica: Replica,
 }
 
 impl Ledger {
-    /// Cuts a slot into pieces for a copy at `to`. An earlier copy that the
-    /// table does not name yet is given up. None unless the slot is owned here
-    /// and no write of its entry is under way.
+    /// Splits a slot into chunks for a copy at `to`. An earlier copy that the table does not name
+    /// yet is abandoned. `None` unless this instance is the primary and no write of the slot's
+    /// entry is under way.
     pub fn export(&mut self, now: Time, slot: Slot, to: &id::Instance) -> Option<Vec<Chunk>> {
         if self.proposals.iter().any(|proposal| proposal.slot == slot) {
             return None;
@@ -58,16 +57,16 @@
         let renewed = owner.backup.as_ref().is_some_and(|link| link.peer == *to);
         owner.release(replica.seq);
         if renewed {
-            // The backup that is gone may have sealed its copy and worked on alone.
+            // The backup that is gone may have sealed its copy and continued unreplicated.
             replica.doubt(now, replica.epoch.next());
         }
-        let chunks = cut(now, replica, &source);
-        self.awaited |= renewed;
+        let chunks = split(now, replica, &source);
+        self.confirmation_pending |= renewed;
         Some(chunks)
     }
 
-    /// Gives up a copy that the table does not name, unless a write that names
-    /// it is under way; false then.
+    /// Abandons a copy that the table does not name. Returns false, and does nothing, if a write
+    /// that names it is under way.
     pub fn give_up(&mut self, slot: Slot) -> bool {
         if self.proposals.iter().any(|proposal| proposal.slot == slot) {
             return false;
@@ -82,7 +81,8 @@
         true
     }
 
-    /// Who holds a copy that the table does not name; what leaves waits for it.
+    /// The instance that holds a copy which the table does not name; changes are released only
+    /// once it holds them.
     #[must_use]
     pub fn learner(&self, slot: Slot) -> Option<&id::Instance> {
         match &self.replica(slot)?.role {
@@ -91,11 +91,12 @@
         }
     }
 
-    /// Notes that the copy at `to` is whole. From now on it has to hold what leaves. The updates are those that it still lacks; none means
-    /// that the copy was given up or has fallen too far behind.
+    /// Records that the copy at `to` is complete; from now on, changes are released only once it
+    /// holds them. Returns the updates that it still lacks, or `None` if the copy was abandoned
+    /// or has fallen too far behind.
     ///
     /// # Errors
-    /// The peer holds what was never sent.
+    /// The peer claims to hold a change that was never sent.
     pub fn copied(
         &mut self,
         slot: Slot,
@@ -129,15 +130,16 @@
             return Ok(None);
         }
         let backup = owner.backup.as_ref().filter(|backup| backup.peer == *to);
-        // The process that held the backup is gone. It may have taken the slot over without
-        // this owner's knowledge, and what its successor holds does not tell.
+        // The process that held the backup is gone. It may have taken the slot over without this
+        // primary's knowledge, and the copy of its successor does not show that.
         owner.contested |= backup.is_some_and(|backup| backup.holder.life != life);
         owner.learner = Some(link);
         owner.release(replica.seq);
         Ok(Some(missing))
     }
 
-    /// The process of `peer` that holds a copy of an owned slot, to be named in the table.
+    /// The process of `peer` that holds a copy of a slot whose primary is here, to be named in
+    /// the table.
     #[must_use]
     pub fn process(&self, slot: Slot, peer: &id::Instance) -> Option<Process> {
         let Role::Primary(owner) = &self.replica(slot)?.role else {
@@ -163,77 +165,82 @@
         links.any(|link| link.acked >= owner.released)
     }
 
-    /// Takes in a piece of a copy.
+    /// Receives a chunk of a copy.
     pub fn import(&mut self, now: Time, chunk: Chunk) -> Taken {
         let slot = chunk.slot;
         let known = self.epochs.get(usize::from(slot.0));
         if let Some(epoch) = known.filter(|epoch| **epoch > chunk.epoch) {
-            // A copy of it would acknowledge what another owner does not know.
+            // A copy of that epoch would acknowledge changes that the current primary does not
+            // know.
             return Taken::Sealed(*epoch);
         }
-        if let Some(refused) = self.replica(slot).and_then(|replica| replica.bars(&chunk)) {
+        if let Some(refused) = self
+            .replica(slot)
+            .and_then(|replica| replica.rejects(&chunk))
+        {
             return refused;
         }
-        let at = self
-            .arrivals
-            .binary_search_by_key(&slot, |arrival| arrival.replica.slot);
-        let at = match at {
-            Ok(at) if self.arrivals[at].serves(&chunk) => at,
-            Ok(at) if chunk.index == 0 && self.arrivals[at].older(&chunk) => {
-                self.arrivals[at] = Arrival::new(now, &chunk);
-                at
+        let index = self
+            .incoming
+            .binary_search_by_key(&slot, |copy_in| copy_in.replica.slot);
+        let index = match index {
+            Ok(index) if self.incoming[index].serves(&chunk) => index,
+            Ok(index) if chunk.index == 0 && self.incoming[index].older(&chunk) => {
+                self.incoming[index] = IncomingCopy::new(now, &chunk);
+                index
             }
             Ok(_) => return Taken::More(0),
-            Err(at) if chunk.index == 0 => {
-                self.arrivals.insert(at, Arrival::new(now, &chunk));
-                at
+            Err(index) if chunk.index == 0 => {
+                self.incoming.insert(index, IncomingCopy::new(now, &chunk));
+                index
             }
             Err(_) => return Taken::More(0),
         };
-        let arrival = &mut self.arrivals[at];
+        let copy_in = &mut self.incoming[index];
         let (last, copy) = (chunk.last, chunk.copy);
-        if chunk.index == arrival.next {
-            arrival.take(now, chunk);
+        if chunk.index == copy_in.next {
+            copy_in.add_chunk(now, chunk);
         }
-        if !last || arrival.next == 0 {
-            return Taken::More(arrival.next);
+        if !last || copy_in.next == 0 {
+            return Taken::More(copy_in.next);
         }
-        let replica = self.arrivals.remove(at).replica;
+        let replica = self.incoming.remove(index).replica;
         let life = self.settings.life;
         let seq = self.settle(replica);
         Taken::Whole(Whole { copy, seq, life })
     }
 
-    /// Puts a whole copy in its place. A backup stays one: the new copy holds
-    /// at least what the old one held.
+    /// Installs a complete copy. A backup stays the backup: the new copy holds at least what the
+    /// old one held.
     fn settle(&mut self, mut replica: Replica) -> Seq {
         let seq = replica.seq;
         match self
             .replicas
             .binary_search_by_key(&replica.slot, |r| r.slot)
         {
-            Ok(at) => {
-                let have = &mut self.replicas[at];
+            Ok(index) => {
+                let have = &mut self.replicas[index];
                 if have.epoch == replica.epoch {
-                    if have.keeps(&replica) {
+                    if have.supersedes(&replica) {
                         return have.seq;
                     }
                     if matches!(have.role, Role::Backup { .. }) {
                         replica.role = have.role.clone();
                     }
                 }
-                self.replicas[at] = replica;
+                self.replicas[index] = replica;
             }
-            Err(at) => self.replicas.insert(at, replica),
+            Err(index) => self.replicas.insert(index, replica),
         }
         seq
     }
 }
 
 impl Replica {
-    /// Whether this copy stays although another of its epoch has come: that one is older,
-    /// or changes have overtaken it. The sender means the new one from then on.
-    fn keeps(&mut self, other: &Self) -> bool {
+    /// Whether this copy stays although another of its epoch has arrived: the other is older, or
+    /// changes have overtaken it. In the latter case the sender refers to the new copy from then
+    /// on, so this one takes its identity.
+    fn supersedes(&mut self, other: &Self) -> bool {
         let (Some(have), Some(new)) = (&self.source, &other.source) else {
             return false;
         };
@@ -250,9 +257,9 @@
         overtaken
     }
 
-    /// What a piece is told if it must not replace this copy. An owner of an
-    /// older epoch waits for the table first, so that it stops its work.
-    fn bars(&self, chunk: &Chunk) -> Option<Taken> {
+    /// Answer to a chunk that must not replace this copy. A primary of an older epoch waits for
+    /// the table first, so that it stops its work.
+    fn rejects(&self, chunk: &Chunk) -> Option<Taken> {
         let sealed = Some(Taken::Sealed(self.epoch));
         match self.role {
             _ if self.epoch > chunk.epoch => sealed,
@@ -264,7 +271,7 @@
     }
 }
 
-impl Arrival {
+impl IncomingCopy {
     fn new(now: Time, chunk: &Chunk) -> Self {
         let source = source(chunk);
         let primary = chunk.from.clone();
@@ -277,7 +284,7 @@
         replica.seq = chunk.seq;
         replica.cold = chunk.cold;
         replica.cold_since = chunk.cold_age.map(|age| now - age.duration());
-        replica.young = replica.cold_since.is_some();
+        replica.recently_claimed = replica.cold_since.is_some();
         Self {
             source,
             next: 0,
@@ -295,15 +302,15 @@
         begun.0 < chunk.epoch || begun.0 == chunk.epoch && !begun.1.follows(&new)
     }
 
-    fn take(&mut self, now: Time, chunk: Chunk) {
+    fn add_chunk(&mut self, now: Time, chunk: Chunk) {
         let replica = &mut self.replica;
         let rows = chunk.rows.into_iter().map(|row| Item {
             record: Box::new(row.record),
             seq: chunk.seq,
             ended: row.age.map(|age| now - age.duration()),
             unsure: row.unsure,
-            word: Word::None,
-            denied: None,
+            confirmation: Confirmation::None,
+            retracted: None,
         });
         let first = replica.items.len();
         replica.items.extend(rows);
@@ -319,7 +326,7 @@
     }
 }
 
-/// Which copy a piece is of.
+/// The copy that a chunk belongs to.
 fn source(chunk: &Chunk) -> Source {
     Source {
         from: chunk.from.clone(),
@@ -329,15 +336,15 @@
 }
 
 impl Source {
-    /// Whether this copy was begun after the other, or is the same. Copies of different
-    /// processes cannot be told apart so; the one that comes later is the newer.
+    /// Whether this copy was started after the other, or is the same. Copies of different
+    /// processes cannot be ordered; the one that arrives later counts as newer.
     fn follows(&self, other: &Self) -> bool {
         let same = (&self.from, self.life) == (&other.from, other.life);
         same && self.copy >= other.copy
     }
 }
 
-fn cut(now: Time, replica: &Replica, source: &Source) -> Vec<Chunk> {
+fn split(now: Time, replica: &Replica, source: &Source) -> Vec<Chunk> {
     let age = |since: Time| Millis::from(now.since(since));
     let empty = |index: usize| Chunk {
         slot: replica.slot,
