--- a/coltsfoothall/src/copy.rs
+++ b/coltsfoothall/src/copy.rs
@@ -186,7 +186,7 @@
         }
         /// The table names this instance primary without a claim or a copy.
         Unclaimed(slot: Slot, epoch: Epoch) {
-            display("the slot table names this instance primary of slot {slot} at epoch {epoch}, but it has no copy")
+            display("slot {slot} at epoch {epoch} was assigned to this instance, which has no copy")
         }
         /// The primary replaced a backup with one whose copy lacked changes that had already
         /// taken effect.
--- a/coltsfoothall/src/denial.rs
+++ b/coltsfoothall/src/denial.rs
@@ -49,7 +49,7 @@
             return;
         };
         let item = &mut replica.items[index];
-        if item.ended_not_run() && item.confirmation.old(now, fresh) {
+        if item.ended_not_run() && item.confirmation.needs_recheck(now, fresh) {
             item.confirmation = Confirmation::Awaited(now);
             self.confirmation_pending = true;
         }
@@ -168,7 +168,7 @@
     }
 
     /// Updates the local state after a change of the record.
-    pub(crate) fn follow(&mut self, now: Time, seq: Seq, denied: bool, owner: bool) {
+    pub(crate) fn record_change(&mut self, now: Time, seq: Seq, denied: bool, owner: bool) {
         if denied {
             self.retracted = Some(self.seq);
         }
@@ -182,7 +182,7 @@
 
 impl Confirmation {
     /// Whether it has to be confirmed again before it may be reported.
-    fn old(self, now: Time, fresh: Duration) -> bool {
+    fn needs_recheck(self, now: Time, fresh: Duration) -> bool {
         match self {
             Self::None => true,
             Self::Awaited(_) => false,
--- a/coltsfoothall/src/ledger.rs
+++ b/coltsfoothall/src/ledger.rs
@@ -234,7 +234,7 @@
         if !self.make_room(now) {
             return Ok(Begin::Full);
         }
-        let step = self.step(now, slot, name.clone(), Change::Accept(Box::new(intake)))?;
+        let step = self.record_change(now, slot, name.clone(), Change::Accept(Box::new(intake)))?;
         if let Some(replica) = self.replica_mut(slot) {
             replica.mark_unsure(&name, unsure);
         }
@@ -258,13 +258,13 @@
         let replica = replica.ok_or(Error::NotOwner(slot))?;
         let index = replica.find(&name);
         let index = index.map_err(|_place| Broken::Absent(name.clone()))?;
-        if !self.safe(now, &replica.items[index], replica, &change) {
+        if !self.is_safe(now, &replica.items[index], replica, &change) {
             return Err(Error::NotSafe(name));
         }
         if backlog(replica) >= self.settings.max_unacked {
             return Err(Error::Full(slot));
         }
-        self.step(now, slot, name, change)
+        self.record_change(now, slot, name, change)
     }
 
     /// Applies a change that `from` sent as the primary to the copy here.
@@ -452,7 +452,7 @@
         Some(&mut self.replicas[index])
     }
 
-    pub(crate) fn step(
+    pub(crate) fn record_change(
         &mut self,
         now: Time,
         slot: Slot,
--- a/coltsfoothall/src/replica.rs
+++ b/coltsfoothall/src/replica.rs
@@ -302,7 +302,7 @@
                 let before = item.record.size();
                 let denied = item.ended_not_run();
                 item.record.apply(change)?;
-                item.follow(now, seq, denied, owner);
+                item.record_change(now, seq, denied, owner);
                 item.ended = item.record.end.map(|_| now);
                 if item.ended.is_some() {
                     item.record.trim();
@@ -458,14 +458,23 @@
             .is_ok()
     }
 
-    /// Drops records that ended at least `keep` ago, and tombstones at least `names` old.
-    pub(crate) fn retire(&mut self, now: Time, keep: Duration, names: Duration, max: usize) {
-        let old = |item: &Item| item.ended.is_some_and(|ended| now.since(ended) >= keep);
+    /// Drops records that ended at least `retention` ago, and tombstones at least `tombstone_retention` old.
+    pub(crate) fn retire(
+        &mut self,
+        now: Time,
+        retention: Duration,
+        tombstone_retention: Duration,
+        max_tombstones: usize,
+    ) {
+        let old = |item: &Item| {
+            item.ended
+                .is_some_and(|ended| now.since(ended) >= retention)
+        };
         let dropped: Vec<_> = self.items.extract_if(.., |item| old(item)).collect();
         self.drop_records(now, dropped);
         self.tombstones
-            .retain(|tombstone| now.since(tombstone.since) < names);
-        self.cap_tombstones(max);
+            .retain(|tombstone| now.since(tombstone.since) < tombstone_retention);
+        self.cap_tombstones(max_tombstones);
     }
 
     /// End times and sizes of the records that may be evicted: those that ended and whose end the
@@ -480,12 +489,12 @@
     }
 
     /// Evicts records that ended by `until`, to free memory.
-    pub(crate) fn evict(&mut self, now: Time, until: Time, max: usize) {
+    pub(crate) fn evict(&mut self, now: Time, until: Time, max_tombstones: usize) {
         let held = self.held();
         let old = |item: &Item| item.is_evictable(held) && item.ended.is_some_and(|at| at <= until);
         let dropped: Vec<_> = self.items.extract_if(.., |item| old(item)).collect();
         self.drop_records(now, dropped);
-        self.cap_tombstones(max);
+        self.cap_tombstones(max_tombstones);
     }
 
     /// The last change that the other copies hold, as far as eviction is concerned.
--- a/coltsfoothall/src/safety.rs
+++ b/coltsfoothall/src/safety.rs
@@ -22,7 +22,7 @@
             }
             Role::Backup { .. } | Role::Learner { .. } => false,
         };
-        let known = self.known(now, intake, self.settings.retention / 2);
+        let known = self.is_key_known(now, intake, self.settings.retention / 2);
         (!backed || !known).then_some(Begin::NotSafe)
     }
 
@@ -54,7 +54,7 @@
 
     /// Whether no other instance can treat the key as new: minted keys carry their epoch, others
     /// rely on a table that is recent enough.
-    fn known(&self, now: Time, intake: &Intake, age: Duration) -> bool {
+    fn is_key_known(&self, now: Time, intake: &Intake, age: Duration) -> bool {
         intake.name.key.minted().is_some() || now.since(self.confirmed) < age
     }
 
@@ -62,7 +62,13 @@
     /// attempts. A sealed copy may not change non-idempotent requests. A primary without a backup
     /// may send what it has accepted: an instance that claims its slot answers "unknown" for the
     /// key.
-    pub(crate) fn safe(&self, now: Time, item: &Item, replica: &Replica, change: &Change) -> bool {
+    pub(crate) fn is_safe(
+        &self,
+        now: Time,
+        item: &Item,
+        replica: &Replica,
+        change: &Change,
+    ) -> bool {
         let intake = &item.record.intake;
         let owner = match &replica.role {
             Role::Primary(owner) => Some(owner).filter(|owner| !owner.unreplicated),
@@ -71,7 +77,7 @@
         match change {
             Change::End(End::NotRun(_)) => owner.is_some() && !item.unsure,
             Change::Sent { .. } if !intake.idempotent => {
-                owner.is_some() && self.known(now, intake, self.settings.retention)
+                owner.is_some() && self.is_key_known(now, intake, self.settings.retention)
             }
             _ => intake.idempotent || matches!(replica.role, Role::Primary(_)),
         }
--- a/coltsfoothall/src/takeover.rs
+++ b/coltsfoothall/src/takeover.rs
@@ -176,17 +176,17 @@
             return;
         }
         let fresh = entry.cold == entry.epoch;
-        let follow = replica.follow(entry, &me, life, proposed);
+        let transition = replica.transition(entry, &me, life, proposed);
         replica.learn(now, entry);
-        match follow {
-            Follow::Kept => {}
-            Follow::Owns => events.push(Event::Owns(slot)),
-            Follow::Backs => events.push(Event::Backs(slot)),
-            Follow::TookOver => {
+        match transition {
+            Transition::Kept => {}
+            Transition::Owns => events.push(Event::Owns(slot)),
+            Transition::Backs => events.push(Event::Backs(slot)),
+            Transition::TookOver => {
                 events.push(Event::Owns(slot));
                 self.end_orphans(now, slot, events);
             }
-            Follow::Dropped => {
+            Transition::Dropped => {
                 self.replicas.remove(index);
                 events.push(Event::Dropped(slot));
                 if proposed && fresh && entry.primary == me {
@@ -225,7 +225,7 @@
         events: &mut Vec<Event>,
     ) {
         for (name, end) in ends {
-            match self.step(now, slot, name.clone(), Change::End(end)) {
+            match self.record_change(now, slot, name.clone(), Change::End(end)) {
                 Ok(_step) => events.push(Event::Ended(name, end)),
                 Err(Error::Broken(err)) => events.push(Event::Broken(err)),
                 Err(_) => {}
@@ -235,7 +235,7 @@
 }
 
 /// What became of a copy under a newer entry.
-enum Follow {
+enum Transition {
     Kept,
     Owns,
     TookOver,
@@ -280,11 +280,17 @@
     }
 
     /// Applies a newer entry of the table.
-    fn follow(&mut self, entry: &Entry, me: &id::Instance, life: Life, proposed: bool) -> Follow {
+    fn transition(
+        &mut self,
+        entry: &Entry,
+        me: &id::Instance,
+        life: Life,
+        proposed: bool,
+    ) -> Transition {
         if entry.epoch != self.epoch.next() || entry.cold == entry.epoch {
             // The slot was claimed without records, or advanced by more than one epoch without
             // this copy.
-            return Follow::Dropped;
+            return Transition::Dropped;
         }
         let mine = entry.primary == *me;
         let backing = entry.backup.as_ref() == Some(me);
@@ -299,7 +305,7 @@
                 self.epoch = entry.epoch;
                 owner.release(self.seq);
                 self.backup_sealed = false;
-                Follow::Kept
+                Transition::Kept
             }
             Role::Primary(owner) if backing && proposed => {
                 let successor = owner.links().find(|link| link.peer == entry.primary);
@@ -309,19 +315,19 @@
                     copy: None,
                 });
                 self.become_backup(entry);
-                Follow::Backs
+                Transition::Backs
             }
             Role::Backup { .. } if mine && proposed => {
                 self.epoch = entry.epoch;
                 self.become_primary(life, None);
-                Follow::TookOver
+                Transition::TookOver
             }
             Role::Backup { primary } | Role::Learner { primary }
                 if mine && entry.backup.as_ref() == Some(primary) && entry.holder == Some(life) =>
             {
                 self.epoch = entry.epoch;
                 self.become_primary(life, entry.backup.clone());
-                Follow::Owns
+                Transition::Owns
             }
             Role::Backup { primary } | Role::Learner { primary }
                 if backing
@@ -330,9 +336,9 @@
                     && self.divergence.is_none() =>
             {
                 self.become_backup(entry);
-                Follow::Backs
+                Transition::Backs
             }
-            Role::Primary(_) | Role::Backup { .. } | Role::Learner { .. } => Follow::Dropped,
+            Role::Primary(_) | Role::Backup { .. } | Role::Learner { .. } => Transition::Dropped,
         }
     }
 
--- a/coltsfoothall/src/transfer.rs
+++ b/coltsfoothall/src/transfer.rs
@@ -182,10 +182,10 @@
         }
         let index = self
             .incoming
-            .binary_search_by_key(&slot, |copy_in| copy_in.replica.slot);
+            .binary_search_by_key(&slot, |incoming| incoming.replica.slot);
         let index = match index {
-            Ok(index) if self.incoming[index].serves(&chunk) => index,
-            Ok(index) if chunk.index == 0 && self.incoming[index].older(&chunk) => {
+            Ok(index) if self.incoming[index].accepts(&chunk) => index,
+            Ok(index) if chunk.index == 0 && self.incoming[index].is_older_than(&chunk) => {
                 self.incoming[index] = IncomingCopy::new(now, &chunk);
                 index
             }
@@ -196,13 +196,13 @@
             }
             Err(_) => return Taken::More(0),
         };
-        let copy_in = &mut self.incoming[index];
+        let incoming = &mut self.incoming[index];
         let (last, copy) = (chunk.last, chunk.copy);
-        if chunk.index == copy_in.next {
-            copy_in.add_chunk(now, chunk);
+        if chunk.index == incoming.next {
+            incoming.add_chunk(now, chunk);
         }
-        if !last || copy_in.next == 0 {
-            return Taken::More(copy_in.next);
+        if !last || incoming.next == 0 {
+            return Taken::More(incoming.next);
         }
         let replica = self.incoming.remove(index).replica;
         let life = self.settings.life;
@@ -292,11 +292,11 @@
         }
     }
 
-    fn serves(&self, chunk: &Chunk) -> bool {
+    fn accepts(&self, chunk: &Chunk) -> bool {
         self.replica.epoch == chunk.epoch && self.source == source(chunk)
     }
 
-    fn older(&self, chunk: &Chunk) -> bool {
+    fn is_older_than(&self, chunk: &Chunk) -> bool {
         let begun = (self.replica.epoch, &self.source);
         let new = source(chunk);
         begun.0 < chunk.epoch || begun.0 == chunk.epoch && !begun.1.follows(&new)
--- a/coltsfoothall/tests/copies.rs
+++ b/coltsfoothall/tests/copies.rs
@@ -1,4 +1,4 @@
-//! Which copy a word is about, and what may leave on it.
+//! Acknowledgements and handoffs count only for the copy and the process that they are about.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -10,8 +10,8 @@
 use coltsfoothall::replica::{Seq, Taken};
 use pair::{SLOT, World, intake};
 
-/// A world whose backup was named, and whose process is then gone.
-fn successor() -> World {
+/// A world in which the named backup has restarted and lost its copy.
+fn restarted_backup() -> World {
     let mut world = World::new();
     world.back_up();
     let settings = Settings {
@@ -22,7 +22,7 @@
     world
 }
 
-/// `a` takes a request in and records an attempt.
+/// `a` accepts a request and records an attempt.
 fn send(world: &mut World, intake: &Intake) -> Seq {
     assert!(matches!(world.begin(intake), Begin::New(_)));
     let endpoint = "e".parse().unwrap();
@@ -34,56 +34,57 @@
     world.a.change(world.now, SLOT, name, sent).unwrap().seq
 }
 
-/// The process that held the backup may have taken the slot over before it went. What its
-/// successor acknowledges lets idempotent work go on; a call that may run once waits for the table.
+/// The process that held the backup may have taken the slot over before it ended.
+/// Acknowledgements of the restarted process let idempotent requests continue; a non-idempotent
+/// one waits for the table.
 #[test]
-fn successor_heard() {
-    let mut world = successor();
+fn restarted_backup_acknowledges() {
+    let mut world = restarted_backup();
     let once = intake("once", false);
-    let often = intake("often", true);
-    let (sent, repeated) = (send(&mut world, &once), send(&mut world, &often));
+    let idempotent = intake("often", true);
+    let (sent, repeated) = (send(&mut world, &once), send(&mut world, &idempotent));
     world.copy();
-    assert!(!world.leaves(&once, sent));
-    assert!(world.leaves(&often, repeated));
+    assert!(!world.may_leave(&once, sent));
+    assert!(world.may_leave(&idempotent, repeated));
     assert_eq!(world.begin(&intake("late", false)), Begin::NotSafe);
-    world.name(Some(1));
-    assert!(world.leaves(&once, sent));
+    world.name_backup(Some(1));
+    assert!(world.may_leave(&once, sent));
 }
 
-/// The copy that a slot is handed to by word knows no more than its owner did.
+/// After a direct handoff, the new primary is under the same restrictions as the previous one.
 #[test]
-fn successor_owns() {
-    let mut world = successor();
+fn restarted_backup_takes_handoff() {
+    let mut world = restarted_backup();
     let once = intake("once", false);
     let sent = send(&mut world, &once);
     world.copy();
     world.a.drain(SLOT);
-    let (heir, word) = world.a.hand_over(SLOT).unwrap();
-    assert_eq!(heir, world.names[1]);
-    assert!(world.b.accept(world.now, word));
+    let (successor_name, handoff) = world.a.hand_over(SLOT).unwrap();
+    assert_eq!(successor_name, world.names[1]);
+    assert!(world.b.accept(world.now, handoff));
     assert!(!world.b.may_leave(SLOT, &once.name, sent));
 }
 
-/// Only the process that held the backup can say that it has not taken the slot over.
+/// Only the process that held the backup can vouch that it has not taken the slot over.
 #[test]
-fn successor_resigns() {
-    let mut world = successor();
+fn restarted_backup_resigns() {
+    let mut world = restarted_backup();
     let once = intake("once", false);
     let sent = send(&mut world, &once);
     let epoch = world.table.entry(SLOT).unwrap().epoch;
     let life = world.b.resign(SLOT, epoch).unwrap();
     let backup = world.names[1].clone();
     world.a.resigned(world.now, SLOT, epoch, &backup, life);
-    assert!(!world.leaves(&once, sent));
+    assert!(!world.may_leave(&once, sent));
     world
         .a
         .resigned(world.now, SLOT, epoch, &backup, Life::default());
-    assert!(!world.leaves(&once, sent));
+    assert!(!world.may_leave(&once, sent));
 }
 
-/// A backup that took the slot over, and gave it on since, is no longer there to resign.
+/// A backup that took the slot over, and lost it since, can no longer resign as backup.
 #[test]
-fn resigns_late() {
+fn resigns_after_takeover() {
     let mut world = World::new();
     world.back_up();
     let epoch = world.table.entry(SLOT).unwrap().epoch;
@@ -94,16 +95,17 @@
     assert_eq!(world.b.resign(SLOT, epoch), None);
 }
 
-/// A backup that sealed its copy and worked on alone becomes the owner by the table, with the
-/// owner before as its backup. What it did alone is held by no other copy.
+/// A backup that sealed its copy and continued unreplicated becomes primary by the table, with
+/// the previous primary as its backup. No other copy holds the changes it made meanwhile, so they
+/// are resent before they count as released.
 #[test]
 fn own_changes_kept() {
     let mut world = World::new();
     world.back_up();
-    world.give_away();
+    world.write_handover();
     world.b.seal(SLOT);
-    let often = intake("often", true);
-    let Ok(Begin::New(accepted)) = world.b.begin(world.now, often.clone(), SLOT) else {
+    let idempotent = intake("often", true);
+    let Ok(Begin::New(accepted)) = world.b.begin(world.now, idempotent.clone(), SLOT) else {
         panic!("it is not new");
     };
     world.b.observe(world.now, &world.table);
@@ -115,21 +117,21 @@
         world.b.acked(SLOT, epoch, &a, ack).unwrap();
     }
     assert_eq!(world.b.released(SLOT), Some(accepted.seq));
-    assert!(world.a.record(SLOT, &often.name).is_some());
+    assert!(world.a.record(SLOT, &idempotent.name).is_some());
 }
 
-/// A sealed backup works alone for as long as it has to. What it did is too much to be sent as
-/// changes then: the backup that the table gives it has to get a whole copy.
+/// A sealed backup may continue unreplicated for long. If it made too many changes to resend, the
+/// backup that the table gives it has to receive a complete copy.
 #[test]
 fn own_changes_many() {
     let mut world = World::new();
     world.back_up();
-    world.give_away();
+    world.write_handover();
     world.b.seal(SLOT);
     let mut last = Seq(0);
     for number in 0..5000 {
-        let often = intake(&format!("often-{number}"), true);
-        let Ok(Begin::New(accepted)) = world.b.begin(world.now, often, SLOT) else {
+        let idempotent = intake(&format!("often-{number}"), true);
+        let Ok(Begin::New(accepted)) = world.b.begin(world.now, idempotent, SLOT) else {
             panic!("{number} is not taken in");
         };
         last = accepted.seq;
@@ -147,14 +149,14 @@
     assert_eq!(copy, Next::Copy);
 }
 
-/// The table names the process that held a copy when it was written. Its successor has an
-/// older copy, of which its owner never heard that it came: it may not take the slot over.
+/// The table names the process that held a copy when it was written. The restarted process has an
+/// older copy, whose arrival the primary never learned of: it may not take the slot over.
 #[test]
 fn other_process_named() {
-    let mut world = successor();
+    let mut world = restarted_backup();
     let [_a, b] = world.names.clone();
     let mut old = world.a.export(world.now, SLOT, &b).unwrap();
-    // The owner begins another copy, which the former process takes.
+    // The primary starts another copy, which the earlier process receives.
     let mut former = Ledger::new(b.clone(), Settings::default());
     for chunk in world.a.export(world.now, SLOT, &b).unwrap() {
         if let Taken::Whole(whole) = former.import(world.now, chunk) {
@@ -164,7 +166,7 @@
     for chunk in old.drain(..) {
         world.b.import(world.now, chunk);
     }
-    world.name(Some(1));
+    world.name_backup(Some(1));
     world.b.observe(world.now, &world.table);
     assert_eq!(world.b.seal(SLOT), None);
 }
--- a/coltsfoothall/tests/denial.rs
+++ b/coltsfoothall/tests/denial.rs
@@ -1,4 +1,4 @@
-//! When an idempotent request is told "not run".
+//! When an idempotent request may be reported as "not run".
 
 mod pair;
 
@@ -12,19 +12,19 @@
 const UNKNOWN: End = End::Unknown(Cause::Deadline);
 
 #[test]
-fn read_later() {
+fn confirmed_by_later_read() {
     let mut world = World::new();
     let request = intake("mine", true);
     let step = world.give_up(&request);
     assert!(!step.released && world.a.unconfirmed());
     world.wait(10);
     world.read();
-    assert!(world.leaves(&request, step.seq));
+    assert!(world.may_leave(&request, step.seq));
     assert!(!world.a.unconfirmed());
 }
 
 #[test]
-fn read_before() {
+fn not_confirmed_by_earlier_read() {
     let mut world = World::new();
     let asked = world.now;
     world.wait(10);
@@ -32,11 +32,11 @@
     let step = world.give_up(&request);
     world.wait(10);
     world.answered(asked);
-    assert!(!world.leaves(&request, step.seq));
+    assert!(!world.may_leave(&request, step.seq));
 }
 
 #[test]
-fn read_slow() {
+fn not_confirmed_by_slow_read() {
     let mut world = World::new();
     let request = intake("mine", true);
     let step = world.give_up(&request);
@@ -44,11 +44,11 @@
     let asked = world.now;
     world.wait(800);
     world.answered(asked);
-    assert!(!world.leaves(&request, step.seq));
+    assert!(!world.may_leave(&request, step.seq));
 }
 
 #[test]
-fn once_only() {
+fn non_idempotent_needs_no_read() {
     let mut world = World::new();
     world.back_up();
     let request = intake("mine", false);
@@ -61,19 +61,19 @@
         let ack = world.b.receive(world.now, &world.names[0], update).unwrap();
         world.a.acked(SLOT, epoch, &world.names[1], ack).unwrap();
     }
-    assert!(world.leaves(&request, step.seq));
+    assert!(world.may_leave(&request, step.seq));
 }
 
 #[test]
-fn claimed_meanwhile() {
+fn claimed_before_confirmation() {
     let mut world = World::new();
     let request = intake("mine", true);
     let step = world.give_up(&request);
     world.wait(10);
     world.claim();
     world.read();
-    assert!(!world.leaves(&request, step.seq));
-    // The claimant takes the key in at once, and runs it once `a` can no longer tell.
+    assert!(!world.may_leave(&request, step.seq));
+    // The claimant accepts the key at once, and runs it once `a` can no longer report "not run".
     let begun = world.b.begin(world.now, request.clone(), SLOT);
     assert!(matches!(begun, Ok(Begin::New(_))));
     let sent = Change::Sent {
@@ -90,9 +90,9 @@
     assert!(runs(&world));
 }
 
-/// A key that was minted since the claim was used nowhere before.
+/// A key minted after the claim was not used before.
 #[test]
-fn claimed_anew() {
+fn key_minted_after_claim() {
     let mut world = World::new();
     world.claim();
     let epoch = world.table.entry(SLOT).expect("one slot").epoch;
@@ -109,23 +109,23 @@
 }
 
 #[test]
-fn asked_again() {
+fn confirmation_expires() {
     let mut world = World::new();
     let request = intake("mine", true);
     let step = world.give_up(&request);
     world.wait(10);
     world.read();
-    assert!(world.leaves(&request, step.seq));
+    assert!(world.may_leave(&request, step.seq));
     world.wait(1000);
     assert_eq!(world.begin(&request), Begin::Join(step.seq));
-    assert!(!world.leaves(&request, step.seq) && world.a.unconfirmed());
+    assert!(!world.may_leave(&request, step.seq) && world.a.unconfirmed());
     world.wait(10);
     world.read();
-    assert!(world.leaves(&request, step.seq));
+    assert!(world.may_leave(&request, step.seq));
 }
 
 #[test]
-fn taken_back() {
+fn unconfirmed_retracted() {
     let mut world = World::new();
     let request = intake("mine", true);
     let step = world.give_up(&request);
@@ -138,31 +138,31 @@
     world.wait(10);
     world.read();
     assert_eq!(world.end(&request), Some(UNKNOWN));
-    assert!(!world.leaves(&request, step.seq));
-    assert!(world.leaves(&request, step.seq.next()));
+    assert!(!world.may_leave(&request, step.seq));
+    assert!(world.may_leave(&request, step.seq.next()));
 }
 
 #[test]
-fn backup_replaced() {
+fn replaced_backup_lacks_request() {
     let mut world = World::new();
     world.back_up();
     let request = intake("mine", true);
-    // The backup has sealed its copy, so it never holds this.
+    // The backup has sealed its copy, so it never holds this change.
     let step = world.give_up(&request);
     world.wait(10);
     let epoch = world.table.entry(SLOT).unwrap().epoch;
-    let alone = (world.table).replace_backup(SLOT, epoch, &world.names[0], None);
-    let alone = alone.unwrap();
-    let entry = alone.entry(SLOT).unwrap().clone();
+    let next = (world.table).replace_backup(SLOT, epoch, &world.names[0], None);
+    let next = next.unwrap();
+    let entry = next.entry(SLOT).unwrap().clone();
     world.a.propose(SLOT, world.table.version, entry).unwrap();
-    world.table = alone;
+    world.table = next;
     let ended = Event::Ended(request.name.clone(), UNKNOWN);
     assert_eq!(world.read(), [ended]);
-    assert!(!world.leaves(&request, step.seq));
+    assert!(!world.may_leave(&request, step.seq));
 }
 
 #[test]
-fn backup_held() {
+fn replaced_backup_held_request() {
     let mut world = World::new();
     world.back_up();
     let request = intake("mine", true);
@@ -173,13 +173,14 @@
     let ack = world.b.receive(world.now, &from, step.update).unwrap();
     let epoch = world.table.entry(SLOT).unwrap().epoch;
     world.a.acked(SLOT, epoch, &world.names[1], ack).unwrap();
-    // The backup holds all, seals its copy unnoticed, and may run the request alone.
+    // The backup holds everything, seals its copy unnoticed, and may run the request
+    // unreplicated.
     world.b.seal(SLOT);
-    let alone = (world.table).replace_backup(SLOT, epoch, &from, None);
-    let alone = alone.unwrap();
-    let entry = alone.entry(SLOT).unwrap().clone();
+    let next = (world.table).replace_backup(SLOT, epoch, &from, None);
+    let next = next.unwrap();
+    let entry = next.entry(SLOT).unwrap().clone();
     world.a.propose(SLOT, world.table.version, entry).unwrap();
-    world.table = alone;
+    world.table = next;
     assert_eq!(world.read(), []);
     let (name, end) = (request.name.clone(), Change::End(NOT_RUN));
     let refused = world.a.change(world.now, SLOT, name.clone(), end);
@@ -198,17 +199,18 @@
     let request = intake("mine", true);
     let step = world.give_up(&request);
     let epoch = world.table.entry(SLOT).unwrap().epoch;
-    // A process that began anew says that it has no copy; the one before it may have run it.
+    // A restarted process reports that it has no copy; the process before it may have run the
+    // request.
     let backup = world.names[1].clone();
     world.a.resigned(world.now, SLOT, epoch, &backup, Life(1));
     world.wait(10);
     world.read();
     assert_eq!(world.end(&request), Some(UNKNOWN));
-    assert!(!world.leaves(&request, step.seq));
+    assert!(!world.may_leave(&request, step.seq));
 }
 
 #[test]
-fn gone_alone() {
+fn unreplicated_not_reported() {
     let mut world = World::new();
     world.back_up();
     let request = intake("mine", true);
@@ -216,16 +218,16 @@
     world.a.run_unreplicated(SLOT);
     world.wait(10);
     world.read();
-    assert!(!world.leaves(&request, step.seq));
+    assert!(!world.may_leave(&request, step.seq));
 }
 
-/// A request that its owner took in without knowing all of its key's past, and that reached
-/// the next owner as a change, is no better known there.
+/// A primary accepts a request under a key whose history it may not know. The next primary, which
+/// received the request as a change, may not report "not run" either.
 #[test]
 fn unsure_handed_over() {
     let mut world = World::new();
     world.back_up();
-    world.name(None);
+    world.name_backup(None);
     world.copy();
     let late = intake("late", true);
     let Begin::New(step) = world.begin(&late) else {
@@ -244,14 +246,14 @@
     assert_eq!(refused, Err(Error::NotSafe(late.name)));
 }
 
-/// An owner that is in doubt of a key's idempotent work hands its slot over in the table:
-/// the new owner, which knows less, may not tell "not run" for the key either.
+/// A primary that may not know all idempotent attempts hands its slot over in the table: the new
+/// primary, which knows less, may not report "not run" either.
 #[test]
 fn doubt_handed_over() {
     let mut world = World::new();
     world.back_up();
-    // The backup may have sealed its copy and worked on alone.
-    world.name(None);
+    // The backup may have sealed its copy and continued unreplicated.
+    world.name_backup(None);
     world.copy();
     world.hand_over();
     let late = intake("late", true);
@@ -262,13 +264,13 @@
     assert_eq!(refused, Err(Error::NotSafe(late.name)));
 }
 
-/// The same, if the owner comes into doubt after the copy was made.
+/// The same, if the doubt arises after the copy was sent.
 #[test]
 fn doubt_after_copy() {
     let mut world = World::new();
     world.back_up();
     world.copy();
-    world.name(Some(1));
+    world.name_backup(Some(1));
     world.b.observe(world.now, &world.table);
     world.hand_over();
     let late = intake("late", true);
--- a/coltsfoothall/tests/duty.rs
+++ b/coltsfoothall/tests/duty.rs
@@ -1,4 +1,4 @@
-//! What an instance does for the slots, step by step.
+//! Duties of an instance for the slots, step by step.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -28,12 +28,12 @@
     names.iter().map(candidate).collect()
 }
 
-/// One slot of `a` with its copy at `b`.
+/// One slot with primary `a` and backup `b`.
 struct World {
     table: Table,
     a: Ledger,
     b: Ledger,
-    /// The only piece of the last copy to `b`.
+    /// The only chunk of the last copy to `b`.
     chunk: Option<Chunk>,
 }
 
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Duties of an instance that leaves while the key-value service is down.
+    /// Duties of an instance that leaves while the key-value store is down.
     fn leaving(&self, me: &str, missing: &[Missing]) -> Vec<Duty> {
         duties(&Context {
             me: &name(me),
@@ -112,12 +112,12 @@
         })
     }
 
-    /// The process of `a` begins anew, without its records.
+    /// Restarts the process of `a` without its records.
     fn restart(&mut self, life: u64) {
         self.a = ledger("a", life);
     }
 
-    /// A copy from `b`, which acts as owner, to `a`.
+    /// Sends a copy from `b`, which acts as primary, to `a`.
     fn copy_back(&mut self) {
         for chunk in self.b.export(NOW, SLOT, &name("a")).unwrap() {
             if let Taken::Whole(whole) = self.a.import(NOW, chunk) {
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn nothing_to_do() {
+fn no_duties() {
     let world = World::new();
     let all = live(&["a", "b"]);
     assert_eq!(world.duties("a", &all, &[]), []);
@@ -152,10 +152,10 @@
     );
 }
 
-/// A sealed copy acknowledges nothing, so the takeover has to go on even if
-/// the primary is heard again.
+/// A sealed copy acknowledges nothing, so the takeover has to continue even if the primary is
+/// heard again.
 #[test]
-fn seal_goes_on() {
+fn sealed_backup_takes_over() {
     let mut world = World::new();
     world.b.seal(SLOT);
     assert_eq!(
@@ -164,7 +164,7 @@
     );
 }
 
-/// The backup has the records, so the primary that lost its own claims nothing.
+/// The backup has the records, so a primary that lost its own does not claim the slot.
 #[test]
 fn primary_restarted() {
     let mut world = World::new();
@@ -194,16 +194,16 @@
     assert_eq!(world.duties("a", &all, &[missing]), [copy]);
 }
 
-/// A handover's write that lost against another one leaves the owner in charge.
+/// A handover whose write lost the compare-and-swap leaves the primary in charge.
 #[test]
 fn handover_lost() {
     let mut world = World::new();
     world.a.drain(SLOT);
     assert!(world.a.drained(SLOT));
-    let heir = world.a.process(SLOT, &name("b")).unwrap();
+    let successor = world.a.process(SLOT, &name("b")).unwrap();
     let given = world
         .table
-        .hand_over(SLOT, world.entry_epoch(), &name("a"), &heir);
+        .hand_over(SLOT, world.entry_epoch(), &name("a"), &successor);
     assert!(world.propose(&given));
     assert_eq!(
         world.a.released(SLOT),
@@ -219,9 +219,9 @@
     );
 }
 
-/// The owner's word to its backup holds, whatever becomes of the table.
+/// A direct handoff to the backup is final, whatever happens to the table.
 #[test]
-fn yield_holds() {
+fn direct_handoff_is_final() {
     let mut world = World::new();
     world.a.drain(SLOT);
     let (backup, handoff) = world.a.hand_over(SLOT).unwrap();
@@ -240,14 +240,14 @@
     );
 }
 
-/// A proposal whose outcome is not known blocks others until the version rises.
+/// A proposal whose outcome is unknown blocks others until the table's version increases.
 #[test]
-fn proposal_settled() {
+fn unsettled_proposal_blocks_others() {
     let mut world = World::new();
-    let alone = world
+    let unreplicated = world
         .table
         .replace_backup(SLOT, world.entry_epoch(), &name("a"), None);
-    assert!(world.propose(&alone));
+    assert!(world.propose(&unreplicated));
     assert!(world.a.has_proposals());
     assert!(world.a.export(NOW, SLOT, &name("c")).is_none());
     let bumped = world.table.merge(&[]);
@@ -256,9 +256,10 @@
     assert!(world.a.export(NOW, SLOT, &name("c")).is_some());
 }
 
-/// A move may leave the former owner as backup in the same failure domain.
+/// A move may leave the previous primary as backup in the same failure domain; another backup is
+/// chosen then.
 #[test]
-fn backup_near() {
+fn backup_in_same_domain_replaced() {
     let world = World::new();
     let mut all = live(&["a", "b", "c"]);
     all[1].domain = all[0].domain.clone();
@@ -271,17 +272,17 @@
     assert_eq!(world.duties("a", &all, &[]), []);
 }
 
-/// The owner died before it made another copy for a backup that began anew.
+/// The backup restarted, and the primary died before it sent another copy.
 #[test]
-fn both_lost() {
+fn both_copies_lost() {
     let mut world = World::new();
     world.b = Ledger::new(name("b"), Settings::default());
     assert_eq!(world.duties("b", &live(&["a", "b"]), &[]), []);
     assert_eq!(world.duties("b", &live(&["b"]), &[]), [Duty::Claim(SLOT)]);
 }
 
-/// In an outage a slot goes on by word of its owners, also to an instance that
-/// began anew, as long as the table names it.
+/// While the store is down, a slot can be handed over directly, even to a restarted instance as
+/// long as the table names it.
 #[test]
 fn passed_on() {
     let mut world = World::new();
@@ -298,8 +299,8 @@
     assert_eq!(world.leaving("b", &[]), [Duty::Drain(SLOT)]);
     world.b.drain(SLOT);
     assert_eq!(world.leaving("b", &[]), [Duty::Yield(SLOT)]);
-    let (heir, second) = world.b.hand_over(SLOT).unwrap();
-    assert_eq!(heir, name("a"));
+    let (successor, second) = world.b.hand_over(SLOT).unwrap();
+    assert_eq!(successor, name("a"));
     assert_eq!(world.b.released(SLOT), None);
     assert_eq!(world.leaving("b", &[]), [Duty::Yield(SLOT)]);
     assert!(world.a.accept(NOW, second));
@@ -308,7 +309,7 @@
     assert_eq!(world.b.released(SLOT), None, "a word that comes again");
 }
 
-/// An owner whose backup began anew gives it a copy before it leaves.
+/// A primary whose backup restarted sends it a copy before it leaves.
 #[test]
 fn backup_renewed() {
     let mut world = World::new();
@@ -332,7 +333,7 @@
     assert!(world.b.released(SLOT).is_some());
 }
 
-/// A word to a process that ended does not count with the next of its name.
+/// A handoff to a process that ended has no effect on its successor of the same name.
 #[test]
 fn word_of_old() {
     let mut world = World::new();
@@ -346,13 +347,13 @@
     assert!(!world.b.accept(NOW, handoff));
 }
 
-/// The heir died while its slot was drained, with the service down: nobody would
-/// serve the slot if its owner went on waiting.
+/// The successor died while the slot was drained, with the store down: no instance would serve
+/// the slot if the primary kept waiting.
 #[test]
 fn heir_dead() {
     let mut world = World::new();
     world.a.drain(SLOT);
-    let alone = duties(&Context {
+    let found = duties(&Context {
         me: &name("a"),
         table: &world.table,
         ledger: &world.a,
@@ -362,12 +363,12 @@
         service: false,
         settled: true,
     });
-    assert_eq!(alone, [Duty::RunUnreplicated(SLOT)]);
+    assert_eq!(found, [Duty::RunUnreplicated(SLOT)]);
     world.a.run_unreplicated(SLOT);
     assert!(world.a.serving(SLOT));
 }
 
-/// A copy that is whole is named, also when another instance has fewer by now.
+/// The holder of a complete copy is named, even if another instance has fewer copies by now.
 #[test]
 fn copy_kept() {
     let mut world = World::new();
@@ -389,8 +390,8 @@
     assert_eq!(world.duties("a", &all, &[]), [named]);
 }
 
-/// Slots that `a` moves at once to `b`, which backs all 64 of them up.
-fn moved(body: usize) -> usize {
+/// Number of slots that `a` moves at once to `b`, which backs up all 64 of them.
+fn moved_slots(body: usize) -> usize {
     let me = name("a");
     let all = live(&["a", "b"]);
     let mut table = Table::first(64, &all[..1]).unwrap();
@@ -453,11 +454,11 @@
     }
 }
 
-/// A member that has too many slots gives many small ones away at once, and few large ones.
+/// A member with too many slots gives away many small ones at once, or a few large ones.
 #[test]
 fn moved_by_size() {
-    assert_eq!(moved(100), 32);
-    let some = moved(MAX_MOVED_BYTES / 10);
+    assert_eq!(moved_slots(100), 32);
+    let some = moved_slots(MAX_MOVED_BYTES / 10);
     assert!((5..=10).contains(&some), "{some}");
-    assert_eq!(moved(MAX_MOVED_BYTES / 4), 4);
+    assert_eq!(moved_slots(MAX_MOVED_BYTES / 4), 4);
 }
--- a/coltsfoothall/tests/ledger_range.rs
+++ b/coltsfoothall/tests/ledger_range.rs
@@ -1,10 +1,8 @@
-//! Any range of seeds of the ledger's world, by hand.
+//! Runs the simulated world of the ledger over any range of seeds, by hand.
 //!
 //! `LEDGER_SEEDS=200000..290000 cargo test --release -p coltsfoothall --test ledger_range -- --ignored --nocapture`
 //!
-//! `LEDGER_STEPS` sets the steps of each world, 1,500 if it is missing. The play uses all
-//! processors and ends with a table: what was told, how slots changed hands, and each
-//! broken seed with its promise.
+//! `LEDGER_STEPS` sets the steps of each world; the default is 1,500. The run uses all processors and ends with a summary: the reported outcomes, how slots changed hands, and each failed seed with the guarantee that it violated.
 
 mod world;
 
@@ -17,68 +15,70 @@
 
 use world::World;
 
-/// Steps of a world, as the tests with fixed seeds play them.
+/// Steps of a world, as in the tests with fixed seeds.
 const STEPS: u64 = 1500;
 
-/// Seeds between two lines of progress.
+/// Seeds between two progress lines.
 const PROGRESS: u64 = 10_000;
 
-/// What the worlds of a range came to.
+/// Totals over the worlds of a range.
 #[derive(Debug, Default)]
-struct Sum {
-    told: [u64; 3],
+struct Summary {
+    reported: [u64; 3],
     takeovers: u64,
     claims: u64,
-    handovers: u64,
-    swaps: u64,
-    renewals: u64,
-    /// Seeds that broke a promise, with the promise.
-    broken: Vec<(u64, String)>,
+    direct_handoffs: u64,
+    table_handovers: u64,
+    handbacks: u64,
+    /// Seeds that violated a guarantee, with the message.
+    violations: Vec<(u64, String)>,
 }
 
-impl Sum {
+impl Summary {
     fn add(&mut self, world: &World) {
-        let told = self.told.iter_mut().zip(world.told);
-        told.for_each(|(sum, count)| *sum += u64::from(count));
+        let reported = self.reported.iter_mut().zip(world.reported);
+        reported.for_each(|(sum, count)| *sum += u64::from(count));
         self.takeovers += u64::from(world.takeovers);
         self.claims += u64::from(world.claims);
-        self.handovers += u64::from(world.handovers);
-        self.swaps += u64::from(world.swaps);
-        self.renewals += u64::from(world.renewals);
+        self.direct_handoffs += u64::from(world.direct_handoffs);
+        self.table_handovers += u64::from(world.table_handovers);
+        self.handbacks += u64::from(world.handbacks);
     }
 }
 
-fn play(seed: u64, steps: u64) -> World {
+fn run_world(seed: u64, steps: u64) -> World {
     let mut world = World::new(seed);
     world.run(steps);
-    world.settle();
+    world.check_recovery();
     world
 }
 
-fn reason(panic: &(dyn Any + Send)) -> String {
+fn panic_text(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     let text = text.or_else(|| panic.downcast_ref::<&str>().copied());
     text.unwrap_or("no reason").replace('\n', " ")
 }
 
-fn play_all(seeds: &Range<u64>, steps: u64) -> Sum {
+fn run_worlds(seeds: &Range<u64>, steps: u64) -> Summary {
     let next = AtomicU64::new(seeds.start);
-    let sum = Mutex::new(Sum::default());
+    let summary = Mutex::new(Summary::default());
     let worker = || {
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
             if seed >= seeds.end {
                 return;
             }
-            let played = panic::catch_unwind(|| play(seed, steps));
-            let mut sum = sum.lock().expect("no worker panics with the sum in hand");
-            match played {
-                Ok(world) => sum.add(&world),
-                Err(panic) => sum.broken.push((seed, reason(&*panic))),
+            let result = panic::catch_unwind(|| run_world(seed, steps));
+            let mut summary = summary
+                .lock()
+                .expect("no worker panics while holding the summary");
+            match result {
+                Ok(world) => summary.add(&world),
+                Err(panic) => summary.violations.push((seed, panic_text(&*panic))),
             }
             let done = seed + 1 - seeds.start;
             if done.is_multiple_of(PROGRESS) {
-                eprintln!("{done} played, {} broken", sum.broken.len());
+                eprintln!("{done} done, {} violations", summary.violations.len());
             }
         }
     };
@@ -86,11 +86,11 @@
     thread::scope(|scope| {
         (0..workers).for_each(|_| drop(scope.spawn(worker)));
     });
-    let mut sum = sum
+    let mut summary = summary
         .into_inner()
-        .expect("no worker panics with the sum in hand");
-    sum.broken.sort();
-    sum
+        .expect("no worker panics while holding the summary");
+    summary.violations.sort();
+    summary
 }
 
 fn range(text: &str) -> Range<u64> {
@@ -104,33 +104,37 @@
 }
 
 #[test]
-#[ignore = "played by hand, over a range of seeds"]
+#[ignore = "run by hand, over a range of seeds"]
 fn seed_range() {
     let seeds = range(&std::env::var("LEDGER_SEEDS").unwrap_or_else(|_| "0..1000".into()));
     let steps = std::env::var("LEDGER_STEPS").map_or(STEPS, |text| {
         text.parse().expect("LEDGER_STEPS is a number of steps")
     });
     panic::set_hook(Box::new(|_| {}));
-    let sum = play_all(&seeds, steps);
+    let summary = run_worlds(&seeds, steps);
     drop(panic::take_hook());
-    let [done, not_run, unknown] = sum.told;
+    let [done, not_run, unknown] = summary.reported;
     println!(
         "seeds {} to {}, {steps} steps each",
         seeds.start,
         seeds.end - 1
     );
-    println!("told done {done}, not run {not_run}, unknown {unknown}");
+    println!("reported done {done}, not run {not_run}, unknown {unknown}");
     println!(
-        "takeovers {}, claims {}, hand-overs by word {}, by the table {}, given back {}",
-        sum.takeovers, sum.claims, sum.handovers, sum.swaps, sum.renewals
+        "takeovers {}, claims {}, direct handoffs {}, handovers by the table {}, handed back {}",
+        summary.takeovers,
+        summary.claims,
+        summary.direct_handoffs,
+        summary.table_handovers,
+        summary.handbacks
     );
-    println!("broken {}", sum.broken.len());
-    for (seed, promise) in &sum.broken {
-        println!("  {seed}: {promise}");
+    println!("violations {}", summary.violations.len());
+    for (seed, violation) in &summary.violations {
+        println!("  {seed}: {violation}");
     }
     assert!(
-        sum.broken.is_empty(),
-        "{} seeds broke a promise",
-        sum.broken.len()
+        summary.violations.is_empty(),
+        "{} seeds violated a guarantee",
+        summary.violations.len()
     );
 }
--- a/coltsfoothall/tests/pair/mod.rs
+++ b/coltsfoothall/tests/pair/mod.rs
@@ -1,4 +1,4 @@
-//! Two instances with their ledgers over one slot, driven step by step.
+//! Two instances with their ledgers and one slot, driven step by step.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -16,7 +16,7 @@
 pub const SLOT: Slot = Slot(0);
 pub const NOT_RUN: End = End::NotRun(Cause::Deadline);
 
-/// One slot of `a`, and `b`, which may hold a copy or claim it.
+/// `a` is primary of one slot; `b` may hold a copy or claim it.
 pub struct World {
     pub now: Time,
     pub table: Table,
@@ -70,11 +70,11 @@
     /// `a` copies the slot to `b` and names it.
     pub fn back_up(&mut self) {
         self.copy();
-        self.name(Some(1));
+        self.name_backup(Some(1));
         self.b.observe(self.now, &self.table);
     }
 
-    /// `a` copies the slot to `b` as it is now.
+    /// `a` sends `b` a copy of the slot.
     pub fn copy(&mut self) {
         let [a, b] = self.names.clone();
         for chunk in self.a.export(self.now, SLOT, &b).unwrap() {
@@ -88,8 +88,8 @@
         }
     }
 
-    /// `a` names another backup in the table, or none.
-    pub fn name(&mut self, backup: Option<usize>) {
+    /// `a` names a backup in the table, or none.
+    pub fn name_backup(&mut self, backup: Option<usize>) {
         let backup = backup.and_then(|at| self.a.process(SLOT, &self.names[at]));
         let epoch = self.table.entry(SLOT).unwrap().epoch;
         let named = self
@@ -100,17 +100,17 @@
 
     /// `a` hands the slot to `b` in the table, and `b` reads it.
     pub fn hand_over(&mut self) {
-        self.give_away();
+        self.write_handover();
         self.b.observe(self.now, &self.table);
     }
 
     /// `a` hands the slot to `b` in the table.
-    pub fn give_away(&mut self) {
+    pub fn write_handover(&mut self) {
         let [a, b] = self.names.clone();
         self.a.drain(SLOT);
         let epoch = self.table.entry(SLOT).unwrap().epoch;
-        let heir = self.a.process(SLOT, &b).unwrap();
-        let given = self.table.hand_over(SLOT, epoch, &a, &heir).unwrap();
+        let successor = self.a.process(SLOT, &b).unwrap();
+        let given = self.table.hand_over(SLOT, epoch, &a, &successor).unwrap();
         self.write(given);
     }
 
@@ -122,7 +122,7 @@
         self.read();
     }
 
-    /// `b` claims the slot although `a` lives.
+    /// `b` claims the slot although `a` is alive.
     pub fn claim(&mut self) {
         let epoch = self.table.entry(SLOT).unwrap().epoch;
         let claimed = self.table.claim(SLOT, epoch, &self.names[1]).unwrap();
@@ -136,14 +136,14 @@
         self.a.begin(self.now, intake.clone(), SLOT).unwrap()
     }
 
-    /// `a` takes a request in and gives it up.
+    /// `a` accepts a request and ends it as not run.
     pub fn give_up(&mut self, intake: &Intake) -> Step {
         assert!(matches!(self.begin(intake), Begin::New(_)));
         let (name, end) = (intake.name.clone(), Change::End(NOT_RUN));
         self.a.change(self.now, SLOT, name, end).unwrap()
     }
 
-    pub fn leaves(&self, intake: &Intake, seq: Seq) -> bool {
+    pub fn may_leave(&self, intake: &Intake, seq: Seq) -> bool {
         self.a.may_leave(SLOT, &intake.name, seq)
     }
 
--- a/coltsfoothall/tests/request.rs
+++ b/coltsfoothall/tests/request.rs
@@ -1,4 +1,4 @@
-//! The life of a request under a hostile endpoint and a failing backup.
+//! The request state machine under faulty endpoints and a failing backup.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -52,13 +52,13 @@
     }
 }
 
-/// Each attempt words its tokens in its own way, so that a mixed answer shows.
+/// Each attempt generates different text for its tokens, so that a mixed answer is detected.
 fn text(attempt: u64, from: u64, to: u64) -> String {
     let word = |token| format!("t{token}.{attempt} ");
     (from..to).map(word).collect()
 }
 
-fn piece(attempt: u64, offset: u64, tokens: u64) -> Part {
+fn part(attempt: u64, offset: u64, tokens: u64) -> Part {
     let end = offset + tokens;
     Part {
         offset,
@@ -68,7 +68,7 @@
     }
 }
 
-fn whole_answer() -> Box<Answer> {
+fn complete_answer() -> Box<Answer> {
     Box::new(Answer {
         status: 200,
         headers: Vec::new(),
@@ -76,25 +76,25 @@
     })
 }
 
-struct Owner {
+struct Primary {
     request: Request,
-    /// Changes on the way to the backup, and acknowledgements on the way back.
+    /// Changes in flight to the backup, and acknowledgements in flight back.
     sent: VecDeque<(u64, Change)>,
     acks: VecDeque<u64>,
     picks: u32,
     budgets: u32,
-    alone: bool,
+    unreplicated: bool,
 }
 
 struct Run {
     attempt: u64,
-    owner: usize,
+    primary: usize,
     endpoint: Endpoint,
-    /// Whether it surely did nothing.
+    /// Whether it certainly did not execute.
     refused: bool,
-    /// The whole text, were this the last attempt.
+    /// The complete text, if this is the last attempt.
     full: String,
-    /// Pieces sent so far, and what comes next.
+    /// Inputs delivered so far, and those still to come.
     sent: Vec<Input>,
     next: VecDeque<Input>,
 }
@@ -104,8 +104,8 @@
     rng: Pcg64,
     now: Time,
     intake: Intake,
-    owners: Vec<Owner>,
-    /// What the backup holds; moved to the second owner when it takes over.
+    primaries: Vec<Primary>,
+    /// What the backup holds; passed to the second primary when it takes over.
     backup: Option<Record>,
     sealed: bool,
     runs: Vec<Run>,
@@ -124,7 +124,7 @@
             seed,
             rng,
             now: Time::START,
-            owners: Vec::new(),
+            primaries: Vec::new(),
             backup: None,
             sealed: false,
             runs: Vec::new(),
@@ -134,82 +134,86 @@
             done: false,
             intake: intake.clone(),
         };
-        world.own(Request::new(intake, Time::START, Settings::default()));
-        world.give(0, Input::Begin);
+        world.add_primary(Request::new(intake, Time::START, Settings::default()));
+        world.handle(0, Input::Begin);
         world
     }
 
-    fn own(&mut self, request: Request) {
-        self.owners.push(Owner {
+    fn add_primary(&mut self, request: Request) {
+        self.primaries.push(Primary {
             request,
             sent: VecDeque::new(),
             acks: VecDeque::new(),
             picks: 0,
             budgets: 0,
-            alone: false,
+            unreplicated: false,
         });
     }
 
-    fn give(&mut self, owner: usize, input: Input) {
-        let ended = self.owners[owner].request.over();
+    fn handle(&mut self, primary: usize, input: Input) {
+        let ended = self.primaries[primary].request.over();
         let mut actions = Vec::new();
-        let request = &mut self.owners[owner].request;
+        let request = &mut self.primaries[primary].request;
         let result = request.handle(self.now, input.clone(), &mut actions);
         assert_eq!(result, Ok(()), "seed {} at {input:?}", self.seed);
         for action in actions {
-            let quiet = matches!(action, Action::Count(_) | Action::Abort { .. });
+            let allowed = matches!(action, Action::Count(_) | Action::Abort { .. });
             assert!(
-                !ended || quiet,
+                !ended || allowed,
                 "seed {}: {action:?} after the end",
                 self.seed
             );
-            self.act(owner, action);
+            self.act(primary, action);
         }
     }
 
-    /// Whether what `owner` relies on is held by whoever may take over.
-    fn held(&self, owner: usize) -> Option<&Record> {
-        match (self.owners[owner].alone, owner, self.owners.len()) {
-            (true, ..) | (_, 1, _) => Some(self.owners[owner].request.record()),
+    /// The record held by whichever copy may take over from `primary`.
+    fn held(&self, primary: usize) -> Option<&Record> {
+        match (
+            self.primaries[primary].unreplicated,
+            primary,
+            self.primaries.len(),
+        ) {
+            (true, ..) | (_, 1, _) => Some(self.primaries[primary].request.record()),
             (_, _, 1) => self.backup.as_ref(),
-            _ => Some(self.owners[1].request.record()),
+            _ => Some(self.primaries[1].request.record()),
         }
     }
 
-    fn act(&mut self, owner: usize, action: Action) {
+    fn act(&mut self, primary: usize, action: Action) {
         let seed = self.seed;
         match action {
             Action::Record { seq, change } => {
                 if matches!(change, Change::Part(_)) {
-                    self.check_text(owner);
+                    self.check_text(primary);
                 }
-                self.owners[owner].sent.push_back((seq, change));
+                self.primaries[primary].sent.push_back((seq, change));
             }
-            Action::Pick { .. } => self.owners[owner].picks += 1,
-            Action::Retry => self.owners[owner].budgets += 1,
+            Action::Pick { .. } => self.primaries[primary].picks += 1,
+            Action::Retry => self.primaries[primary].budgets += 1,
             Action::Start {
                 attempt,
                 endpoint,
                 resume,
                 offset,
             } => {
-                let record = self.owners[owner].request.record();
+                let record = self.primaries[primary].request.record();
                 assert_eq!(
                     (&resume, offset),
                     (&record.text, record.tokens()),
                     "seed {seed}"
                 );
 
-                let held = self.held(owner).map(|record| record.sent.clone());
+                let held = self.held(primary).map(|record| record.sent.clone());
                 let knows = held.is_some_and(|sent| sent.contains(&attempt));
                 assert!(
                     knows,
                     "seed {seed}: attempt {attempt} unknown to the backup"
                 );
-                self.start(owner, attempt, endpoint, offset, resume);
+                self.start(primary, attempt, endpoint, offset, resume);
             }
             Action::Abort { attempt } => {
-                // Its last pieces may still be on their way.
+                // Its last chunks may still be in flight.
                 if let Some(run) = self.runs.iter_mut().find(|run| run.attempt == attempt)
                     && self.rng.random_bool(0.5)
                 {
@@ -217,21 +221,21 @@
                 }
             }
             Action::Release { tokens } => {
-                let held = self.held(owner).map_or(0, Record::tokens);
+                let held = self.held(primary).map_or(0, Record::tokens);
                 assert!(
                     tokens <= held,
                     "seed {seed}: {tokens} released, {held} held"
                 );
-                self.see(owner, tokens);
+                self.show(primary, tokens);
             }
-            Action::Finish { end, .. } => self.finish(owner, end),
+            Action::Finish { end, .. } => self.finish(primary, end),
             Action::Cached { .. } | Action::Count(_) => {}
         }
     }
 
     fn start(
         &mut self,
-        owner: usize,
+        primary: usize,
         attempt: u64,
         endpoint: Endpoint,
         offset: u64,
@@ -239,13 +243,13 @@
     ) {
         let mut next = VecDeque::new();
         if matches!(self.intake.work, Work::Call { .. }) {
-            let answer = whole_answer();
+            let answer = complete_answer();
             next.push_back(Input::Answer { attempt, answer });
         } else {
             let mut at = offset;
             while at < TOKENS {
                 let tokens = self.rng.random_range(1..=4).min(TOKENS - at);
-                let part = piece(attempt, at, tokens);
+                let part = part(attempt, at, tokens);
                 let cached = None;
                 next.push_back(Input::Chunk {
                     attempt,
@@ -258,7 +262,7 @@
         next.push_back(Input::Ended { attempt });
         self.runs.push(Run {
             attempt,
-            owner,
+            primary,
             endpoint,
             refused: false,
             full: resume + &text(attempt, offset, TOKENS),
@@ -270,10 +274,15 @@
         assert!(once, "seed {}: {executed} executions", self.seed);
     }
 
-    /// An answer is what the last attempt was started with and its own words.
-    fn check_text(&self, owner: usize) {
-        let text = &self.owners[owner].request.record().text;
-        let last = self.runs.iter().rfind(|run| run.owner == owner).unwrap();
+    /// An answer consists of the text that the last attempt resumed from, followed by its own
+    /// text.
+    fn check_text(&self, primary: usize) {
+        let text = &self.primaries[primary].request.record().text;
+        let last = self
+            .runs
+            .iter()
+            .rfind(|run| run.primary == primary)
+            .unwrap();
         assert!(
             last.full.starts_with(text),
             "seed {}: mixed text {text}",
@@ -281,9 +290,10 @@
         );
     }
 
-    /// Shows the caller the answer up to `tokens`; a paused owner may show less.
-    fn see(&mut self, owner: usize, tokens: u64) {
-        let record = self.owners[owner].request.record();
+    /// Shows the caller the answer up to `tokens`; a paused primary may show less than another
+    /// did.
+    fn show(&mut self, primary: usize, tokens: u64) {
+        let record = self.primaries[primary].request.record();
         let rest = record.text_after(tokens).unwrap().len();
         let shown = record.text[..record.text.len() - rest].to_owned();
         let same = shown.starts_with(&self.seen) || self.seen.starts_with(&shown);
@@ -293,14 +303,14 @@
         }
     }
 
-    fn finish(&mut self, owner: usize, end: End) {
+    fn finish(&mut self, primary: usize, end: End) {
         let seed = self.seed;
-        let record = self.owners[owner].request.record();
+        let record = self.primaries[primary].request.record();
         match end {
             End::Done => {
                 self.done = true;
                 match self.intake.work {
-                    Work::Call { .. } => assert_eq!(record.answer, Some(whole_answer())),
+                    Work::Call { .. } => assert_eq!(record.answer, Some(complete_answer())),
                     Work::Completion { .. } => {
                         assert_eq!(record.text, self.seen, "seed {seed}: whole");
                         assert_eq!(record.tokens(), TOKENS, "seed {seed}: whole");
@@ -312,59 +322,60 @@
         }
     }
 
-    /// Lets the backup take a change, or its acknowledgement arrive.
-    fn replicate(&mut self, owner: usize) {
+    /// Delivers a change to the backup, or an acknowledgement to the primary.
+    fn replicate(&mut self, primary: usize) {
         if self.rng.random_bool(0.4) {
-            if let Some(seq) = self.owners[owner].acks.pop_front() {
-                self.give(owner, Input::Acked { seq });
+            if let Some(seq) = self.primaries[primary].acks.pop_front() {
+                self.handle(primary, Input::Acked { seq });
             }
             return;
         }
-        if (owner == 0 && self.sealed) || self.owners[owner].alone {
+        if (primary == 0 && self.sealed) || self.primaries[primary].unreplicated {
             return;
         }
-        let Some((seq, change)) = self.owners[owner].sent.pop_front() else {
+        let Some((seq, change)) = self.primaries[primary].sent.pop_front() else {
             return;
         };
-        if owner == 0 {
+        if primary == 0 {
             match (&mut self.backup, change) {
                 (backup @ None, Change::Accept(intake)) => *backup = Some(Record::new(*intake)),
                 (Some(record), change) => record.apply(change).unwrap(),
                 (None, change) => panic!("{change:?} before its accept"),
             }
         }
-        self.owners[owner].acks.push_back(seq);
+        self.primaries[primary].acks.push_back(seq);
     }
 
     fn take_over(&mut self) {
-        if self.sealed || self.owners[0].alone {
+        if self.sealed || self.primaries[0].unreplicated {
             return;
         }
         self.sealed = true;
         let Some(record) = self.backup.take() else {
-            // The caller was never told that it is accepted; the request ends with its owner.
-            self.own(Request::new(
+            // The caller was never told that the request was accepted, so it ends with its
+            // primary.
+            self.add_primary(Request::new(
                 self.intake.clone(),
                 self.now,
                 Settings::default(),
             ));
-            self.give(1, Input::Sealed);
+            self.handle(1, Input::Sealed);
             return;
         };
-        self.own(Request::resume(record, self.now, Settings::default()));
+        self.add_primary(Request::resume(record, self.now, Settings::default()));
         if self.rng.random_bool(0.5) {
-            self.owners[1].alone = true;
-            self.give(1, Input::Unreplicated);
+            self.primaries[1].unreplicated = true;
+            self.handle(1, Input::Unreplicated);
         }
-        self.give(1, Input::Begin);
+        self.handle(1, Input::Begin);
     }
 
-    fn engine(&mut self) {
+    fn step_endpoint(&mut self) {
         if self.runs.is_empty() {
             return;
         }
         let at = self.rng.random_range(0..self.runs.len());
-        let owner = self.runs[at].owner;
+        let primary = self.runs[at].primary;
         let attempt = self.runs[at].attempt;
         let fresh = self.runs[at].sent.is_empty();
         match self.rng.random_range(0..40) {
@@ -372,21 +383,21 @@
                 self.runs[at].refused = true;
                 self.runs[at].next.clear();
                 let unsent = self.rng.random_bool(0.5);
-                self.give(
-                    owner,
+                self.handle(
+                    primary,
                     [Input::Refused { attempt }, Input::Unsent { attempt }][usize::from(unsent)]
                         .clone(),
                 );
             }
             2 => {
                 self.runs[at].next.clear();
-                self.give(owner, Input::Broke { attempt });
+                self.handle(primary, Input::Broke { attempt });
             }
             3 => drop(self.runs[at].next.pop_front()),
             4..8 if !fresh => {
                 let old = self.rng.random_range(0..self.runs[at].sent.len());
                 let input = self.runs[at].sent[old].clone();
-                self.give(owner, input);
+                self.handle(primary, input);
             }
             8 if self.runs[at].next.len() > 1 => {
                 self.runs[at].next.swap(0, 1);
@@ -394,20 +405,20 @@
             _ => {
                 if let Some(input) = self.runs[at].next.pop_front() {
                     self.runs[at].sent.push(input.clone());
-                    self.give(owner, input);
+                    self.handle(primary, input);
                 }
             }
         }
     }
 
-    fn answer_asks(&mut self, owner: usize) {
-        if self.owners[owner].budgets > 0 {
-            self.owners[owner].budgets -= 1;
+    fn answer_requests(&mut self, primary: usize) {
+        if self.primaries[primary].budgets > 0 {
+            self.primaries[primary].budgets -= 1;
             let granted = self.rng.random_bool(0.9);
-            self.give(owner, Input::Budget { granted });
+            self.handle(primary, Input::Budget { granted });
         }
-        if self.owners[owner].picks > 0 {
-            self.owners[owner].picks -= 1;
+        if self.primaries[primary].picks > 0 {
+            self.primaries[primary].picks -= 1;
             self.attempts += 1;
             let input = if self.rng.random_bool(0.9) {
                 Input::Picked {
@@ -420,16 +431,16 @@
                     retry_after: Duration::from_millis(50),
                 }
             };
-            self.give(owner, input);
+            self.handle(primary, input);
         }
     }
 
-    fn fault(&mut self, owner: usize) {
+    fn fault(&mut self, primary: usize) {
         let endpoint = endpoint(self.rng.random_range(0..6));
         match self.rng.random_range(0..40) {
             0..4 => {
                 let finishes = self.rng.random_bool(0.3);
-                self.give(owner, Input::Leaving { endpoint, finishes });
+                self.handle(primary, Input::Leaving { endpoint, finishes });
             }
             4..6 => {
                 for run in &mut self.runs {
@@ -437,45 +448,45 @@
                         run.next.clear();
                     }
                 }
-                self.give(owner, Input::EndpointDied { endpoint });
+                self.handle(primary, Input::EndpointDied { endpoint });
             }
-            6 => self.give(owner, Input::Cancel),
+            6 => self.handle(primary, Input::Cancel),
             7..10 => self.take_over(),
-            10 if owner == 0 && !self.sealed => {
-                self.owners[0].alone = true;
-                self.give(0, Input::Unreplicated);
+            10 if primary == 0 && !self.sealed => {
+                self.primaries[0].unreplicated = true;
+                self.handle(0, Input::Unreplicated);
             }
-            11 if owner == 0 && self.sealed => self.give(0, Input::Sealed),
+            11 if primary == 0 && self.sealed => self.handle(0, Input::Sealed),
             _ => {}
         }
     }
 
     fn run(&mut self) {
         for _ in 0..600 {
-            let owner = self.rng.random_range(0..self.owners.len());
+            let primary = self.rng.random_range(0..self.primaries.len());
             match self.rng.random_range(0..20) {
-                0..8 => self.replicate(owner),
-                8..15 => self.engine(),
-                15..18 => self.answer_asks(owner),
-                18 => self.fault(owner),
+                0..8 => self.replicate(primary),
+                8..15 => self.step_endpoint(),
+                15..18 => self.answer_requests(primary),
+                18 => self.fault(primary),
                 _ => {
                     self.now = self.now + Duration::from_millis(self.rng.random_range(1..60));
-                    self.give(owner, Input::Tick);
+                    self.handle(primary, Input::Tick);
                 }
             }
         }
-        self.close();
+        self.expire();
     }
 
     /// After its deadline each request ends, once its backup answers.
-    fn close(&mut self) {
+    fn expire(&mut self) {
         self.now = self.now + Duration::from_secs(60);
-        let last = self.owners.len() - 1;
-        self.give(last, Input::Tick);
-        self.owners[last].alone = true;
-        self.give(last, Input::Unreplicated);
+        let last = self.primaries.len() - 1;
+        self.handle(last, Input::Tick);
+        self.primaries[last].unreplicated = true;
+        self.handle(last, Input::Unreplicated);
         assert!(
-            self.owners[last].request.over(),
+            self.primaries[last].request.over(),
             "seed {}: hangs",
             self.seed
         );
@@ -500,19 +511,19 @@
         resumed += u32::from(world.sealed && world.done);
     }
     println!("{RUNS} runs: {done} done, {not_run} not run, {moved} moved, {resumed} taken over");
-    // The run is worth something only if each way was gone.
+    // The run is meaningful only if each outcome occurred.
     assert!(done > 1_000 && not_run > 100 && moved > 1_000 && resumed > 100);
 }
 
-/// A request that runs as attempt 1 on e1, with all changes held.
+/// A request that runs as attempt 1 on e1, with all changes held by the backup.
 fn running(idempotent: bool) -> Request {
     let mut request = Request::new(intake(idempotent, true), Time::START, Settings::default());
-    give(&mut request, Input::Begin);
+    handle(&mut request, Input::Begin);
     choose(&mut request, 1);
     request
 }
 
-fn give(request: &mut Request, input: Input) -> Vec<Action> {
+fn handle(request: &mut Request, input: Input) -> Vec<Action> {
     let mut actions = Vec::new();
     request.handle(Time::START, input, &mut actions).unwrap();
     actions
@@ -520,16 +531,16 @@
 
 fn choose(request: &mut Request, attempt: u64) -> Vec<Action> {
     let endpoint = endpoint(attempt);
-    let picked = give(request, Input::Picked { endpoint, attempt });
+    let picked = handle(request, Input::Picked { endpoint, attempt });
     assert!(!picked.iter().any(|a| matches!(a, Action::Start { .. })));
     let seq = request.seq();
-    give(request, Input::Acked { seq })
+    handle(request, Input::Acked { seq })
 }
 
 fn chunk(request: &mut Request, attempt: u64, offset: u64, tokens: u64) -> Vec<Action> {
-    let part = piece(attempt, offset, tokens);
+    let part = part(attempt, offset, tokens);
     let cached = None;
-    give(
+    handle(
         request,
         Input::Chunk {
             attempt,
@@ -540,15 +551,15 @@
 }
 
 #[test]
-fn end_marker() {
+fn last_chunk_needs_end_marker() {
     let mut request = running(true);
     chunk(&mut request, 1, 0, 10);
     assert_eq!(chunk(&mut request, 1, 10, 14), []);
     assert_eq!(
-        give(&mut request, Input::Broke { attempt: 1 }),
+        handle(&mut request, Input::Broke { attempt: 1 }),
         [Action::Retry]
     );
-    give(&mut request, Input::Budget { granted: true });
+    handle(&mut request, Input::Budget { granted: true });
     let actions = choose(&mut request, 2);
     assert!(
         actions
@@ -558,11 +569,11 @@
 }
 
 #[test]
-fn notice_moves() {
+fn notice_moves_attempt() {
     let mut request = running(true);
     let endpoint = endpoint(1);
     let finishes = false;
-    let actions = give(&mut request, Input::Leaving { endpoint, finishes });
+    let actions = handle(&mut request, Input::Leaving { endpoint, finishes });
     assert!(matches!(&actions[..], [Action::Pick { exclude }] if exclude.len() == 1));
     assert_eq!(chunk(&mut request, 1, 0, 3).len(), 1);
     let actions = choose(&mut request, 2);
@@ -572,7 +583,7 @@
 }
 
 #[test]
-fn gap_breaks() {
+fn gap_aborts_attempt() {
     let mut request = running(true);
     chunk(&mut request, 1, 0, 4);
     let actions = chunk(&mut request, 1, 8, 4);
@@ -581,35 +592,35 @@
 }
 
 #[test]
-fn broken_once() {
+fn non_idempotent_not_retried() {
     let mut request = running(false);
-    give(&mut request, Input::Broke { attempt: 1 });
+    handle(&mut request, Input::Broke { attempt: 1 });
     let seq = request.seq();
-    give(&mut request, Input::Acked { seq });
+    handle(&mut request, Input::Acked { seq });
     assert_eq!(request.end(), Some(End::Unknown(Cause::Failed)));
-    assert_eq!(give(&mut request, Input::Begin), []);
+    assert_eq!(handle(&mut request, Input::Begin), []);
 }
 
 #[test]
 fn attempts_bounded() {
     let mut request = running(true);
     for attempt in 1..4 {
-        give(&mut request, Input::Broke { attempt });
-        give(&mut request, Input::Budget { granted: true });
+        handle(&mut request, Input::Broke { attempt });
+        handle(&mut request, Input::Budget { granted: true });
         choose(&mut request, attempt + 1);
     }
-    give(&mut request, Input::Broke { attempt: 4 });
-    give(&mut request, Input::Unreplicated);
+    handle(&mut request, Input::Broke { attempt: 4 });
+    handle(&mut request, Input::Unreplicated);
     assert_eq!(request.end(), Some(End::Unknown(Cause::Failed)));
 }
 
 #[test]
-fn unrecorded_ack() {
+fn unrecorded_change_acknowledged() {
     let mut request = running(true);
     let mut actions = Vec::new();
     let input = Input::Acked { seq: 99 };
     assert!(request.handle(Time::START, input, &mut actions).is_err());
     assert_eq!(actions[0], Action::Abort { attempt: 1 });
-    give(&mut request, Input::Unreplicated);
+    handle(&mut request, Input::Unreplicated);
     assert_eq!(request.end(), Some(End::Unknown(Cause::Failed)));
 }
--- a/coltsfoothall/tests/retention.rs
+++ b/coltsfoothall/tests/retention.rs
@@ -1,4 +1,4 @@
-//! What is kept of ended requests, by bytes and by time.
+//! Retention of ended requests, by bytes and by time.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -19,7 +19,7 @@
 const ANSWER_LEN: usize = 300;
 const PROMPT_LEN: usize = 4000;
 
-/// An owner and its backup.
+/// A primary and its backup.
 struct Pair {
     now: Time,
     table: Table,
@@ -94,10 +94,10 @@
     fn change(&mut self, intake: &Intake, change: Change) {
         let name = intake.name.clone();
         let step = self.owner.change(self.now, SLOT, name, change).unwrap();
-        self.ship(step);
+        self.replicate(step);
     }
 
-    fn ship(&mut self, step: Step) {
+    fn replicate(&mut self, step: Step) {
         let from = &self.names[0];
         let ack = (self.backup.receive(self.now, from, step.update)).unwrap();
         let epoch = self.epoch();
@@ -107,14 +107,14 @@
     fn open(&mut self, intake: &Intake) -> Begin {
         match self.begin(intake) {
             Begin::New(step) => {
-                self.ship(step.clone());
+                self.replicate(step.clone());
                 Begin::New(step)
             }
             refused => refused,
         }
     }
 
-    /// Takes in, answers and ends a request.
+    /// Accepts, answers and ends a request.
     fn run(&mut self, intake: &Intake) {
         let begun = self.open(intake);
         assert!(matches!(begun, Begin::New(_)), "{} {begun:?}", intake.name);
@@ -137,7 +137,7 @@
         self.now = self.now + Duration::from_millis(10);
     }
 
-    /// Rows of the copy that this ledger would send.
+    /// Chunks of the copy that the primary would send.
     fn export(&mut self) -> Vec<Chunk> {
         let peer = "c".parse().unwrap();
         self.owner.export(self.now, SLOT, &peer).unwrap()
@@ -168,18 +168,18 @@
 #[test]
 fn bytes_bounded() {
     let mut pair = Pair::new(BOUND);
-    // An open request is never dropped, however old.
+    // An open request is never dropped, however old it is.
     let old = intake(1_000_000, false);
     assert!(matches!(pair.open(&old), Begin::New(_)));
     for number in 0..20_000 {
         pair.run(&intake(number, number % 2 == 0));
-        let most = BOUND + 2 * (PROMPT_LEN + 1024) as u64;
-        assert!(pair.owner.bytes().0 < most, "owner at {number}");
-        assert!(pair.backup.bytes().0 < most, "backup at {number}");
+        let max = BOUND + 2 * (PROMPT_LEN + 1024) as u64;
+        assert!(pair.owner.bytes().0 < max, "owner at {number}");
+        assert!(pair.backup.bytes().0 < max, "backup at {number}");
     }
     assert!(
         pair.owner.bytes().0 > BOUND / 2,
-        "more than need be was dropped"
+        "more was evicted than necessary"
     );
     assert!(matches!(pair.begin(&old), Begin::Join(_)));
     assert!(pair.backup.record(SLOT, &old.name).unwrap().end.is_none());
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn prompt_dropped() {
+fn prompt_trimmed() {
     let mut pair = Pair::new(BOUND);
     let asked = intake(1, false);
     pair.run(&asked);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn copies_agree() {
+fn copies_match() {
     let mut pair = Pair::new(BOUND);
     for number in 0..3000 {
         pair.run(&intake(number, number % 2 == 0));
@@ -234,7 +234,7 @@
         assert_eq!(kept, third.record(SLOT, &name), "{number}");
         assert_eq!(kept, pair.backup.record(SLOT, &name), "{number}");
     }
-    // After a takeover the backup refuses the names that it dropped.
+    // After a takeover, the backup rejects the names whose records it dropped.
     let epoch = pair.backup.seal(SLOT).unwrap();
     let next = pair.table.takeover(SLOT, epoch, &pair.names[1]).unwrap();
     let entry = next.entry(SLOT).unwrap().clone();
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn open_fill() {
+fn open_requests_fill_ledger() {
     let mut pair = Pair::new(BOUND);
     let full = (0..).find(|number| pair.open(&intake(*number, true)) == Begin::Full);
     let full = full.unwrap();
@@ -260,7 +260,7 @@
     for number in 0..full {
         assert!(matches!(pair.begin(&intake(number, true)), Begin::Join(_)));
     }
-    // One that ends makes room.
+    // A request that ends frees memory.
     let first = intake(0, true);
     let endpoint = "e".parse().unwrap();
     pair.change(
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn unheld_kept() {
+fn unacknowledged_end_kept() {
     let mut pair = Pair::new(BOUND);
     let first = intake(0, true);
     let name = first.name.clone();
@@ -293,7 +293,7 @@
         .owner
         .change(pair.now, SLOT, last.name.clone(), ended)
         .unwrap();
-    // The backup does not hold the end yet, so its caller is still to be told.
+    // The backup does not hold the end yet, so the caller has not been told.
     let begun = (2..).map(|number| pair.begin(&intake(number, true)));
     assert!(begun.take(1000).any(|begun| begun == Begin::Full));
     assert!(pair.owner.record(SLOT, &name).is_none());
@@ -317,8 +317,8 @@
     }
     let begun = pair.begin(&intake(1, true));
     assert_eq!(begun, Begin::Behind);
-    // The open request goes on once the backup has caught up.
-    steps.into_iter().for_each(|step| pair.ship(step));
+    // The open request continues once the backup has caught up.
+    steps.into_iter().for_each(|step| pair.replicate(step));
     assert!(!pair.owner.behind(SLOT));
     pair.change(&asked, change(0));
 }
--- a/coltsfoothall/tests/retry.rs
+++ b/coltsfoothall/tests/retry.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn few_attempts() {
+fn attempts_bounded() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut budget = Budget::new(Settings::default());
     assert!(matches!(
@@ -55,16 +55,16 @@
     };
     let mut budget = Budget::new(settings);
     for attempts in 1..39 {
-        let most = Duration::from_millis(20 << (attempts - 1).min(20)).min(Duration::from_secs(2));
+        let max = Duration::from_millis(20 << (attempts - 1).min(20)).min(Duration::from_secs(2));
         match budget.retry(at(0), attempts, &mut random) {
-            Verdict::After(wait) => assert!(wait <= most),
+            Verdict::After(wait) => assert!(wait <= max),
             Verdict::Stop(_) => panic!("stopped at {attempts}"),
         }
     }
 }
 
 #[test]
-fn quiet_refills() {
+fn budget_refills() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut budget = Budget::new(Settings::default());
     while let Verdict::After(_) = budget.retry(at(0), 1, &mut random) {}
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn carried_spaced() {
+fn continued_attempts_spaced() {
     let mut budget = Budget::new(Settings::default());
     let waits: Vec<Duration> = (0..400).map(|_| budget.carry(at(0))).collect();
     assert!(waits[..200].iter().all(Duration::is_zero));
--- a/coltsfoothall/tests/slot.rs
+++ b/coltsfoothall/tests/slot.rs
@@ -1,4 +1,4 @@
-//! The slot table's rules.
+//! Rules of the slot table.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -8,16 +8,16 @@
 use coltsfoothall::slot::{Candidate, MAX_MOVES, Process, Refused, SLOT_COUNT, Table};
 
 fn candidates(count: usize, domains: usize) -> Vec<Candidate> {
-    let candidate = |at: usize| Candidate {
-        instance: name(at),
-        domain: format!("d{}", at % domains).parse().unwrap(),
+    let candidate = |index: usize| Candidate {
+        instance: name(index),
+        domain: format!("d{}", index % domains).parse().unwrap(),
         leaving: false,
     };
     (0..count).map(candidate).collect()
 }
 
-fn name(at: usize) -> Instance {
-    format!("i{at:03}").parse().unwrap()
+fn name(index: usize) -> Instance {
+    format!("i{index:03}").parse().unwrap()
 }
 
 fn process(instance: Instance) -> Process {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn other_domain() {
+fn backup_in_other_domain() {
     let all = candidates(6, 2);
     let table = Table::first(16, &all).unwrap();
     for (slot, entry) in table.iter() {
@@ -83,7 +83,7 @@
         }
     }
     assert_eq!(table.primaries(&name(0)), 0);
-    assert!((1..9).all(|at| table.primaries(&name(at)) == 32));
+    assert!((1..9).all(|index| table.primaries(&name(index)) == 32));
     assert!(serde_json::to_vec(&table).unwrap().len() < 64 << 10);
 }
 
--- a/coltsfoothall/tests/stall.rs
+++ b/coltsfoothall/tests/stall.rs
@@ -1,4 +1,5 @@
-//! A plain timeout, the rule of silence and lock holds alone, and the watch.
+//! Compares a plain timeout, a published rule based on silence and lock holds, and the stall
+//! monitor.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -16,14 +17,14 @@
     Monitor,
 }
 
-/// What happens, in milliseconds since the start.
+/// What happens from `BEGIN` to `END`, in milliseconds since the start.
 #[derive(Debug, Clone, Copy)]
 enum Case {
     /// One peer dies.
     Death,
-    /// This instance stands still.
+    /// This instance stalls.
     Stall,
-    /// This instance hears nobody for a while.
+    /// This instance receives no messages for a while.
     Cut,
     /// All peers die.
     Fleet,
@@ -32,49 +33,50 @@
 const BEGIN: u64 = 20_000;
 const END: u64 = 28_000;
 
-/// Peers dropped and the time of the first drop.
+/// Number of peers declared dead, and the time of the first such verdict after `BEGIN`.
 fn run(rule: Rule, case: Case, seed: u64) -> (usize, Option<u64>) {
     let settings = Settings::default();
     let at = |ms: u64| Time::START + Duration::from_millis(ms);
-    let mut watch = Monitor::new(at(0), settings.clone());
-    let mut last = [0; PEERS];
+    let mut monitor = Monitor::new(at(0), settings.clone());
+    let mut last_seen = [0; PEERS];
     let mut dead = [false; PEERS];
     let (mut heard, mut first, mut batch) = (0, None, 0);
-    // A stalled listener reads what waits for it a while after its timers run.
+    // After a stall, the listener reads the queued messages a while after the timers run.
     for ms in (0..80_000).step_by(50) {
         let busy = (BEGIN..END).contains(&ms);
         if matches!(case, Case::Stall) && busy {
             continue;
         }
         let late = matches!(case, Case::Stall) && (END..END + 600).contains(&ms);
-        for (peer, last) in last.iter_mut().enumerate() {
-            let beat = (ms + seed * 37 + peer as u64 * 130) % 1000 < 50;
-            let gone = match case {
+        for (peer, last) in last_seen.iter_mut().enumerate() {
+            let heartbeat = (ms + seed * 37 + peer as u64 * 130) % 1000 < 50;
+            let missed = match case {
                 Case::Death => peer == 0 && ms >= BEGIN,
                 Case::Fleet => ms >= BEGIN,
                 Case::Cut => busy,
                 Case::Stall => late,
             };
-            if beat && !gone {
+            if heartbeat && !missed {
                 (*last, heard) = (ms, ms);
-                watch.record_message(at(ms));
+                monitor.record_message(at(ms));
             }
         }
         if ms % 200 != 0 {
             continue;
         }
-        watch.tick(at(ms));
+        monitor.tick(at(ms));
         batch = batch.max(heard);
         for peer in (0..PEERS).filter(|peer| !dead[*peer]).collect::<Vec<_>>() {
-            let due = last[peer] + 3000;
+            let due = last_seen[peer] + 3000;
             let drop = match rule {
                 Rule::Timeout => ms >= due,
                 Rule::Paper => {
-                    // Its two conditions: a stall since anybody was heard, silence.
+                    // The rule's two conditions: a stall since the last message from any peer,
+                    // and silence of all peers.
                     let stalled = matches!(case, Case::Stall) && batch < END && ms >= END;
                     ms >= due && (!stalled && batch >= due || ms >= due + 30_000)
                 }
-                Rule::Monitor => watch.judge(at(ms), at(last[peer]), PEERS) == Verdict::Dead,
+                Rule::Monitor => monitor.judge(at(ms), at(last_seen[peer]), PEERS) == Verdict::Dead,
             };
             if drop {
                 dead[peer] = true;
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn three_rules() {
+fn compare_rules() {
     for case in [Case::Death, Case::Stall, Case::Cut, Case::Fleet] {
         for rule in [Rule::Timeout, Rule::Paper, Rule::Monitor] {
             println!("{case:?} {rule:?}: {:?}", worst(rule, case));
@@ -122,7 +124,7 @@
 }
 
 #[test]
-fn whole_fleet() {
+fn fleet_dead() {
     let (lost, late) = worst(Rule::Monitor, Case::Fleet);
     assert_eq!(lost, PEERS);
     assert!(late <= 34_000);
--- a/coltsfoothall/tests/suspicion.rs
+++ b/coltsfoothall/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! Requests that crash endpoints.
+//! Detection of requests that crash endpoints.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -39,7 +39,13 @@
     format!("e{number}").parse().unwrap()
 }
 
-fn die(tracker: &mut Tracker, millis: u64, attempt: u64, fingerprint: Fingerprint, isolated: bool) {
+fn crash(
+    tracker: &mut Tracker,
+    millis: u64,
+    attempt: u64,
+    fingerprint: Fingerprint,
+    isolated: bool,
+) {
     tracker.record_start(
         at(millis),
         attempt,
@@ -51,7 +57,7 @@
 }
 
 #[test]
-fn neighbour_cleared() {
+fn innocent_content_cleared() {
     let mut tracker = Tracker::new(Settings::default());
     let (bad, good) = (fingerprint("bad"), fingerprint("good"));
     tracker.record_start(at(0), 1, endpoint(1), bad, false);
@@ -62,12 +68,12 @@
     assert_eq!(tracker.verdict(at(8), good), Verdict::Later);
     tracker.record_end(at(9), 3, true);
     assert_eq!(tracker.verdict(at(10), good), Verdict::Free);
-    die(&mut tracker, 11, 4, bad, true);
+    crash(&mut tracker, 11, 4, bad, true);
     assert_eq!(tracker.verdict(at(30), bad), Verdict::Poisonous);
 }
 
 #[test]
-fn notice_excused() {
+fn announced_death_ignored() {
     let mut tracker = Tracker::new(Settings::default());
     tracker.record_start(at(0), 1, endpoint(1), fingerprint("x"), false);
     assert_eq!(tracker.record_death(at(5), &endpoint(1), true), []);
@@ -75,7 +81,7 @@
 }
 
 #[test]
-fn together_counts_once() {
+fn simultaneous_deaths_count_once() {
     let mut tracker = Tracker::new(Settings::default());
     let common = fingerprint("ping");
     for attempt in 1..=3 {
@@ -85,7 +91,7 @@
         tracker.record_death(at(5 + attempt), &endpoint(attempt), false);
     }
     assert_eq!(tracker.verdict(at(20), common), Verdict::Isolated);
-    die(&mut tracker, 21, 9, common, false);
+    crash(&mut tracker, 21, 9, common, false);
     assert_eq!(tracker.verdict(at(40), common), Verdict::Poisonous);
 }
 
@@ -102,7 +108,7 @@
             }
             lost += 1;
             let isolated = verdict == Verdict::Isolated;
-            die(&mut tracker, lost * 100, lost, fingerprint, isolated);
+            crash(&mut tracker, lost * 100, lost, fingerprint, isolated);
         }
     }
     assert!(lost <= 6, "{lost} endpoints lost");
@@ -116,7 +122,7 @@
     };
     let mut tracker = Tracker::new(settings);
     for number in 0..40 {
-        die(
+        crash(
             &mut tracker,
             number * 100,
             number,
@@ -136,7 +142,7 @@
         let mut from = Tracker::new(Settings::default());
         for attempt in 0..6 {
             let fingerprint = fingerprint(&format!("{}", rng.random_range(0..3)));
-            die(
+            crash(
                 &mut from,
                 attempt * 20,
                 attempt,
@@ -144,16 +150,17 @@
                 rng.random_bool(0.2),
             );
         }
-        let told = from.evidence(at(500));
+        let reported = from.evidence(at(500));
         let mut twice = Tracker::new(Settings::default());
-        for evidence in told.iter().rev().chain(&told) {
+        for evidence in reported.iter().rev().chain(&reported) {
             twice.merge(at(500), std::slice::from_ref(evidence));
         }
-        assert_eq!(twice.evidence(at(500)), told, "seed {seed}");
+        assert_eq!(twice.evidence(at(500)), reported, "seed {seed}");
     }
 }
 
-/// One caller sends a crashing request again and again through any instance.
+/// Endpoints lost to one caller that resends a crashing request through any instance, with the
+/// documented bound.
 fn lost_endpoints(seed: u64) -> (u64, u64) {
     let mut rng = Pcg64::seed_from_u64(seed);
     let instances = rng.random_range(1..12_usize);
@@ -189,8 +196,8 @@
         }
         now += 1;
     }
-    let blind = (2 * (instances as u64 - 1)).min(gossip.div_ceil(run));
-    (lost, 2 + blind)
+    let unaware = (2 * (instances as u64 - 1)).min(gossip.div_ceil(run));
+    (lost, 2 + unaware)
 }
 
 #[test]
@@ -201,13 +208,13 @@
     }
 }
 
-/// However many endpoints died at once, a message stays small, marks with several deaths
-/// are in each, and all is told within a few turns.
+/// However many endpoints die at once, each message stays small and includes marks with several
+/// deaths, and all evidence is sent within a few rounds.
 #[test]
 fn told_in_parts() {
     let mut tracker = Tracker::new(Settings::default());
     for attempt in 0..100 {
-        die(
+        crash(
             &mut tracker,
             0,
             attempt,
@@ -216,15 +223,15 @@
         );
     }
     let bad = fingerprint("bad");
-    die(&mut tracker, 20, 200, bad, false);
-    die(&mut tracker, 40, 201, bad, false);
+    crash(&mut tracker, 20, 200, bad, false);
+    crash(&mut tracker, 40, 201, bad, false);
     let all = tracker.evidence(at(60));
-    let mut told: Vec<Evidence> = Vec::new();
-    for turn in 5..5 + all.len() {
-        let part = tracker.evidence_batch(at(60), 16, turn);
-        assert!(part.len() <= 16);
-        assert!(part.iter().any(|evidence| evidence.deaths.len() > 1));
-        told.extend(part);
+    let mut reported: Vec<Evidence> = Vec::new();
+    for round in 5..5 + all.len() {
+        let batch = tracker.evidence_batch(at(60), 16, round);
+        assert!(batch.len() <= 16);
+        assert!(batch.iter().any(|evidence| evidence.deaths.len() > 1));
+        reported.extend(batch);
     }
-    assert!(all.iter().all(|evidence| told.contains(evidence)));
+    assert!(all.iter().all(|evidence| reported.contains(evidence)));
 }
--- a/coltsfoothall/tests/world/mod.rs
+++ b/coltsfoothall/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! A few instances with their ledgers over a fake service and a lossy network.
+//! A simulation of a few instances with their ledgers, a fake key-value store and a lossy
+//! network.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -30,10 +31,10 @@
 
 #[derive(Debug, Clone)]
 struct Message {
-    at: u64,
+    due: u64,
     from: usize,
     to: usize,
-    /// The receiver's process when it was sent.
+    /// The receiver's process when the message was sent.
     life: Life,
     body: Body,
 }
@@ -41,7 +42,7 @@
 #[derive(Debug, Clone, PartialEq)]
 enum Effect {
     Send(u64),
-    Tell(End),
+    Report(End),
 }
 
 #[derive(Debug, Clone)]
@@ -52,20 +53,21 @@
     effect: Effect,
 }
 
-/// What was told of one key, and how often it ran.
+/// Reported ends and executions of one key.
 #[derive(Debug)]
-struct Fate {
+struct History {
     intake: Intake,
     runs: u32,
     ends: Vec<End>,
-    /// Taken in anew after it was told not run, where only idempotent ones may.
+    /// Accepted again after it was reported as not run, which is allowed for idempotent requests
+    /// only.
     resent: bool,
-    /// Epoch of the owner that told it done with all copies holding that.
+    /// Epoch of the primary that reported it done while all copies held that end.
     done: Option<Epoch>,
 }
 
-impl Fate {
-    fn not_run(&self) -> bool {
+impl History {
+    fn reported_not_run(&self) -> bool {
         self.ends.iter().any(|end| matches!(end, End::NotRun(_)))
     }
 }
@@ -81,9 +83,9 @@
     down: bool,
 }
 
-/// A write of the table that is on its way.
+/// A write of the table in flight.
 struct Write {
-    at: u64,
+    due: u64,
     base: u64,
     table: Table,
 }
@@ -93,29 +95,30 @@
     now: u64,
     nodes: Vec<Node>,
     net: Vec<Message>,
-    kv: Table,
-    kv_down: u64,
+    store: Table,
+    store_down: u64,
     writes: Vec<Write>,
-    /// Attempts on their way to the executor.
+    /// Attempts in flight to the executor.
     sends: Vec<(u64, usize, Name, u64)>,
     answers: Vec<(u64, usize, Name)>,
-    fates: Vec<Fate>,
+    histories: Vec<History>,
     attempts: u64,
-    lossy: f64,
-    alone: bool,
-    /// Long outages of the service, with many restarts in them.
-    rough: bool,
-    pub told: [u32; 3],
+    loss: f64,
+    may_run_unreplicated: bool,
+    /// Long outages of the store, with many restarts during them.
+    long_outages: bool,
+    pub reported: [u32; 3],
     pub takeovers: u32,
     pub claims: u32,
-    pub handovers: u32,
-    pub swaps: u32,
-    /// Looks at slots that went back by word, with a new copy at the heir.
-    pub renewals: u32,
+    pub direct_handoffs: u32,
+    pub table_handovers: u32,
+    /// Number of attempts to hand a slot back directly to a restarted primary, which holds a new
+    /// copy.
+    pub handbacks: u32,
 }
 
-fn instance(at: usize) -> Instance {
-    format!("i{at}").parse().unwrap()
+fn instance(index: usize) -> Instance {
+    format!("i{index}").parse().unwrap()
 }
 
 impl World {
@@ -123,46 +126,46 @@
         let mut rng = Pcg64::seed_from_u64(seed);
         let count = rng.random_range(3..=5);
         let candidates: Vec<_> = (0..count)
-            .map(|at| Candidate {
-                instance: instance(at),
-                domain: format!("d{}", at % 3).parse().unwrap(),
+            .map(|index| Candidate {
+                instance: instance(index),
+                domain: format!("d{}", index % 3).parse().unwrap(),
                 leaving: false,
             })
             .collect();
-        let kv = Table::first(SLOTS, &candidates).unwrap();
-        let node = |at| Node {
-            name: instance(at),
+        let store = Table::first(SLOTS, &candidates).unwrap();
+        let node = |index| Node {
+            name: instance(index),
             life: Life::default(),
-            ledger: Ledger::new(instance(at), Settings::default()),
-            table: kv.clone(),
+            ledger: Ledger::new(instance(index), Settings::default()),
+            table: store.clone(),
             pending: Vec::new(),
             copying: Vec::new(),
             paused: 0,
             down: false,
         };
         let nodes = (0..count).map(node).collect();
-        let lossy = [0.0, 0.02, 0.1, 0.3][rng.random_range(0..4)];
+        let loss = [0.0, 0.02, 0.1, 0.3][rng.random_range(0..4)];
         Self {
-            alone: rng.random_bool(0.25),
-            rough: seed.is_multiple_of(2),
+            may_run_unreplicated: rng.random_bool(0.25),
+            long_outages: seed.is_multiple_of(2),
             rng,
             now: 1,
             nodes,
             net: Vec::new(),
-            kv,
-            kv_down: 0,
+            store,
+            store_down: 0,
             writes: Vec::new(),
             sends: Vec::new(),
             answers: Vec::new(),
-            fates: Vec::new(),
+            histories: Vec::new(),
             attempts: 0,
-            lossy,
-            told: [0; 3],
+            loss,
+            reported: [0; 3],
             takeovers: 0,
             claims: 0,
-            handovers: 0,
-            swaps: 0,
-            renewals: 0,
+            direct_handoffs: 0,
+            table_handovers: 0,
+            handbacks: 0,
         }
     }
 
@@ -174,8 +177,8 @@
         self.rng.random_bool(p)
     }
 
-    fn runs(&self, at: usize) -> bool {
-        let node = &self.nodes[at];
+    fn is_running(&self, index: usize) -> bool {
+        let node = &self.nodes[index];
         !node.down && node.paused <= self.now
     }
 
@@ -183,15 +186,15 @@
         for _ in 0..steps {
             self.now += 1;
             self.faults();
-            self.service();
+            self.apply_due_writes();
             self.deliver();
             self.execute();
             if self.chance(0.3) {
-                self.call();
+                self.submit();
             }
-            for at in 0..self.nodes.len() {
-                if self.runs(at) && self.chance(0.7) {
-                    self.tick(at);
+            for index in 0..self.nodes.len() {
+                if self.is_running(index) && self.chance(0.7) {
+                    self.tick(index);
                 }
             }
         }
@@ -199,27 +202,27 @@
     }
 
     fn faults(&mut self) {
-        let at = self.rng.random_range(0..self.nodes.len());
+        let index = self.rng.random_range(0..self.nodes.len());
         if self.chance(0.006) {
-            self.nodes[at].paused = self.now + self.rng.random_range(5..200);
+            self.nodes[index].paused = self.now + self.rng.random_range(5..200);
         }
-        let lasts = if self.rough { 1500 } else { 150 };
-        if self.chance(if self.rough { 0.01 } else { 0.003 }) {
-            self.nodes[at].down = true;
-            // A second one often goes with the first.
+        let lasts = if self.long_outages { 1500 } else { 150 };
+        if self.chance(if self.long_outages { 0.01 } else { 0.003 }) {
+            self.nodes[index].down = true;
+            // A second instance often fails together with the first.
             if self.chance(0.2) {
                 let other = self.rng.random_range(0..self.nodes.len());
                 self.nodes[other].down = true;
             }
         }
-        if self.nodes[at].down && self.chance(if self.rough { 0.2 } else { 0.08 }) {
-            let name = self.nodes[at].name.clone();
+        if self.nodes[index].down && self.chance(if self.long_outages { 0.2 } else { 0.08 }) {
+            let name = self.nodes[index].name.clone();
             let life = Life(self.now << 20);
             let settings = Settings {
                 life,
                 ..Settings::default()
             };
-            self.nodes[at] = Node {
+            self.nodes[index] = Node {
                 ledger: Ledger::new(name.clone(), settings),
                 name,
                 life,
@@ -234,18 +237,18 @@
             };
         }
         if self.chance(0.004) {
-            self.kv_down = self.now + self.rng.random_range(5..lasts);
+            self.store_down = self.now + self.rng.random_range(5..lasts);
         }
     }
 
-    fn service(&mut self) {
-        if self.kv_down > self.now {
+    fn apply_due_writes(&mut self) {
+        if self.store_down > self.now {
             return;
         }
         let now = self.now;
         let due: Vec<_> = self
             .writes
-            .extract_if(.., |write| write.at <= now)
+            .extract_if(.., |write| write.due <= now)
             .collect();
         for write in due {
             self.write(write.base, write.table);
@@ -253,51 +256,56 @@
     }
 
     fn write(&mut self, base: u64, table: Table) -> bool {
-        let fits = self.kv.version == base;
+        let fits = self.store.version == base;
         if fits {
-            self.kv = table;
+            self.store = table;
         }
         fits
     }
 
     /// Compare-and-swap whose answer, or the whole call, may be lost or late.
-    fn swap(&mut self, at: usize, slot: Slot, table: Result<Table, Refused>) -> bool {
-        // The view may have moved on since the entry was looked at.
+    fn compare_and_swap(
+        &mut self,
+        index: usize,
+        slot: Slot,
+        table: Result<Table, Refused>,
+    ) -> bool {
+        // The table may have changed since the entry was read.
         let Ok(table) = table else {
             return false;
         };
-        let base = self.nodes[at].table.version;
+        let base = self.nodes[index].table.version;
         let entry = table.entry(slot).unwrap().clone();
-        let known = self.nodes[at].ledger.has_proposal(slot);
-        if self.nodes[at].ledger.propose(slot, base, entry).is_err() {
+        let known = self.nodes[index].ledger.has_proposal(slot);
+        if self.nodes[index].ledger.propose(slot, base, entry).is_err() {
             return false;
         }
-        if !known && self.kv_down > self.now && self.chance(0.8) {
+        if !known && self.store_down > self.now && self.chance(0.8) {
             // The read before the write failed, so nothing was sent.
-            self.nodes[at].ledger.withdraw(slot);
+            self.nodes[index].ledger.withdraw(slot);
             return false;
         }
-        if self.kv_down > self.now || self.chance(0.1) {
+        if self.store_down > self.now || self.chance(0.1) {
             if self.chance(0.5) {
-                let at = self.now + self.rng.random_range(1..60);
-                self.writes.push(Write { at, base, table });
+                let due = self.now + self.rng.random_range(1..60);
+                self.writes.push(Write { due, base, table });
             }
             return false;
         }
         let done = self.write(base, table);
         if self.chance(0.85) {
-            self.read(at);
+            self.read(index);
         }
         done
     }
 
-    fn read(&mut self, at: usize) {
-        if self.kv_down > self.now {
+    fn read(&mut self, index: usize) {
+        if self.store_down > self.now {
             return;
         }
-        let table = self.kv.clone();
+        let table = self.store.clone();
         let now = self.time();
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[index];
         let version = table.version;
         let events = node.ledger.observe(now, &table);
         node.ledger.confirm(now, version);
@@ -311,7 +319,7 @@
                 Event::Ended(name, end) => {
                     let slot = name.key.slot(SLOTS);
                     let seq = node.ledger.seq(slot, &name).unwrap();
-                    let effect = Effect::Tell(end);
+                    let effect = Effect::Report(end);
                     node.pending.push(Pending {
                         slot,
                         name,
@@ -325,17 +333,17 @@
     }
 
     fn send(&mut self, from: usize, to: usize, body: Body) {
-        if self.chance(self.lossy) {
+        if self.chance(self.loss) {
             return;
         }
-        let copies = if self.chance(self.lossy) { 2 } else { 1 };
+        let copies = if self.chance(self.loss) { 2 } else { 1 };
         for _ in 0..copies {
             let late = if self.chance(0.05) { 80 } else { 4 };
-            let at = self.now + self.rng.random_range(1..=late);
+            let due = self.now + self.rng.random_range(1..=late);
             let body = body.clone();
             let life = self.nodes[to].life;
             self.net.push(Message {
-                at,
+                due,
                 from,
                 to,
                 life,
@@ -344,7 +352,7 @@
         }
     }
 
-    fn at(&self, name: &Instance) -> usize {
+    fn index_of(&self, name: &Instance) -> usize {
         self.nodes
             .iter()
             .position(|node| node.name == *name)
@@ -353,7 +361,7 @@
 
     fn publish(&mut self, from: usize, step: &Step) {
         for to in &step.to {
-            let to = self.at(to);
+            let to = self.index_of(to);
             self.send(from, to, Body::Update(step.update.clone()));
         }
     }
@@ -361,23 +369,23 @@
     fn deliver(&mut self) {
         let now = self.now;
         let paused: Vec<_> = (0..self.nodes.len())
-            .map(|at| !self.nodes[at].down && self.nodes[at].paused > now)
+            .map(|index| !self.nodes[index].down && self.nodes[index].paused > now)
             .collect();
         let due: Vec<_> = self
             .net
-            .extract_if(.., |message| message.at <= now && !paused[message.to])
+            .extract_if(.., |message| message.due <= now && !paused[message.to])
             .collect();
         for message in due {
             let node = &self.nodes[message.to];
-            // Pieces of a copy go over a connection, which ends with the process.
+            // Chunks of a copy are sent over a connection, which ends with the process.
             let late = node.life != message.life && matches!(message.body, Body::Chunk(_));
             if !node.down && !late {
-                self.take(message);
+                self.receive(message);
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn receive(&mut self, message: Message) {
         let Message { from, to, body, .. } = message;
         let time = self.time();
         let peer = self.nodes[from].name.clone();
@@ -390,8 +398,8 @@
             }
             Body::Ack(slot, epoch, ack) => {
                 match node.ledger.acked(slot, epoch, &peer, ack).unwrap() {
-                    // Sent again with the next tick; at once, each gap would
-                    // bring a round of gaps.
+                    // Resent with the next tick: resent at once, each gap would lead to further
+                    // gaps.
                     Next::Nothing | Next::Resend => {}
                     Next::Copy => self.copy(to, from, slot),
                     Next::Table => self.read(to),
@@ -441,36 +449,36 @@
         }
     }
 
-    /// The executor takes what was sent, perhaps long after.
+    /// The executor runs the attempts that were sent, perhaps long after.
     fn execute(&mut self) {
         let now = self.now;
         let due: Vec<_> = self.sends.extract_if(.., |send| send.0 <= now).collect();
         for (_, from, name, _) in due {
-            let fate = self.fate(&name);
+            let history = self.history(&name);
             assert!(
-                !fate.not_run() || fate.resent,
-                "{name} ran after it was told not run"
+                !history.reported_not_run() || history.resent,
+                "{name} ran after it was reported as not run"
             );
-            fate.runs += 1;
-            let at = now + self.rng.random_range(1..10);
-            self.answers.push((at, from, name));
+            history.runs += 1;
+            let due = now + self.rng.random_range(1..10);
+            self.answers.push((due, from, name));
         }
         let due: Vec<_> = self
             .answers
             .extract_if(.., |answer| answer.0 <= now)
             .collect();
-        for (at, to, name) in due {
-            if self.runs(to) {
+        for (time, to, name) in due {
+            if self.is_running(to) {
                 self.answer(to, &name);
             } else if !self.nodes[to].down {
-                self.answers.push((at + 5, to, name));
+                self.answers.push((time + 5, to, name));
             }
         }
     }
 
-    fn answer(&mut self, at: usize, name: &Name) {
+    fn answer(&mut self, index: usize, name: &Name) {
         let slot = name.key.slot(SLOTS);
-        let ledger = &self.nodes[at].ledger;
+        let ledger = &self.nodes[index].ledger;
         let open = ledger
             .record(slot, name)
             .is_some_and(|r| r.end.is_none() && !r.is_complete());
@@ -481,23 +489,23 @@
                 body: bytes::Bytes::new(),
             };
             let done = self
-                .change(at, slot, name, Change::Answer(Box::new(answer)))
+                .change(index, slot, name, Change::Answer(Box::new(answer)))
                 .is_some();
             if done {
-                self.end(at, slot, name, End::Done);
+                self.end(index, slot, name, End::Done);
             }
         }
     }
 
-    fn end(&mut self, at: usize, slot: Slot, name: &Name, end: End) {
-        if let Some(step) = self.change(at, slot, name, Change::End(end)) {
-            self.expect(at, slot, name, step.seq, Effect::Tell(end));
+    fn end(&mut self, index: usize, slot: Slot, name: &Name, end: End) {
+        if let Some(step) = self.change(index, slot, name, Change::End(end)) {
+            self.defer(index, slot, name, step.seq, Effect::Report(end));
         }
     }
 
-    fn expect(&mut self, at: usize, slot: Slot, name: &Name, seq: Seq, effect: Effect) {
+    fn defer(&mut self, index: usize, slot: Slot, name: &Name, seq: Seq, effect: Effect) {
         let name = name.clone();
-        self.nodes[at].pending.push(Pending {
+        self.nodes[index].pending.push(Pending {
             slot,
             name,
             seq,
@@ -505,14 +513,14 @@
         });
     }
 
-    fn change(&mut self, at: usize, slot: Slot, name: &Name, change: Change) -> Option<Step> {
+    fn change(&mut self, index: usize, slot: Slot, name: &Name, change: Change) -> Option<Step> {
         let time = self.time();
-        let made = self.nodes[at]
+        let made = self.nodes[index]
             .ledger
             .change(time, slot, name.clone(), change);
         match made {
             Ok(step) => {
-                self.publish(at, &step);
+                self.publish(index, &step);
                 Some(step)
             }
             Err(coltsfoothall::ledger::Error::Broken(broken)) => panic!("{broken}"),
@@ -520,50 +528,53 @@
         }
     }
 
-    fn fate(&mut self, name: &Name) -> &mut Fate {
-        let found = self.fates.iter_mut().find(|fate| fate.intake.name == *name);
+    fn history(&mut self, name: &Name) -> &mut History {
+        let found = self
+            .histories
+            .iter_mut()
+            .find(|history| history.intake.name == *name);
         found.unwrap()
     }
 
-    /// A caller sends a request, new or again, to any instance.
-    fn call(&mut self) {
-        let at = self.rng.random_range(0..self.nodes.len());
-        if !self.runs(at) {
+    /// A caller sends a request, new or repeated, to any instance.
+    fn submit(&mut self) {
+        let index = self.rng.random_range(0..self.nodes.len());
+        if !self.is_running(index) {
             return;
         }
-        let again = !self.fates.is_empty() && self.chance(0.6);
+        let again = !self.histories.is_empty() && self.chance(0.6);
         let intake = if again {
-            let recent = self.fates.len().saturating_sub(12);
-            let pick = self.fates[recent..].choose(&mut self.rng).unwrap();
+            let recent = self.histories.len().saturating_sub(12);
+            let pick = self.histories[recent..].choose(&mut self.rng).unwrap();
             pick.intake.clone()
         } else {
-            let intake = self.intake(at);
-            let fate = Fate {
+            let intake = self.intake(index);
+            let history = History {
                 intake: intake.clone(),
                 runs: 0,
                 ends: Vec::new(),
                 resent: false,
                 done: None,
             };
-            self.fates.push(fate);
+            self.histories.push(history);
             intake
         };
         let slot = intake.name.key.slot(SLOTS);
         let time = self.time();
-        match self.nodes[at]
+        match self.nodes[index]
             .ledger
             .begin(time, intake.clone(), slot)
             .unwrap()
         {
             Begin::New(step) => {
-                let fate = self.fate(&intake.name);
-                fate.resent |= fate.not_run() && intake.idempotent;
-                self.publish(at, &step);
+                let history = self.history(&intake.name);
+                history.resent |= history.reported_not_run() && intake.idempotent;
+                self.publish(index, &step);
             }
             Begin::Join(seq) => {
-                let record = self.nodes[at].ledger.record(slot, &intake.name).unwrap();
+                let record = self.nodes[index].ledger.record(slot, &intake.name).unwrap();
                 if let Some(end) = record.end {
-                    self.expect(at, slot, &intake.name, seq, Effect::Tell(end));
+                    self.defer(index, slot, &intake.name, seq, Effect::Report(end));
                 }
             }
             Begin::Reused => panic!("equal requests differ"),
@@ -571,10 +582,10 @@
         }
     }
 
-    fn intake(&mut self, at: usize) -> Intake {
-        let owned: Vec<_> = self.nodes[at].ledger.served_slots().collect();
+    fn intake(&mut self, index: usize) -> Intake {
+        let served: Vec<_> = self.nodes[index].ledger.served_slots().collect();
         let unique = self.rng.random();
-        let key = match owned.choose(&mut self.rng) {
+        let key = match served.choose(&mut self.rng) {
             Some((slot, epoch)) if unique % 2 == 0 => Key::mint(*slot, *epoch, unique),
             _ => format!("own-{unique:x}").parse().unwrap(),
         };
@@ -596,191 +607,197 @@
         }
     }
 
-    fn tick(&mut self, at: usize) {
+    fn tick(&mut self, index: usize) {
         if self.chance(0.1) {
-            self.read(at);
+            self.read(index);
         }
-        self.effects(at);
-        self.work(at);
+        self.apply_effects(index);
+        self.run_requests(index);
         for slot in (0..SLOTS).map(Slot) {
             if self.chance(0.3) {
-                self.keep(at, slot);
+                self.maintain(index, slot);
             }
         }
     }
 
-    fn effects(&mut self, at: usize) {
-        let node = &mut self.nodes[at];
+    fn apply_effects(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
         let ledger = &node.ledger;
         let may = |p: &Pending| ledger.may_leave(p.slot, &p.name, p.seq);
         let ready: Vec<_> = node.pending.extract_if(.., |p| may(p)).collect();
         for pending in ready {
             match pending.effect {
                 Effect::Send(attempt) => {
-                    // The instance may stand still between its look and its send.
+                    // The instance may stall between the check and the send.
                     let late = if self.chance(0.15) { 150 } else { 2 };
                     let due = self.now + self.rng.random_range(1..=late);
-                    self.sends.push((due, at, pending.name, attempt));
+                    self.sends.push((due, index, pending.name, attempt));
                 }
-                Effect::Tell(end) => {
-                    let ledger = &self.nodes[at].ledger;
+                Effect::Report(end) => {
+                    let ledger = &self.nodes[index].ledger;
                     let held = ledger.released(pending.slot) >= Some(pending.seq);
                     let epoch = ledger.epoch(pending.slot).filter(|_| held);
-                    self.tell(&pending.name, end, epoch);
+                    self.report(&pending.name, end, epoch);
                 }
             }
         }
     }
 
-    fn tell(&mut self, name: &Name, end: End, epoch: Option<Epoch>) {
-        self.told[match end {
+    fn report(&mut self, name: &Name, end: End, epoch: Option<Epoch>) {
+        self.reported[match end {
             End::Done => 0,
             End::NotRun(_) => 1,
             End::Unknown(_) => 2,
         }] += 1;
-        let fate = self.fate(name);
-        let first = matches!(end, End::NotRun(_)) && !fate.resent;
+        let history = self.history(name);
+        let first = matches!(end, End::NotRun(_)) && !history.resent;
         assert!(
-            !first || fate.runs == 0,
-            "{name} had run when it was told not run"
+            !first || history.runs == 0,
+            "{name} had run when it was reported as not run"
         );
-        fate.ends.push(end);
+        history.ends.push(end);
         if end == End::Done {
-            assert!(fate.runs > 0, "{name} was told done and never ran");
-            fate.done = fate.done.max(epoch);
+            assert!(
+                history.runs > 0,
+                "{name} was reported as done but never ran"
+            );
+            history.done = history.done.max(epoch);
         }
     }
 
-    /// The owner carries its open requests on.
-    fn work(&mut self, at: usize) {
-        let ledger = &self.nodes[at].ledger;
-        let owned: Vec<_> = ledger.served_slots().map(|(slot, _)| slot).collect();
-        for slot in owned {
-            let ledger = &self.nodes[at].ledger;
+    /// The primary processes its open requests.
+    fn run_requests(&mut self, index: usize) {
+        let ledger = &self.nodes[index].ledger;
+        let served: Vec<_> = ledger.served_slots().map(|(slot, _)| slot).collect();
+        for slot in served {
+            let ledger = &self.nodes[index].ledger;
             let open: Vec<_> = ledger.open(slot).cloned().collect();
             for record in open {
                 let name = record.intake.name.clone();
-                let mine = self.nodes[at].pending.iter().position(|p| p.name == name);
+                let mine = self.nodes[index]
+                    .pending
+                    .iter()
+                    .position(|p| p.name == name);
                 if record.is_complete() {
-                    self.end(at, slot, &name, End::Done);
-                } else if let Some(place) = mine {
+                    self.end(index, slot, &name, End::Done);
+                } else if let Some(position) = mine {
                     if self.chance(0.01) {
-                        self.withdraw(at, slot, &name, place);
+                        self.withdraw(index, slot, &name, position);
                     }
                 } else if !record.begun() && self.chance(0.03) {
-                    self.end(at, slot, &name, End::NotRun(Cause::Deadline));
+                    self.end(index, slot, &name, End::NotRun(Cause::Deadline));
                 } else if !record.begun() || record.intake.idempotent && self.chance(0.05) {
-                    self.attempt(at, slot, &name);
+                    self.attempt(index, slot, &name);
                 }
             }
         }
     }
 
-    fn attempt(&mut self, at: usize, slot: Slot, name: &Name) {
+    fn attempt(&mut self, index: usize, slot: Slot, name: &Name) {
         self.attempts += 1;
         let attempt = self.attempts;
         let endpoint = "e".parse().unwrap();
-        if let Some(step) = self.change(at, slot, name, Change::Sent { attempt, endpoint }) {
-            self.expect(at, slot, name, step.seq, Effect::Send(attempt));
+        if let Some(step) = self.change(index, slot, name, Change::Sent { attempt, endpoint }) {
+            self.defer(index, slot, name, step.seq, Effect::Send(attempt));
         }
     }
 
-    /// The owner recorded an attempt, did not send it and gives the request up.
-    fn withdraw(&mut self, at: usize, slot: Slot, name: &Name, place: usize) {
-        let Effect::Send(attempt) = self.nodes[at].pending[place].effect else {
+    /// The primary has recorded an attempt, does not send it and gives the request up.
+    fn withdraw(&mut self, index: usize, slot: Slot, name: &Name, position: usize) {
+        let Effect::Send(attempt) = self.nodes[index].pending[position].effect else {
             return;
         };
         if self
-            .change(at, slot, name, Change::Refused { attempt })
+            .change(index, slot, name, Change::Refused { attempt })
             .is_some()
         {
-            self.nodes[at].pending.retain(|p| p.name != *name);
-            let record = self.nodes[at].ledger.record(slot, name).unwrap();
+            self.nodes[index].pending.retain(|p| p.name != *name);
+            let record = self.nodes[index].ledger.record(slot, name).unwrap();
             if !record.begun() {
-                self.end(at, slot, name, End::NotRun(Cause::Deadline));
+                self.end(index, slot, name, End::NotRun(Cause::Deadline));
             }
         }
     }
 
-    /// Looks after one slot as the table that it knows says.
-    fn keep(&mut self, at: usize, slot: Slot) {
-        let node = &self.nodes[at];
+    /// Maintains one slot according to the table that the instance knows.
+    fn maintain(&mut self, index: usize, slot: Slot) {
+        let node = &self.nodes[index];
         let Some(entry) = node.table.entry(slot).cloned() else {
-            return self.read(at);
+            return self.read(index);
         };
         let me = node.name.clone();
-        let owner = node.ledger.served_slots().any(|(owned, _)| owned == slot);
+        let owner = node.ledger.served_slots().any(|(served, _)| served == slot);
         if entry.primary == me {
-            self.lead(at, slot, &entry, owner);
-        } else if entry.backup.as_ref() == Some(&me) && self.passes(at, slot) {
-            self.pass_on(at, slot, &entry);
+            self.act_as_primary(index, slot, &entry, owner);
+        } else if entry.backup.as_ref() == Some(&me) && self.should_hand_back(index, slot) {
+            self.hand_back(index, slot, &entry);
         } else if entry.backup.as_ref() == Some(&me) {
-            let dead = self.nodes[self.at(&entry.primary)].down;
+            let dead = self.nodes[self.index_of(&entry.primary)].down;
             if owner || self.chance(if dead { 0.5 } else { 0.01 }) {
-                self.nodes[at].ledger.seal(slot);
-                let table = self.nodes[at].table.takeover(slot, entry.epoch, &me);
-                self.takeovers += u32::from(self.swap(at, slot, table));
+                self.nodes[index].ledger.seal(slot);
+                let table = self.nodes[index].table.takeover(slot, entry.epoch, &me);
+                self.takeovers += u32::from(self.compare_and_swap(index, slot, table));
             }
         }
-        self.claim(at, slot, &entry);
+        self.claim(index, slot, &entry);
     }
 
-    fn claim(&mut self, at: usize, slot: Slot, entry: &Entry) {
-        let me = self.nodes[at].name.clone();
+    fn claim(&mut self, index: usize, slot: Slot, entry: &Entry) {
+        let me = self.nodes[index].name.clone();
         let lost = |name: &Instance| {
-            let node = &self.nodes[self.at(name)];
+            let node = &self.nodes[self.index_of(name)];
             node.down || !node.ledger.keeps(slot, entry.epoch)
         };
-        let gone = lost(&entry.primary) && entry.backup.as_ref().is_none_or(lost);
-        // Now and then two live holders are believed dead.
-        if self.chance(if gone { 0.3 } else { 0.001 }) {
-            let table = self.nodes[at].table.claim(slot, entry.epoch, &me);
-            self.claims += u32::from(self.swap(at, slot, table));
+        let dead = lost(&entry.primary) && entry.backup.as_ref().is_none_or(lost);
+        // Occasionally two live holders are taken for dead.
+        if self.chance(if dead { 0.3 } else { 0.001 }) {
+            let table = self.nodes[index].table.claim(slot, entry.epoch, &me);
+            self.claims += u32::from(self.compare_and_swap(index, slot, table));
         }
     }
 
-    fn lead(&mut self, at: usize, slot: Slot, entry: &Entry, owner: bool) {
-        let me = self.nodes[at].name.clone();
+    fn act_as_primary(&mut self, index: usize, slot: Slot, entry: &Entry, owner: bool) {
+        let me = self.nodes[index].name.clone();
         let other = self.rng.random_range(0..self.nodes.len());
-        let backup = entry.backup.as_ref().map(|name| self.at(name));
-        if self.alone && backup.is_some() && self.chance(0.02) {
-            self.nodes[at].ledger.run_unreplicated(slot);
+        let backup = entry.backup.as_ref().map(|name| self.index_of(name));
+        if self.may_run_unreplicated && backup.is_some() && self.chance(0.02) {
+            self.nodes[index].ledger.run_unreplicated(slot);
         }
         if let Some(backup) = backup {
-            self.resend(at, backup, slot);
+            self.resend(index, backup, slot);
         }
-        let gone = backup.is_none_or(|backup| self.nodes[backup].down);
+        let dead = backup.is_none_or(|backup| self.nodes[backup].down);
         let peer = self.nodes[other].name.clone();
-        if self.nodes[at].ledger.ready(slot, &peer) {
-            let table = &self.nodes[at].table;
-            if self.nodes[at].ledger.drained(slot) {
-                let heir = self.nodes[at].ledger.process(slot, &peer).unwrap();
-                let table = table.hand_over(slot, entry.epoch, &me, &heir);
-                self.swaps += u32::from(self.swap(at, slot, table));
+        if self.nodes[index].ledger.ready(slot, &peer) {
+            let table = &self.nodes[index].table;
+            if self.nodes[index].ledger.drained(slot) {
+                let successor = self.nodes[index].ledger.process(slot, &peer).unwrap();
+                let table = table.hand_over(slot, entry.epoch, &me, &successor);
+                self.table_handovers += u32::from(self.compare_and_swap(index, slot, table));
             } else {
-                let backup = self.nodes[at].ledger.process(slot, &peer);
+                let backup = self.nodes[index].ledger.process(slot, &peer);
                 let table = table.replace_backup(slot, entry.epoch, &me, backup);
-                self.swap(at, slot, table);
+                self.compare_and_swap(index, slot, table);
             }
-        } else if other != at && self.chance(if gone { 0.3 } else { 0.01 }) {
-            self.copy(at, other, slot);
-        } else if other != at {
-            self.resend(at, other, slot);
+        } else if other != index && self.chance(if dead { 0.3 } else { 0.01 }) {
+            self.copy(index, other, slot);
+        } else if other != index {
+            self.resend(index, other, slot);
         }
         if !owner && self.chance(0.02) {
-            let table = self.nodes[at]
+            let table = self.nodes[index]
                 .table
                 .replace_backup(slot, entry.epoch, &me, None);
-            self.swap(at, slot, table);
+            self.compare_and_swap(index, slot, table);
         }
-        self.leave(at, slot);
+        self.leave(index, slot);
     }
 
-    fn leave(&mut self, at: usize, slot: Slot) {
-        let ledger = &mut self.nodes[at].ledger;
+    fn leave(&mut self, index: usize, slot: Slot) {
+        let ledger = &mut self.nodes[index].ledger;
         if ledger.drained(slot) {
             if self.rng.random_bool(0.3) {
-                self.yield_slot(at, slot);
+                self.yield_slot(index, slot);
             }
         } else if self.rng.random_bool(0.02) {
             ledger.drain(slot);
@@ -790,82 +807,87 @@
         }
     }
 
-    /// Whether a backup that has become the owner gives the slot on by word.
-    fn passes(&mut self, at: usize, slot: Slot) -> bool {
-        let ledger = &self.nodes[at].ledger;
+    /// Whether a backup that has become primary hands the slot back directly.
+    fn should_hand_back(&mut self, index: usize, slot: Slot) -> bool {
+        let ledger = &self.nodes[index].ledger;
         let owns = ledger.released(slot).is_some() || ledger.drained(slot);
-        owns && self.chance(if self.rough { 0.7 } else { 0.3 })
+        owns && self.chance(if self.long_outages { 0.7 } else { 0.3 })
     }
 
-    fn yield_slot(&mut self, at: usize, slot: Slot) {
-        let node = &mut self.nodes[at];
-        if let Some((heir, handoff)) = node.ledger.hand_over(slot) {
+    fn yield_slot(&mut self, index: usize, slot: Slot) {
+        let node = &mut self.nodes[index];
+        if let Some((successor, handoff)) = node.ledger.hand_over(slot) {
             node.pending.retain(|pending| pending.slot != slot);
-            self.handovers += 1;
-            let to = self.at(&heir);
-            self.send(at, to, Body::Handoff(handoff));
-            // Slots are given away to stop.
-            self.nodes[at].down = self.rough && self.rng.random_bool(0.3);
+            self.direct_handoffs += 1;
+            let to = self.index_of(&successor);
+            self.send(index, to, Body::Handoff(handoff));
+            // An instance hands its slots over in order to stop.
+            self.nodes[index].down = self.long_outages && self.rng.random_bool(0.3);
         }
     }
 
-    /// A backup that acts as owner by word gives the slot back the same way to a
-    /// primary that began anew.
-    fn pass_on(&mut self, at: usize, slot: Slot, entry: &Entry) {
-        let heir = self.at(&entry.primary);
-        let node = &self.nodes[heir];
+    /// A backup that became primary by a direct handoff hands the slot back the same way to a
+    /// primary that restarted.
+    fn hand_back(&mut self, index: usize, slot: Slot, entry: &Entry) {
+        let successor = self.index_of(&entry.primary);
+        let node = &self.nodes[successor];
         if node.down || node.ledger.keeps(slot, entry.epoch) {
             return;
         }
-        let ledger = &mut self.nodes[at].ledger;
+        let ledger = &mut self.nodes[index].ledger;
         if ledger.drained(slot) {
-            return self.yield_slot(at, slot);
+            return self.yield_slot(index, slot);
         }
         if !ledger.ready(slot, &entry.primary) {
-            // A copy that is begun again before it is whole never gets there.
+            // A copy that is restarted before it is complete never completes.
             if self.chance(0.1) {
-                self.copy(at, heir, slot);
+                self.copy(index, successor, slot);
             }
             return;
         }
         ledger.drain(slot);
-        self.renewals += 1;
-        self.resend(at, heir, slot);
+        self.handbacks += 1;
+        self.resend(index, successor, slot);
     }
 
     fn check(&self) {
-        for fate in &self.fates {
-            let name = &fate.intake.name;
-            if !fate.intake.idempotent {
-                assert!(fate.runs <= 1, "{name} ran {} times", fate.runs);
+        for history in &self.histories {
+            let name = &history.intake.name;
+            if !history.intake.idempotent {
+                assert!(history.runs <= 1, "{name} ran {} times", history.runs);
             }
-            let not_run = fate.not_run() && !fate.resent;
+            let not_run = history.reported_not_run() && !history.resent;
+            assert!(
+                !not_run || history.runs == 0,
+                "{name} ran and was reported as not run"
+            );
+            let done = history.ends.contains(&End::Done);
             assert!(
-                !not_run || fate.runs == 0,
-                "{name} ran and was told not run"
+                !done || !not_run,
+                "{name} was reported as done and as not run"
             );
-            let done = fate.ends.contains(&End::Done);
-            assert!(!done || !not_run, "{name} was told done and not run");
         }
     }
 
-    /// All faults end; every request told done is still known as done, unless
-    /// its slot was claimed cold since.
-    pub fn settle(&mut self) {
-        for at in 0..self.nodes.len() {
-            self.nodes[at].paused = 0;
+    /// Ends all faults and checks that every request reported as done is still known as done,
+    /// unless its slot was claimed without records since.
+    pub fn check_recovery(&mut self) {
+        for index in 0..self.nodes.len() {
+            self.nodes[index].paused = 0;
         }
-        self.kv_down = 0;
+        self.store_down = 0;
         self.read_all();
-        for fate in &self.fates {
-            let name = &fate.intake.name;
+        for history in &self.histories {
+            let name = &history.intake.name;
             let slot = name.key.slot(SLOTS);
-            let entry = self.kv.entry(slot).unwrap();
-            let Some(epoch) = fate.done.filter(|epoch| *epoch >= entry.cold) else {
+            let entry = self.store.entry(slot).unwrap();
+            let Some(epoch) = history.done.filter(|epoch| *epoch >= entry.cold) else {
                 continue;
             };
             let holders = std::iter::once(&entry.primary).chain(&entry.backup);
-            let live: Vec<_> = holders.map(|name| &self.nodes[self.at(name)]).collect();
+            let live: Vec<_> = holders
+                .map(|name| &self.nodes[self.index_of(name)])
+                .collect();
             let copies = live
                 .iter()
                 .filter(|node| !node.down && node.ledger.keeps(slot, entry.epoch));
@@ -882,9 +904,9 @@
     }
 
     fn read_all(&mut self) {
-        for at in 0..self.nodes.len() {
-            if !self.nodes[at].down {
-                self.read(at);
+        for index in 0..self.nodes.len() {
+            if !self.nodes[index].down {
+                self.read(index);
             }
         }
     }
