--- a/coltsfoothall-call/src/own.rs
+++ b/coltsfoothall-call/src/own.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coltsfoothall::catalog;
-use coltsfoothall::choice::{self, Ask, Endpoint, Router, Run};
+use coltsfoothall::choice::{self, Endpoint, Query, Router, Run};
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 use coltsfoothall::index::Event;
@@ -105,34 +105,34 @@
     fn send(&mut self, now: Time, at: usize, call: Call<'_>) -> Option<usize> {
         let entry = &mut self.entries[at];
         let exclude: Vec<id::Endpoint> = call.exclude.iter().map(|engine| name(*engine)).collect();
-        let ask = ask(&self.service, &entry.domain, &exclude, call);
-        let pick = entry.router.choose(now, &ask)?;
-        let run = entry.router.began(now, &pick.endpoint, &ask);
+        let query = query(&self.service, &entry.domain, &exclude, call);
+        let pick = entry.router.choose(now, &query)?;
+        let run = entry.router.record_start(now, &pick.endpoint, &query);
         self.open[call.number].run = Some(run);
         Some(engine(&pick.endpoint))
     }
 
     fn expect(&mut self, now: Time, at: usize, call: Call<'_>) -> Tokens {
         let entry = &mut self.entries[at];
-        let ask = ask(&self.service, &entry.domain, &[], call);
-        let pick = entry.router.choose(now, &ask);
-        pick.map_or(ask.prompt, |pick| ask.prompt.minus(pick.cached))
+        let query = query(&self.service, &entry.domain, &[], call);
+        let pick = entry.router.choose(now, &query);
+        pick.map_or(query.prompt, |pick| query.prompt.minus(pick.cached))
     }
 
     fn set_room(&mut self, now: Time, at: usize) {
         let entry = &mut self.entries[at];
-        let room = entry.router.room(now, &self.service);
-        entry.gate.set_room(&self.service, room);
+        let budget = entry.router.budget(now, &self.service);
+        entry.gate.set_budget(&self.service, budget);
     }
 }
 
-fn ask<'a>(
+fn query<'a>(
     service: &'a id::Service,
     domain: &'a id::Domain,
     exclude: &'a [id::Endpoint],
     call: Call<'a>,
-) -> Ask<'a> {
-    Ask {
+) -> Query<'a> {
+    Query {
         service,
         model: None,
         blocks: &call.request.blocks,
@@ -141,7 +141,7 @@
         class: call.request.class,
         domain,
         exclude,
-        alone: false,
+        isolated: false,
     }
 }
 
@@ -160,7 +160,7 @@
     }
 
     fn leaving(&mut self, entry: usize, engine: usize) {
-        self.entries[entry].router.leaving(&name(engine));
+        self.entries[entry].router.mark_leaving(&name(engine));
     }
 
     fn offer(&mut self, now: Time, entry: usize, call: Call<'_>) -> Answer {
@@ -198,23 +198,23 @@
         let entry = &mut self.entries[entry];
         let open = &mut self.open[number];
         if let Some(run) = &mut open.run {
-            entry.router.first(now, run, Some(cached));
+            entry.router.record_first_token(now, run, Some(cached));
         }
         if let Some(number) = open.number {
-            entry.gate.read(now, number);
+            entry.gate.record_prefill(now, number);
         }
     }
 
     fn left(&mut self, now: Time, entry: usize, number: usize) {
         if let Some(run) = self.open[number].run.take() {
-            self.entries[entry].router.ended(now, run);
+            self.entries[entry].router.record_end(now, run);
         }
     }
 
     fn ended(&mut self, now: Time, entry: usize, number: usize) {
         if let Some(number) = self.open[number].number.take() {
             let entry = &mut self.entries[entry];
-            entry.gate.ended(now, number);
+            entry.gate.record_end(now, number);
             entry.waiting.retain(|(have, _)| *have != number);
         }
     }
@@ -222,14 +222,14 @@
     fn report(&mut self, now: Time, entry: usize, engine: usize, report: &Report) {
         if !self.settings.no_reports {
             let router = &mut self.entries[entry].router;
-            router.report(now, &name(engine), report);
+            router.record_report(now, &name(engine), report);
         }
     }
 
     fn events(&mut self, _now: Time, entry: usize, engine: usize, events: &[Event]) {
         if !self.settings.no_events {
             let router = &mut self.entries[entry].router;
-            router.cache_events(&name(engine), events);
+            router.record_cache_events(&name(engine), events);
         }
     }
 
--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -186,7 +186,11 @@
             id: sender.instance.clone(),
             age: None,
         };
-        if self.config.hear(&source, Revision(sender.revision), now) == Need::Fetch {
+        if self
+            .config
+            .merge_revision(&source, Revision(sender.revision), now)
+            == Need::Fetch
+        {
             fetch::config(Arc::clone(&self.node), sender.instance.clone());
         }
         if sender.slots > self.slots.version() {
@@ -231,11 +235,14 @@
                 self.dispatch.report(now, &endpoint, &report);
             }
             Message::Cache(endpoint, events) => {
-                let _lost = self.dispatch.router().cache_events(&endpoint, &events);
+                let _lost = self
+                    .dispatch
+                    .router()
+                    .record_cache_events(&endpoint, &events);
             }
             Message::Catalog(source, catalog) => self.adopt(&source, catalog),
             Message::Held { base, reply } => {
-                let held = self.config.held().cloned().unwrap_or_default();
+                let held = self.config.current().cloned().unwrap_or_default();
                 let base = self.config.at(base).cloned();
                 let _gone = reply.send(Held { held, base });
             }
@@ -317,15 +324,15 @@
         match self.config.offer(source, catalog, now) {
             Outcome::Adopted { from, to } => {
                 event::ADOPTED.emit(format_args!("from={from} to={to} source={source:?}"));
-                if let Some(held) = self.config.held() {
+                if let Some(held) = self.config.current() {
                     self.dispatch.set_workspaces(&held.workspaces);
                     self.node.board.revision(held.revision.0);
                 }
                 self.publish();
             }
             Outcome::Same => {}
-            Outcome::Older { offered, held } => {
-                event::OLDER.emit(format_args!("offered={offered} held={held}"));
+            Outcome::Older { offered, current } => {
+                event::OLDER.emit(format_args!("offered={offered} held={current}"));
             }
             Outcome::Fork { revision } => {
                 self.node
@@ -366,7 +373,7 @@
         let Ok(endpoint) = instance.as_str().parse::<id::Endpoint>() else {
             return;
         };
-        self.dispatch.router().leaving(&endpoint);
+        self.dispatch.router().mark_leaving(&endpoint);
         let input = Input::Leaving {
             endpoint,
             finishes: false,
@@ -399,7 +406,7 @@
     }
 
     fn own_config(&self) -> Option<peer::Config> {
-        let held = self.config.held()?;
+        let held = self.config.current()?;
         Some(peer::Config {
             from: self.node.settings.instance.clone(),
             age: self.config.age(self.node.now()).map(Millis::from),
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -112,7 +112,7 @@
 
     /// An endpoint reported its load.
     pub fn report(&mut self, now: Time, endpoint: &id::Endpoint, report: &Report) {
-        self.router.report(now, endpoint, report);
+        self.router.record_report(now, endpoint, report);
         let all = report.running.saturating_add(report.waiting) as usize;
         let others = all.saturating_sub(self.open_at(endpoint));
         self.rooms.note(now, endpoint, others);
@@ -212,8 +212,9 @@
     /// The first piece of an attempt's answer came.
     pub fn first(&mut self, now: Time, attempt: u64, cached: Tokens) {
         if let Some(open) = self.attempts.get(attempt) {
-            self.router.first(now, &mut open.run, Some(cached));
-            self.gate.read(now, open.number);
+            self.router
+                .record_first_token(now, &mut open.run, Some(cached));
+            self.gate.record_prefill(now, open.number);
         }
     }
 
@@ -227,7 +228,7 @@
         }
         let open = self.attempts.end(attempt)?;
         let endpoint = open.run.endpoint.clone();
-        self.router.ended(now, open.run);
+        self.router.record_end(now, open.run);
         if open.own {
             self.over(now, open.number);
         }
@@ -255,7 +256,7 @@
         endpoint: id::Endpoint,
         broken: Option<u64>,
     ) -> Option<id::Endpoint> {
-        self.router.suspect(&endpoint, now + AVOID);
+        self.router.mark_suspect(&endpoint, now + AVOID);
         self.judge.accuse(&endpoint, broken).then_some(endpoint)
     }
 
@@ -277,7 +278,7 @@
 
     /// An endpoint died. Returns the marks to tell peers of.
     pub fn died(&mut self, now: Time, endpoint: &id::Endpoint, announced: bool) -> Vec<Mark> {
-        self.router.suspect(endpoint, now + AVOID);
+        self.router.mark_suspect(endpoint, now + AVOID);
         let owed = self.attempts.dead(endpoint) + self.open_at(endpoint);
         if let Some(service) = self.rooms.service(endpoint).cloned() {
             self.retries.owe(now, &service, owed);
@@ -288,7 +289,7 @@
     /// A request is over; its place at the gate is free.
     pub fn over(&mut self, now: Time, number: Number) {
         self.claims.drop(number);
-        self.gate.ended(now, number);
+        self.gate.record_end(now, number);
         self.poll(now);
     }
 
@@ -304,7 +305,7 @@
         }
         for number in self.claims.late(now) {
             self.claims.drop(number);
-            self.gate.ended(now, number);
+            self.gate.record_end(now, number);
         }
         for outcome in self.gate.poll(now) {
             match outcome {
@@ -338,12 +339,12 @@
             suspicion::Verdict::Free => false,
         };
         let exclude = self.unfit(now, &waiting.pick, alone);
-        let ask = waiting.pick.ask(&self.domain, &exclude, alone);
-        let Some(chosen) = self.router.choose(now, &ask) else {
+        let query = waiting.pick.query(&self.domain, &exclude, alone);
+        let Some(chosen) = self.router.choose(now, &query) else {
             let wait = if alone { LATER } else { NONE };
             return self.stop(now, &waiting, no_pick(wait));
         };
-        let run = self.router.began(now, &chosen.endpoint, &ask);
+        let run = self.router.record_start(now, &chosen.endpoint, &query);
         let (attempt, reply) = (waiting.pick.attempt, waiting.reply.clone());
         self.judge.started(
             now,
@@ -388,8 +389,8 @@
 
     fn update_room(&mut self, now: Time, service: &id::Service) {
         self.retries.note(service);
-        let room = self.router.room(now, service);
-        self.gate.set_room(service, room);
+        let budget = self.router.budget(now, service);
+        self.gate.set_budget(service, budget);
     }
 }
 
--- a/coltsfoothall-entry/src/start.rs
+++ b/coltsfoothall-entry/src/start.rs
@@ -11,7 +11,7 @@
 
 use coltsfoothall::catalog::{Placement, Service};
 use coltsfoothall::clock::Time;
-use coltsfoothall::fleet::{self, Cell, Demand, Offer, Speed};
+use coltsfoothall::fleet::{self, Capacity, Demand, Kind, Offer};
 use coltsfoothall::id;
 use coltsfoothall::start::{self, Action, Input, Queue, Token, Wanted};
 use coltsfoothall::steward::Fence;
@@ -112,7 +112,7 @@
         {
             Ok(read) => {
                 let offer = |offer: coltsfoothall_wire::cloud::Offer| Offer {
-                    cell: Cell {
+                    kind: Kind {
                         domain: offer.domain,
                         class: offer.class,
                         lend: offer.lend,
@@ -131,9 +131,9 @@
     fn new(duty: &Duty, fence: Fence) -> Self {
         let settings = &duty.node.settings.stewards;
         let limits = start::Settings {
-            at_once: settings.at_once,
-            per_minute: settings.per_minute,
-            lag: settings.lag.duration(),
+            max_pending: settings.at_once,
+            max_per_minute: settings.per_minute,
+            max_lag: settings.lag.duration(),
             backoff: settings.backoff.duration(),
             ..start::Settings::default()
         };
@@ -159,7 +159,7 @@
         let mut starts = Vec::new();
         for action in actions {
             match action {
-                Action::Start { token, cell } => starts.push(begin(duty, fence, token, cell)),
+                Action::Start { token, kind } => starts.push(begin(duty, fence, token, kind)),
                 Action::Stop(id) => self.stop(duty, now, id),
             }
         }
@@ -223,17 +223,17 @@
         let settings = &duty.node.settings.stewards;
         let surge = duty.surge.load(Ordering::Relaxed);
         let load = estimate.load() + if surge { settings.carries } else { 0 };
-        let mut classes: Vec<&id::Class> = market.offers.iter().map(|o| &o.cell.class).collect();
+        let mut classes: Vec<&id::Class> = market.offers.iter().map(|o| &o.kind.class).collect();
         classes.sort_unstable();
         classes.dedup();
-        let speed = |class: &id::Class| Speed {
+        let capacity = |class: &id::Class| Capacity {
             class: class.clone(),
             load: settings.carries(class),
         };
-        let speeds: Vec<Speed> = classes.into_iter().map(speed).collect();
+        let capacities: Vec<Capacity> = classes.into_iter().map(capacity).collect();
         let demand = Demand {
             load,
-            speeds: speeds.clone(),
+            capacities: capacities.clone(),
             min: service.min,
             max: service.max,
             ..Demand::default()
@@ -245,9 +245,9 @@
             .unwrap_or_else(|| anywhere(&service.name));
         let plan = fleet::plan(&demand, &market.offers, &placement);
         let wanted = Wanted {
-            holds: plan.holds,
+            allocations: plan.allocations,
             offers: allowed(market, &placement),
-            speeds,
+            capacities,
         };
         self.queue.handle(duty.node.now(), Input::Wanted(wanted));
         self.has_wanted = true;
@@ -290,14 +290,14 @@
 }
 
 /// Asks for an instance if the lease still allows it.
-async fn begin(duty: &Duty, fence: Fence, token: Token, cell: Cell) -> Input {
+async fn begin(duty: &Duty, fence: Fence, token: Token, kind: Kind) -> Input {
     let node = &duty.node;
     let start = Start {
         token: token.as_str().into(),
         service: duty.service.clone(),
-        domain: cell.domain,
-        class: cell.class,
-        lend: cell.lend,
+        domain: kind.domain,
+        class: kind.class,
+        lend: kind.lend,
     };
     let cloud = node.settings.cloud.to_string();
     if !duty.lease.allows(fence) {
@@ -348,14 +348,14 @@
         lend,
         ..
     } = machine.clone();
-    let cell = Cell {
+    let kind = Kind {
         domain,
         class,
         lend,
     };
     start::Machine {
         id: machine.id.clone(),
-        cell,
+        kind,
         phase: machine.phase,
     }
 }
@@ -373,9 +373,9 @@
 /// Offers that the placement allows, for substitutes.
 fn allowed(market: &Market, placement: &Placement) -> Vec<Offer> {
     let allows = |offer: &&Offer| {
-        let cell = &offer.cell;
-        let domain = placement.domains.is_empty() || placement.domains.contains(&cell.domain);
-        let class = placement.classes.is_empty() || placement.classes.contains(&cell.class);
+        let kind = &offer.kind;
+        let domain = placement.domains.is_empty() || placement.domains.contains(&kind.domain);
+        let class = placement.classes.is_empty() || placement.classes.contains(&kind.class);
         let price = placement.price.0 == 0 || offer.price <= placement.price;
         domain && class && price
     };
--- a/coltsfoothall-forward/src/border.rs
+++ b/coltsfoothall-forward/src/adapter.rs
@@ -5,10 +5,10 @@
 
 use bytes::Bytes;
 use coltsfoothall::forward::choice::Part;
-use coltsfoothall::forward::history::{Era, Fence, Lease, Place};
+use coltsfoothall::forward::config::Config;
+use coltsfoothall::forward::history::{Era, Fence, Lease, Position};
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::forward::order::Order;
-use coltsfoothall::forward::table::Table;
 use coltsfoothall::forward::upgrade;
 use coltsfoothall::forward::usage::Count;
 use coltsfoothall::id;
@@ -54,7 +54,7 @@
     /// The caller's name of this attempt.
     pub id: Option<String>,
     /// How long the caller will wait.
-    pub wait: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The caller's key.
     pub key: Option<String>,
     /// Tokens of the prompt and most tokens of the answer.
@@ -65,17 +65,17 @@
 
 /// What goes to an endpoint beside the caller's own words.
 #[derive(Debug, Clone)]
-pub struct Sending<'a> {
+pub struct Forward<'a> {
     /// The endpoint that must run it and no other.
     pub endpoint: &'a id::Endpoint,
     /// Time left for it.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Whose request it is.
     pub workspace: Option<&'a id::Workspace>,
     /// Its urgency, 0 first, for engines.
     pub rank: Option<u8>,
     /// The last event that the caller has, where a stream goes on behind it.
-    pub after: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
 }
 
 /// What an endpoint's answer says in its head.
@@ -86,13 +86,13 @@
     /// The endpoint states that the request did not run there.
     pub not_run: bool,
     /// Another endpoint has the address.
-    pub stranger: bool,
+    pub misdirected: bool,
     /// It bears the endpoint's signature.
     pub signed: bool,
     /// The body is encoded, so it is not the endpoint's own.
     pub encoded: bool,
     /// How long the endpoint keeps the connection, if it says so.
-    pub keep: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// The endpoint closes the connection after it.
     pub close: bool,
 }
@@ -100,26 +100,26 @@
 /// Headers of callers and endpoints.
 pub trait Dialect {
     /// Reads what a caller says.
-    fn call(&self, head: &HeaderMap) -> Call;
+    fn parse_call(&self, head: &HeaderMap) -> Call;
     /// Turns a caller's headers into those for an endpoint.
-    fn forward(&self, head: &HeaderMap, sending: &Sending<'_>) -> HeaderMap;
+    fn request_headers(&self, head: &HeaderMap, forward: &Forward<'_>) -> HeaderMap;
     /// Reads what an endpoint says.
-    fn reply(&self, status: u16, head: &HeaderMap) -> Reply;
+    fn parse_reply(&self, status: u16, head: &HeaderMap) -> Reply;
     /// Turns an endpoint's headers into those for the caller.
-    fn back(&self, head: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, head: &HeaderMap) -> HeaderMap;
     /// Headers of an answer of this program's own to the attempt `id`.
-    fn own(&self, id: Option<&str>, again: Option<Duration>) -> HeaderMap;
+    fn own_headers(&self, id: Option<&str>, retry_after: Option<Duration>) -> HeaderMap;
     /// Whether a path asks if this instance is ready.
-    fn is_ready(&self, path: &str) -> bool;
+    fn is_readiness_path(&self, path: &str) -> bool;
     /// The failure domain of a caller who asks for addresses, if `path` asks that.
-    fn asks_addresses(&self, path: &str, query: Option<&str>) -> Option<String>;
+    fn address_query(&self, path: &str, query: Option<&str>) -> Option<String>;
     /// An answer with addresses, kept for `keep`.
-    fn addresses(&self, fronts: &[SocketAddr], keep: Duration) -> Bytes;
+    fn addresses(&self, fronts: &[SocketAddr], ttl: Duration) -> Bytes;
 }
 
 /// A part of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Realm {
+pub enum Keyspace {
     /// The operators' configuration and orders.
     Configuration,
     /// Endpoints' registrations.
@@ -138,9 +138,9 @@
     /// Its value; none if it was removed.
     pub value: Option<Bytes>,
     /// This change.
-    pub place: Place,
+    pub position: Position,
     /// The change that created it; the first place of all if it was removed.
-    pub created: Place,
+    pub created: Position,
 }
 
 /// Values of a realm, or changes of them, up to a place in the store's history.
@@ -149,7 +149,7 @@
     /// The values or changes in their order.
     pub items: Vec<Item>,
     /// The last change at the store; those after it are not in here.
-    pub place: Place,
+    pub position: Position,
 }
 
 /// A change of the realms that are the instances' own, made whole or not at all. Names
@@ -187,54 +187,58 @@
 /// The store.
 pub trait Store {
     /// Reads a whole realm.
-    fn list(&self, realm: Realm) -> LocalBoxFuture<'_, Result<Listing, Error>>;
+    fn list(&self, keyspace: Keyspace) -> LocalBoxFuture<'_, Result<Listing, Error>>;
     /// Waits for changes of a realm after a place.
-    fn watch(&self, realm: Realm, after: Place) -> LocalBoxFuture<'_, Result<Listing, Error>>;
+    fn watch(
+        &self,
+        keyspace: Keyspace,
+        after: Position,
+    ) -> LocalBoxFuture<'_, Result<Listing, Error>>;
     /// Writes to the instances' own realms; returns the place of the change.
-    fn write(&self, write: Write) -> LocalBoxFuture<'_, Result<Place, Error>>;
+    fn write(&self, write: Write) -> LocalBoxFuture<'_, Result<Position, Error>>;
     /// Takes a lease.
-    fn lease(&self, term: Duration) -> LocalBoxFuture<'_, Result<Lease, Error>>;
+    fn grant_lease(&self, term: Duration) -> LocalBoxFuture<'_, Result<Lease, Error>>;
     /// Renews a lease; one of a former era is gone.
-    fn renew(&self, lease: Lease) -> LocalBoxFuture<'_, Result<(), Error>>;
+    fn renew_lease(&self, lease: Lease) -> LocalBoxFuture<'_, Result<(), Error>>;
     /// Ends a lease; one of a former era is gone.
-    fn end(&self, lease: Lease) -> LocalBoxFuture<'_, Result<(), Error>>;
+    fn revoke_lease(&self, lease: Lease) -> LocalBoxFuture<'_, Result<(), Error>>;
     /// The newest era that any answer was from.
     fn era(&self) -> Option<Era>;
     /// Reads a configuration.
     ///
     /// # Errors
     /// Names the field that is wrong.
-    fn table(&self, value: &[u8]) -> Result<Table, Error>;
+    fn parse_configuration(&self, value: &[u8]) -> Result<Config, Error>;
     /// Whether the value of the operators under a name is the configuration.
     fn is_configuration(&self, name: &str) -> bool;
     /// Reads an order to move a service to another version; none if the value is no order.
     ///
     /// # Errors
     /// Names the field that is wrong.
-    fn upgrade(&self, item: &Item) -> Result<Option<upgrade::Order>, Error>;
+    fn parse_upgrade(&self, item: &Item) -> Result<Option<upgrade::Order>, Error>;
     /// What is told to the operators of a service's move, and when that was written.
-    fn report<'a>(
+    fn read_report<'a>(
         &'a self,
         service: &'a id::Service,
-    ) -> LocalBoxFuture<'a, Result<Option<(Report, Place)>, Error>>;
+    ) -> LocalBoxFuture<'a, Result<Option<(Report, Position)>, Error>>;
     /// Tells the operators of a service's move, if nothing was told since `had`. Returns the
     /// place of the change.
-    fn tell<'a>(
+    fn write_report<'a>(
         &'a self,
         service: &'a id::Service,
         report: &'a Report,
-        had: Option<Place>,
-    ) -> LocalBoxFuture<'a, Result<Place, Error>>;
+        previous: Option<Position>,
+    ) -> LocalBoxFuture<'a, Result<Position, Error>>;
     /// Reads an endpoint's registration.
     ///
     /// # Errors
     /// Names the field that is wrong.
-    fn entry(&self, item: &Item) -> Result<Entry, Error>;
+    fn parse_registration(&self, item: &Item) -> Result<Entry, Error>;
 }
 
 /// Who acts, and under which number.
 #[derive(Debug, Clone, Copy)]
-pub struct Actor<'a> {
+pub struct Leadership<'a> {
     /// The instance.
     pub instance: &'a id::Instance,
     /// Rises with each holder.
@@ -244,22 +248,22 @@
 /// What one instance does at the platform for all.
 pub trait Cloud {
     /// Reports a window's usage.
-    fn usage<'a>(
+    fn report_usage<'a>(
         &'a self,
-        actor: Actor<'a>,
+        leadership: Leadership<'a>,
         window: u64,
         counts: &'a [Count],
     ) -> LocalBoxFuture<'a, Result<(), Error>>;
     /// Orders endpoints of a service.
-    fn order<'a>(
+    fn order_endpoints<'a>(
         &'a self,
-        actor: Actor<'a>,
+        leadership: Leadership<'a>,
         service: &'a id::Service,
         order: &'a Order,
     ) -> LocalBoxFuture<'a, Result<(), Error>>;
 }
 
 /// All that a platform's adapter provides.
-pub trait Border: Dialect + Store + Cloud {}
+pub trait Adapter: Dialect + Store + Cloud {}
 
-impl<T: Dialect + Store + Cloud> Border for T {}
+impl<T: Dialect + Store + Cloud> Adapter for T {}
--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -6,9 +6,9 @@
 
 use bytes::Bytes;
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::choice::{Ask, Pick};
+use coltsfoothall::forward::choice::{Pick, Query};
+use coltsfoothall::forward::config::Route;
 use coltsfoothall::forward::roster::{End, Run};
-use coltsfoothall::forward::table::Route;
 use coltsfoothall::forward::upgrade::Versions;
 use coltsfoothall::id;
 use coltsfoothall::size::Tokens;
@@ -17,8 +17,8 @@
 use http::{Request, Response, Uri};
 use hyper::body::Incoming;
 
-use crate::border::{Call, Reply, Sending};
-use crate::kept::{Fault, Link, Payload};
+use crate::adapter::{Call, Forward, Reply};
+use crate::pool::{Fault, Link, Payload};
 use crate::state::State;
 
 /// A request as it was admitted.
@@ -56,9 +56,9 @@
         domain: &'a id::Domain,
         exclude: &'a [id::Endpoint],
         versions: &'a Versions,
-    ) -> Ask<'a> {
+    ) -> Query<'a> {
         let (prompt, answer) = self.call.tokens.unwrap_or_default();
-        Ask {
+        Query {
             service: &self.service,
             parts: &self.call.parts,
             prompt,
@@ -94,7 +94,7 @@
 }
 
 impl Share {
-    fn new(state: &Rc<State>, pick: &Pick, ask: &Ask<'_>, job: &Job) -> Self {
+    fn new(state: &Rc<State>, pick: &Pick, ask: &Query<'_>, job: &Job) -> Self {
         let now = state.now();
         let run = state.roster.borrow_mut().began(now, pick, ask);
         let version = pick.version.as_ref();
@@ -118,7 +118,7 @@
 
     /// The endpoint answered: the first event of a stream came, or another answer is whole.
     /// What broke off says nothing of the endpoint's version, as any endpoint may be lost.
-    pub fn answered(&mut self, failed: bool) {
+    pub fn record_answer(&mut self, failed: bool) {
         if !std::mem::replace(&mut self.answered, true) {
             let took = self.state.now().since(self.began);
             let (route, version) = (&self.route.name, self.version.as_ref());
@@ -128,7 +128,7 @@
     }
 
     /// The first part of the answer came.
-    pub fn first(&mut self) {
+    pub fn record_first_event(&mut self) {
         if let Some(run) = &mut self.run {
             let now = self.state.now();
             self.state.roster.borrow_mut().first(now, run);
@@ -136,7 +136,7 @@
     }
 
     /// More events of the answer came.
-    pub fn wrote(&self, events: u64) {
+    pub fn record_events(&self, events: u64) {
         if let Some(run) = &self.run {
             self.state.roster.borrow_mut().wrote(run, events);
         }
@@ -151,7 +151,8 @@
         if let Some(run) = self.run.take() {
             let now = self.state.now();
             self.state.roster.borrow_mut().finish(now, &run, end);
-            self.state.testify(&self.endpoint, self.fingerprint, end);
+            self.state
+                .record_evidence(&self.endpoint, self.fingerprint, end);
         }
     }
 }
@@ -173,23 +174,23 @@
     pub link: Link,
     /// Its share of the load.
     pub share: Share,
-    whole: Rc<Cell<bool>>,
+    body_sent: Rc<Cell<bool>>,
 }
 
 /// The connection and what is needed to keep it.
 #[derive(Debug)]
-pub struct Tail {
+pub struct Checkout {
     link: Link,
-    keep: Option<Duration>,
+    keep_alive: Option<Duration>,
     usable: bool,
 }
 
-impl Tail {
+impl Checkout {
     /// Keeps the connection for another request; the answer came whole.
-    pub fn keep(self, state: &State) {
+    pub fn release(self, state: &State) {
         if self.usable {
             let now = tokio::time::Instant::now();
-            state.pool.borrow_mut().put(self.link, now, self.keep);
+            state.pool.borrow_mut().put(self.link, now, self.keep_alive);
         }
     }
 }
@@ -197,14 +198,14 @@
 impl Sent {
     /// Takes the answer apart.
     #[must_use]
-    pub fn split(self) -> (Response<Incoming>, Reply, Share, Tail) {
-        let tail = Tail {
+    pub fn split(self) -> (Response<Incoming>, Reply, Share, Checkout) {
+        let checkout = Checkout {
             link: self.link,
-            keep: self.reply.keep,
+            keep_alive: self.reply.keep_alive,
             // What is left of a body that was answered early would be read as a request.
-            usable: self.whole.get() && !self.reply.close,
+            usable: self.body_sent.get() && !self.reply.close,
         };
-        (self.response, self.reply, self.share, tail)
+        (self.response, self.reply, self.share, checkout)
     }
 }
 
@@ -222,25 +223,25 @@
 ) -> Result<Sent, (Fault, Share)> {
     let ask = job.ask(&state.domain, exclude, &Versions::Any);
     let share = Share::new(state, pick, &ask, job);
-    let whole = Rc::new(Cell::new(false));
-    let mut kept = {
+    let body_sent = Rc::new(Cell::new(false));
+    let mut pooled = {
         let now = tokio::time::Instant::now();
         state.pool.borrow_mut().take(&pick.endpoint, now)
     };
     loop {
-        let fresh = kept.is_none();
-        let mut link = match kept.take() {
+        let fresh = pooled.is_none();
+        let mut link = match pooled.take() {
             Some(link) => link,
             None => match Link::open(pick.endpoint.clone(), pick.address).await {
                 Ok(link) => link,
                 Err(fault) => return Err((fault, share)),
             },
         };
-        let request = request(state, job, pick, after, &whole);
+        let request = request(state, job, pick, after, &body_sent);
         match link.send(request).await {
             Ok(response) => {
                 let status = response.status().as_u16();
-                let reply = state.border.reply(status, response.headers());
+                let reply = state.adapter.parse_reply(status, response.headers());
                 if reply.id.is_some() && reply.id != job.call.id {
                     let fault = Fault::Broken("the answer belongs to another request".into());
                     return Err((fault, share));
@@ -250,7 +251,7 @@
                     reply,
                     link,
                     share,
-                    whole,
+                    body_sent,
                 });
             }
             // The kept connection closed before anything was written: a fresh one decides.
@@ -265,29 +266,29 @@
     job: &Job,
     pick: &Pick,
     after: Option<&str>,
-    whole: &Rc<Cell<bool>>,
+    body_sent: &Rc<Cell<bool>>,
 ) -> Request<Payload> {
-    let left = Time::since(job.due, state.now());
-    let headers = state.border.forward(
+    let time_left = Time::since(job.due, state.now());
+    let headers = state.adapter.request_headers(
         &job.head.headers,
-        &Sending {
+        &Forward {
             endpoint: &pick.endpoint,
-            left,
+            time_left,
             workspace: job.workspace.as_ref(),
             rank: job.memory.map(|_engine| job.rank),
-            after,
+            last_event_id: after,
         },
     );
-    let payload = Payload::new(job.body.clone(), Rc::clone(whole));
+    let payload = Payload::new(job.body.clone(), Rc::clone(body_sent));
     let mut request = Request::new(payload);
     *request.method_mut() = job.head.method.clone();
-    *request.uri_mut() = origin(&job.head.uri);
+    *request.uri_mut() = origin_form(&job.head.uri);
     *request.headers_mut() = headers;
     request
 }
 
 /// The path and query alone, as an endpoint expects them.
-fn origin(uri: &Uri) -> Uri {
+fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(Uri::default, Uri::from)
 }
--- a/coltsfoothall-forward/src/passed.rs
+++ b/coltsfoothall-forward/src/changelog.rs
@@ -1,15 +1,15 @@
 //! Registrations as they were read, for instances that hear of them from this one.
 
 use bytes::Bytes;
-use coltsfoothall::forward::history::Place;
+use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::size::Millis;
 use serde::{Deserialize, Serialize};
 
-use crate::border::Item;
+use crate::adapter::Item;
 
 /// Most removed registrations remembered; one that is forgotten was removed long ago.
-const REMOVED: usize = 4096;
+const MAX_REMOVED: usize = 4096;
 
 /// What became of a registration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,18 +34,20 @@
     /// What became of it.
     pub change: Change,
     /// When that was written.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub position: Position,
 }
 
 /// What changed after a number.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Part {
+pub struct Page {
     /// The process that counts so.
     pub boot: u64,
     /// The number to go on from.
     pub next: u64,
     /// The last change at the store that the reader knows of.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub position: Position,
     /// Age in milliseconds of what the reader knows; none if the store does not answer it.
     pub age_ms: Option<u64>,
     /// The changes.
@@ -53,144 +55,151 @@
 }
 
 #[derive(Debug)]
-struct Kept {
+struct Record {
     row: Row,
     /// What it says, if it takes work.
     entry: Option<Entry>,
     /// Number of its last change of any account.
-    number: u64,
+    sequence: u64,
     /// When that was written, or earlier.
-    changed: Place,
+    changed: Position,
 }
 
 /// From where an instance goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum After {
+pub enum Since {
     /// From a number that this process told.
-    Number(u64),
+    Sequence(u64),
     /// From a place in the store's history up to which it has read itself.
-    Place(Place),
+    Position(Position),
 }
 
 /// All registrations, with changes numbered. An endpoint that writes again what stood there
 /// has not changed.
 #[derive(Debug, Default)]
-pub struct Passed {
+pub struct Changelog {
     /// Sorted by name.
-    kept: Vec<Kept>,
-    number: u64,
-    place: Place,
+    records: Vec<Record>,
+    sequence: u64,
+    position: Position,
 }
 
-impl Passed {
+impl Changelog {
     /// A registration was read.
     pub fn put(&mut self, item: &Item, entry: &Entry) {
         if entry.leaving {
-            self.left(&item.name, entry.leaves.map(Millis::from), item.place);
+            self.record_leaving(&item.name, entry.leaves.map(Millis::from), item.position);
             return;
         }
         let row = Row {
             name: item.name.clone(),
             change: Change::Registered(item.value.clone().unwrap_or_default()),
-            place: item.place,
+            position: item.position,
         };
-        let says = Entry {
-            place: Place::default(),
+        let content = Entry {
+            position: Position::default(),
             ..entry.clone()
         };
         match self.find(&item.name) {
-            Ok(place) if self.kept[place].entry.as_ref() == Some(&says) => {
-                self.kept[place].row = row;
+            Ok(index) if self.records[index].entry.as_ref() == Some(&content) => {
+                self.records[index].row = row;
             }
-            found => self.change(found, row, Some(says)),
+            found => self.record(found, row, Some(content)),
         }
     }
 
     /// An endpoint is about to leave, as of then; that it still is when it writes again is no
     /// change.
-    pub fn left(&mut self, name: &str, leaves: Option<Millis>, at: Place) {
+    pub fn record_leaving(&mut self, name: &str, leaves: Option<Millis>, at: Position) {
         let row = Row {
             name: name.to_owned(),
             change: Change::Leaving { leaves },
-            place: at,
+            position: at,
         };
         match self.find(name) {
-            Ok(place) if self.kept[place].row.place > at => {}
-            Ok(place) if matches!(self.kept[place].row.change, Change::Leaving { .. }) => {
-                self.kept[place].row.place = at;
+            Ok(index) if self.records[index].row.position > at => {}
+            Ok(index) if matches!(self.records[index].row.change, Change::Leaving { .. }) => {
+                self.records[index].row.position = at;
             }
-            found => self.change(found, row, None),
+            found => self.record(found, row, None),
         }
     }
 
     /// A registration is gone, as of then.
-    pub fn remove(&mut self, name: &str, at: Place) {
+    pub fn remove(&mut self, name: &str, at: Position) {
         let row = Row {
             name: name.to_owned(),
             change: Change::Removed,
-            place: at,
+            position: at,
         };
         let found = self.find(name);
-        if found.is_ok_and(|place| self.kept[place].row.place > at) {
+        if found.is_ok_and(|index| self.records[index].row.position > at) {
             return;
         }
-        self.change(found, row, None);
-        self.forget_old();
+        self.record(found, row, None);
+        self.evict_removed();
     }
 
     /// All changes at the store up to there are in here.
-    pub fn read_to(&mut self, place: Place) {
-        self.place = self.place.max(place);
+    pub fn advance_to(&mut self, position: Position) {
+        self.position = self.position.max(position);
     }
 
     /// The last change at the store that is in here.
     #[must_use]
-    pub fn place(&self) -> Place {
-        self.place
+    pub fn position(&self) -> Position {
+        self.position
     }
 
     /// What changed since then, and the number to go on from. After the number 0 it is all that
     /// is there.
     #[must_use]
-    pub fn since(&self, after: After) -> (u64, Vec<Row>) {
-        let is_news = |kept: &&Kept| match after {
-            After::Number(0) => kept.row.change != Change::Removed,
-            After::Number(number) => kept.number > number,
-            After::Place(place) => kept.changed > place,
+    pub fn since(&self, after: Since) -> (u64, Vec<Row>) {
+        let is_newer = |record: &&Record| match after {
+            Since::Sequence(0) => record.row.change != Change::Removed,
+            Since::Sequence(sequence) => record.sequence > sequence,
+            Since::Position(position) => record.changed > position,
         };
-        let news = self.kept.iter().filter(is_news);
-        (self.number, news.map(|kept| kept.row.clone()).collect())
+        let newer = self.records.iter().filter(is_newer);
+        (
+            self.sequence,
+            newer.map(|record| record.row.clone()).collect(),
+        )
     }
 
-    fn change(&mut self, found: Result<usize, usize>, row: Row, entry: Option<Entry>) {
-        self.number += 1;
-        let number = self.number;
-        let changed = row.place;
-        let kept = Kept {
+    fn record(&mut self, found: Result<usize, usize>, row: Row, entry: Option<Entry>) {
+        self.sequence += 1;
+        let sequence = self.sequence;
+        let changed = row.position;
+        let record = Record {
             row,
             entry,
-            number,
+            sequence,
             changed,
         };
         match found {
-            Ok(place) => self.kept[place] = kept,
-            Err(place) => self.kept.insert(place, kept),
+            Ok(index) => self.records[index] = record,
+            Err(index) => self.records.insert(index, record),
         }
     }
 
-    fn forget_old(&mut self) {
-        let removed = |kept: &&Kept| kept.row.change == Change::Removed;
-        if self.kept.iter().filter(removed).count() <= REMOVED {
+    fn evict_removed(&mut self) {
+        let removed = |record: &&Record| record.row.change == Change::Removed;
+        if self.records.iter().filter(removed).count() <= MAX_REMOVED {
             return;
         }
-        let oldest = self.kept.iter().filter(removed).map(|kept| kept.number);
+        let oldest = self
+            .records
+            .iter()
+            .filter(removed)
+            .map(|record| record.sequence);
         if let Some(oldest) = oldest.min() {
-            self.kept.retain(|kept| kept.number != oldest);
+            self.records.retain(|record| record.sequence != oldest);
         }
     }
 
     fn find(&self, name: &str) -> Result<usize, usize> {
-        self.kept
-            .binary_search_by(|kept| kept.row.name.as_str().cmp(name))
+        self.records
+            .binary_search_by(|record| record.row.name.as_str().cmp(name))
     }
 }
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -11,62 +11,62 @@
 use http::{HeaderMap, Response, StatusCode};
 use rand::seq::IteratorRandom;
 
-use crate::ask::{PACKED, ask};
-use crate::border::{Listing, Realm};
-use crate::follower::{self, Follower, News};
+use crate::adapter::{Keyspace, Listing};
+use crate::compression;
+use crate::fetch::{COMPRESSED_CONFIGURATION_PATH, fetch};
+use crate::follower::{self, Follower, Update};
 use crate::outgoing::{self, Outgoing};
-use crate::pack;
 use crate::state::State;
 use crate::upgrades;
 
 /// Time between looks for a newer configuration at other instances.
-const LOOK: Duration = Duration::from_millis(250);
+const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Follows the configuration at the store for as long as the process runs.
 pub async fn follow(state: Rc<State>) {
-    let mut follower = Follower::new(Realm::Configuration, None);
+    let mut follower = Follower::new(Keyspace::Configuration, None);
     let mut backlog = Backlog::default();
     loop {
         if backlog.grew(state.newest_version()) {
-            follower.read_anew();
+            follower.reset();
         }
-        let Some(News { listing, whole }) = follower.step(&state).await else {
+        let Some(Update { listing, complete }) = follower.tick(&state).await else {
             continue;
         };
         if listing.items.is_empty() {
             continue;
         }
-        if let Some(version) = take(&state, &listing) {
+        if let Some(version) = adopt_newest(&state, &listing) {
             backlog.brought(version);
         }
-        upgrades::take(&state, &listing, whole).await;
+        upgrades::apply(&state, &listing, complete).await;
         // Changes come in groups; one call brings them all.
-        tokio::time::sleep(follower::rest(&state, Realm::Configuration)).await;
+        tokio::time::sleep(follower::poll_delay(&state, Keyspace::Configuration)).await;
     }
 }
 
 /// Takes over the newest version of a listing that can be read, and returns it.
-fn take(state: &State, listing: &Listing) -> Option<u64> {
+fn adopt_newest(state: &State, listing: &Listing) -> Option<u64> {
     let values = listing.items.iter().rev();
-    let values = values.filter(|item| state.border.is_configuration(&item.name));
+    let values = values.filter(|item| state.adapter.is_configuration(&item.name));
     let mut values = values.filter_map(|item| item.value.as_ref());
     values.find_map(|raw| state.adopt(raw, "store"))
 }
 
 /// Asks other instances for a newer configuration that the store does not bring in time.
-pub async fn ask_peers(state: Rc<State>) {
+pub async fn fetch_from_peers(state: Rc<State>) {
     let client = Client::new();
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(PEER_QUERY_INTERVAL).await;
         report_lag(&state);
-        if let Some(peer) = source(&state) {
-            ask_one(&state, &client, &peer).await;
+        if let Some(peer) = choose_peer(&state) {
+            fetch_from(&state, &client, &peer).await;
         }
     }
 }
 
 /// Who is asked now, drawn anew each time: one that is slow or busy is not asked by all.
-fn source(state: &State) -> Option<Profile> {
+fn choose_peer(state: &State) -> Option<Profile> {
     let now = state.now();
     let waits = state.version() > 0 && !state.adoption.store_lost.get();
     if !state.adoption.lag.borrow().asks_peer(now, waits) {
@@ -78,19 +78,19 @@
 }
 
 /// Asks until the answer is there, or it is of no more use.
-async fn ask_one(state: &Rc<State>, client: &Client, peer: &Profile) {
+async fn fetch_from(state: &Rc<State>, client: &Client, peer: &Profile) {
     tokio::select! {
-        packed = ask(state, client, peer, PACKED) => {
-            if let Some(packed) = packed {
-                take_packed(state, peer, packed);
+        compressed = fetch(state, client, peer, COMPRESSED_CONFIGURATION_PATH) => {
+            if let Some(compressed) = compressed {
+                adopt_compressed(state, peer, compressed);
             }
         }
-        () = state.reached(peer.version) => {}
+        () = state.wait_for_version(peer.version) => {}
     }
 }
 
-fn take_packed(state: &State, peer: &Profile, packed: Bytes) {
-    let raw = match pack::unpack(&packed) {
+fn adopt_compressed(state: &State, peer: &Profile, compressed: Bytes) {
+    let raw = match compression::decompress(&compressed) {
         Ok(raw) => raw,
         Err(error) => {
             let reason = error.to_string();
@@ -102,29 +102,31 @@
     if let Some(have) = state.configuration()
         && Some(have.table.version) == version
     {
-        have.packed.get_or_init(|| packed);
+        have.compressed.get_or_init(|| compressed);
     }
 }
 
 /// Shows the configuration in force to operators.
 pub fn show(state: &State) -> Response<Outgoing> {
     match state.configuration() {
-        Some(have) => outgoing::json(Outgoing::whole(have.raw)),
-        None => outgoing::plain(StatusCode::NOT_FOUND),
+        Some(have) => outgoing::json(Outgoing::full(have.raw)),
+        None => outgoing::empty(StatusCode::NOT_FOUND),
     }
 }
 
 /// Shows the configuration in force to another instance, or refuses while others read it.
-pub fn show_packed(state: &State) -> Response<Outgoing> {
+pub fn show_compressed(state: &State) -> Response<Outgoing> {
     let Some(have) = state.configuration() else {
-        return outgoing::plain(StatusCode::NOT_FOUND);
+        return outgoing::empty(StatusCode::NOT_FOUND);
     };
-    let packed = have.packed.get_or_init(|| pack::pack(&have.raw));
-    let mut outflow = state.adoption.outflow.borrow_mut();
-    if !outflow.admit(state.now(), packed.len()) {
-        return outgoing::plain(StatusCode::SERVICE_UNAVAILABLE);
+    let compressed = have
+        .compressed
+        .get_or_init(|| compression::compress(&have.raw));
+    let mut egress = state.adoption.egress.borrow_mut();
+    if !egress.admit(state.now(), compressed.len()) {
+        return outgoing::empty(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let body = Outgoing::whole(packed.clone());
+    let body = Outgoing::full(compressed.clone());
     outgoing::answer(StatusCode::OK, HeaderMap::new(), body)
 }
 
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use coltsfoothall::batch;
-use coltsfoothall::forward::allowance::Spent;
 use coltsfoothall::forward::gossip::Count as Counted;
-use coltsfoothall::forward::history::{Era, Place};
+use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::Load;
-use coltsfoothall::forward::peer::{Profile, TOGETHER};
+use coltsfoothall::forward::peer::{MAX_HEARTBEATS_PER_BATCH, Profile};
+use coltsfoothall::forward::rate_limit::Granted;
 use coltsfoothall::forward::roster::Ended;
 use coltsfoothall::forward::upgrade::Told;
 use coltsfoothall::forward::usage::Count;
@@ -29,21 +29,21 @@
 /// Time between two turns of heartbeats. In a small fleet each one goes to all, so that
 /// load and rates are as old; in a large one the turns take the others by parts, so that
 /// one instance never handles more than 160 heartbeats a second each way.
-const EVERY: Duration = Duration::from_millis(100);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between two turns before a stop: what a link of 10 Mbit/s needs for one.
-const HURRY: Duration = Duration::from_millis(20);
+const BROADCAST_DELAY: Duration = Duration::from_millis(20);
 /// Profiles of others in one heartbeat; they spread who is there.
-const INTRODUCED: usize = 4;
+const MAX_INTRODUCED: usize = 4;
 /// Rows of each list that heartbeats of one turn hold, shared by the turns that a fleet
 /// takes. After a crash of 20 endpoints the evidence alone was tens of kB in each
 /// heartbeat, more than links of 10 Mbit/s carry, and a fleet of 60 fell silent.
-const ROWS: usize = 64;
+const MAX_ROWS: usize = 64;
 /// Heartbeats to each instance that tell where a part was sent, as some are lost.
-const REPEATED: u32 = 2;
+const HEARTBEATS_PER_PLACEMENT: u32 = 2;
 /// Windows whose counts are told: a report is due two windows after its window's end.
-const WINDOWS: u64 = 3;
+const REPORTED_WINDOWS: u64 = 3;
 /// Largest datagram taken.
-const LARGEST: usize = 60_000;
+const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// A heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -51,7 +51,7 @@
     profile: Profile,
     introduced: Vec<Profile>,
     loads: Vec<Counted<Load>>,
-    spent: Vec<Spent>,
+    spent: Vec<Granted>,
     counts: Vec<Count>,
     ended: Vec<Ended>,
     work: Vec<(id::Service, u64)>,
@@ -71,11 +71,11 @@
 
 impl Heartbeat {
     /// The state as one round of turns tells it: each target has to hear of all in time.
-    fn now(state: &State, round: usize) -> Self {
+    fn build(state: &State, round: usize) -> Self {
         let now = state.now();
-        let turns = batch::count(state.reach().members as usize, TOGETHER);
-        let rows = ROWS / turns;
-        let span = EVERY * (turns as u32 + 1) * REPEATED;
+        let turns = batch::count(state.reach().members as usize, MAX_HEARTBEATS_PER_BATCH);
+        let rows = MAX_ROWS / turns;
+        let span = HEARTBEAT_INTERVAL * (turns as u32 + 1) * HEARTBEATS_PER_PLACEMENT;
         let window = {
             let time = state.true_time();
             state.usage.borrow().window(time)
@@ -84,19 +84,22 @@
         let introduced = {
             let peers = state.peers.borrow();
             let profiles = peers.profiles(now).into_iter().cloned();
-            profiles.choose_multiple(&mut rand::rng(), INTRODUCED)
+            profiles.choose_multiple(&mut rand::rng(), MAX_INTRODUCED)
         };
         Self {
             profile: state.profile(),
             introduced,
             loads: state.roster.borrow().own(),
-            spent: state.allowance.borrow().spent(),
-            counts: state.usage.borrow().own(window.saturating_sub(WINDOWS)),
-            ended: batch::select(&state.news(), rows, round),
+            spent: state.rate_limiter.borrow().granted(),
+            counts: state
+                .usage
+                .borrow()
+                .own(window.saturating_sub(REPORTED_WINDOWS)),
+            ended: batch::select(&state.departures(), rows, round),
             work: state.roster.borrow().work().to_vec(),
             failed: batch::select(&state.roster.borrow().failed(), rows, round),
             placed,
-            evidence: state.docket.borrow().evidence_batch(now, rows, round),
+            evidence: state.suspicions.borrow().evidence_batch(now, rows, round),
             era: state.era(),
             reported: state.reported(),
             upgrades: state.upgrades.borrow().told(now),
@@ -105,11 +108,11 @@
 }
 
 /// Sends a heartbeat to everyone without waiting for their turns, as before a stop.
-pub async fn announce(state: &Rc<State>, socket: &UdpSocket) {
+pub async fn broadcast(state: &Rc<State>, socket: &UdpSocket) {
     let targets = targets(state);
-    for turn in 0..batch::count(targets.len(), TOGETHER) {
+    for turn in 0..batch::count(targets.len(), MAX_HEARTBEATS_PER_BATCH) {
         if turn > 0 {
-            tokio::time::sleep(HURRY).await;
+            tokio::time::sleep(BROADCAST_DELAY).await;
         }
         send(state, socket, &targets, turn).await;
     }
@@ -117,13 +120,13 @@
 
 /// Sends a heartbeat to those of the targets that are due in a turn.
 async fn send(state: &State, socket: &UdpSocket, targets: &[SocketAddr], turn: usize) {
-    let round = turn / batch::count(targets.len(), TOGETHER);
-    let heartbeat = Heartbeat::now(state, round);
+    let round = turn / batch::count(targets.len(), MAX_HEARTBEATS_PER_BATCH);
+    let heartbeat = Heartbeat::build(state, round);
     let Ok(bytes) = rmp_serde::to_vec(&heartbeat) else {
         // Unreachable: the message has no types that the format refuses.
         return;
     };
-    for address in batch::select(targets, TOGETHER, turn) {
+    for address in batch::select(targets, MAX_HEARTBEATS_PER_BATCH, turn) {
         if let Err(error) = socket.send_to(&bytes, address).await {
             event::LINK_FAILED.emit(format_args!("peer={address} reason={error:?}"));
         }
@@ -131,11 +134,11 @@
 }
 
 /// Sends heartbeats for as long as the process runs.
-pub async fn speak(state: Rc<State>, socket: Rc<UdpSocket>) {
+pub async fn send_heartbeats(state: Rc<State>, socket: Rc<UdpSocket>) {
     for turn in 0.. {
         let targets = targets(&state);
         send(&state, &socket, &targets, turn).await;
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         expire(&state);
         upgrades::judge(&state);
     }
@@ -167,19 +170,19 @@
 }
 
 /// Hears heartbeats for as long as the process runs.
-pub async fn listen(state: Rc<State>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; LARGEST];
+pub async fn receive_heartbeats(state: Rc<State>, socket: Rc<UdpSocket>) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (len, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
                 event::LINK_FAILED.emit(format_args!("step=receive reason={error:?}"));
-                tokio::time::sleep(EVERY).await;
+                tokio::time::sleep(HEARTBEAT_INTERVAL).await;
                 continue;
             }
         };
         match rmp_serde::from_slice::<Heartbeat>(&buffer[..len]) {
-            Ok(heartbeat) => hear(&state, heartbeat),
+            Ok(heartbeat) => receive(&state, heartbeat),
             Err(error) => {
                 event::LINK_FAILED.emit(format_args!("peer={from} reason={:?}", error.to_string()));
             }
@@ -187,19 +190,19 @@
     }
 }
 
-fn hear(state: &State, heartbeat: Heartbeat) {
+fn receive(state: &State, heartbeat: Heartbeat) {
     let now = state.now();
     let boot = heartbeat.profile.boot;
     if boot == state.boot {
         return;
     }
     if let Some(era) = heartbeat.era {
-        state.learn_era(era);
+        state.record_era(era);
     }
     if let Some(window) = heartbeat.reported {
-        state.note_reported(window);
+        state.record_reported(window);
     }
-    state.hear_version(heartbeat.profile.version);
+    state.record_version(heartbeat.profile.version);
     {
         let mut peers = state.peers.borrow_mut();
         let replaced = peers.heard(now, heartbeat.profile);
@@ -216,18 +219,24 @@
     roster.hear_placed(now, &heartbeat.placed);
     drop(roster);
     for event in restarted {
-        state.note(Some(event), Place::default(), "peer");
+        state.apply_event(Some(event), Position::default(), "peer");
     }
-    state.docket.borrow_mut().merge(now, &heartbeat.evidence);
-    state.allowance.borrow_mut().hear(boot, &heartbeat.spent);
+    state
+        .suspicions
+        .borrow_mut()
+        .merge(now, &heartbeat.evidence);
+    state
+        .rate_limiter
+        .borrow_mut()
+        .merge_granted(boot, &heartbeat.spent);
     state.usage.borrow_mut().hear(boot, &heartbeat.counts);
-    state.hear_work(boot, &heartbeat.work);
+    state.merge_work(boot, &heartbeat.work);
     state
         .upgrades
         .borrow_mut()
         .hear(now, boot, heartbeat.upgrades);
     for ended in &heartbeat.ended {
         let event = state.roster.borrow_mut().ended(ended);
-        state.note(event, ended.place, "peer");
+        state.apply_event(event, ended.position, "peer");
     }
 }
--- a/coltsfoothall-forward/src/orders.rs
+++ b/coltsfoothall-forward/src/orders.rs
@@ -1,12 +1,12 @@
 //! Orders endpoints while this instance acts for all.
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::order::{Book, Live, Load, Order, Settings};
-use coltsfoothall::forward::table::{Scaling, Service};
+use coltsfoothall::forward::config::{Scaling, Service};
+use coltsfoothall::forward::order::{Live, Load, Order, Planner, Settings};
 use coltsfoothall::id;
 use coltsfoothall_shell::event;
 
-use crate::border::{Actor, Error};
+use crate::adapter::{Error, Leadership};
 use crate::state::State;
 
 /// Name of the duty in the settings.
@@ -14,21 +14,21 @@
 
 /// The orders for one service.
 #[derive(Debug)]
-struct Line {
+struct Entry {
     service: id::Service,
     scaling: Scaling,
-    book: Book,
+    planner: Planner,
 }
 
 /// The orders for all services, begun anew by each holder from what it finds.
 #[derive(Debug, Default)]
-pub struct Buyer {
-    lines: Vec<Line>,
+pub struct Autoscaler {
+    entries: Vec<Entry>,
 }
 
-impl Buyer {
+impl Autoscaler {
     /// Looks at all services once and gives the orders that are due.
-    pub async fn order(&mut self, state: &State) {
+    pub async fn tick(&mut self, state: &State) {
         if !state.settings().duties.iter().any(|duty| duty == DUTY) {
             return;
         }
@@ -44,55 +44,58 @@
 
     async fn order_service(&mut self, state: &State, service: &Service, scaling: &Scaling) {
         let now = state.now();
-        let found = found(state, &service.name, scaling);
-        let line = self.line(now, service, scaling, &found);
+        let found = count_live(state, &service.name, scaling);
+        let entry = self.entry(now, service, scaling, &found);
         let load = state.load(&service.name);
-        for order in line.book.decide(now, load, &found) {
+        for order in entry.planner.decide(now, load, &found) {
             let Some(fence) = state.fence() else {
                 return;
             };
-            let actor = Actor {
+            let leadership = Leadership {
                 instance: &state.name,
                 fence,
             };
-            let outcome = state.border.order(actor, &service.name, &order).await;
+            let outcome = state
+                .adapter
+                .order_endpoints(leadership, &service.name, &order)
+                .await;
             log(service, &order, load, &outcome);
             match outcome {
-                Ok(()) => line.book.taken(&order),
-                Err(Error::Conflict(_)) => line.book.refused(state.now(), &order),
+                Ok(()) => entry.planner.accepted(&order),
+                Err(Error::Conflict(_)) => entry.planner.refused(state.now(), &order),
                 // It may have been done; what is missing later is ordered again.
                 Err(_unknown) => {}
             }
         }
     }
 
-    fn line(
+    fn entry(
         &mut self,
         now: Time,
         service: &Service,
         scaling: &Scaling,
         found: &[(id::Domain, Live)],
-    ) -> &mut Line {
-        let have = self
-            .lines
+    ) -> &mut Entry {
+        let known = self
+            .entries
             .iter()
-            .position(|line| line.service == service.name);
-        if let Some(place) = have
-            && self.lines[place].scaling == *scaling
+            .position(|entry| entry.service == service.name);
+        if let Some(index) = known
+            && self.entries[index].scaling == *scaling
         {
-            return &mut self.lines[place];
+            return &mut self.entries[index];
         }
-        if let Some(place) = have {
-            self.lines.remove(place);
+        if let Some(index) = known {
+            self.entries.remove(index);
         }
-        let book = Book::new(now, scaling.clone(), found, Settings::default());
-        self.lines.push(Line {
+        let planner = Planner::new(now, scaling.clone(), found, Settings::default());
+        self.entries.push(Entry {
             service: service.name.clone(),
             scaling: scaling.clone(),
-            book,
+            planner,
         });
-        let last = self.lines.len() - 1;
-        &mut self.lines[last]
+        let last = self.entries.len() - 1;
+        &mut self.entries[last]
     }
 }
 
@@ -108,7 +111,7 @@
 
 /// Endpoints that take work, by domain and kind. Those that a service may be moved to are
 /// started beside the others by whoever ordered the move, and replace none yet.
-fn found(state: &State, service: &id::Service, scaling: &Scaling) -> Vec<(id::Domain, Live)> {
+fn count_live(state: &State, service: &id::Service, scaling: &Scaling) -> Vec<(id::Domain, Live)> {
     let roster = state.roster.borrow();
     let upgrades = state.upgrades.borrow();
     let candidate = upgrades.candidate(service);
@@ -127,7 +130,7 @@
     domains
         .map(|domain| {
             let live = Live {
-                steady: count(domain, false),
+                on_demand: count(domain, false),
                 reclaimable: count(domain, true),
             };
             (domain.clone(), live)
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -17,24 +17,24 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
 
-use crate::ask::{CONFIGURATION, ENDPOINTS, PACKED};
-use crate::border::Border;
+use crate::adapter::Adapter;
 use crate::connection::Connection;
+use crate::fetch::{COMPRESSED_CONFIGURATION_PATH, CONFIGURATION_PATH, ENDPOINTS_PATH};
 use crate::intake::Front;
 use crate::listen::{self, Connections, Handler, Limits};
-use crate::outgoing::{Outgoing, answer, json, plain};
+use crate::outgoing::{Outgoing, answer, empty, json};
 use crate::settings::Settings;
 use crate::state::State;
-use crate::{configuration, duty, gossip, registrations, stop, watch};
+use crate::{configuration, duty, gossip, membership, registrations, stop};
 
 /// Time between two log lines that count what went well.
-const SUM: Duration = Duration::from_secs(10);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 /// Time between readings of the settings file without a signal.
-const REREAD: Duration = Duration::from_secs(5);
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 /// Path of the metrics on the control address.
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 /// Largest head that a control listener takes.
-const HEAD: usize = 8 << 10;
+const MAX_HEAD_BYTES: usize = 8 << 10;
 
 quick_error! {
     /// An instance that cannot start.
@@ -63,12 +63,16 @@
 ///
 /// # Errors
 /// An address cannot be bound, or signals cannot be listened to.
-pub async fn run(file: PathBuf, settings: Settings, border: Rc<dyn Border>) -> Result<(), Error> {
+pub async fn run(file: PathBuf, settings: Settings, adapter: Rc<dyn Adapter>) -> Result<(), Error> {
     let local = LocalSet::new();
-    local.run_until(live(file, settings, border)).await
+    local.run_until(run_local(file, settings, adapter)).await
 }
 
-async fn live(file: PathBuf, settings: Settings, border: Rc<dyn Border>) -> Result<(), Error> {
+async fn run_local(
+    file: PathBuf,
+    settings: Settings,
+    adapter: Rc<dyn Adapter>,
+) -> Result<(), Error> {
     let name: id::Instance = settings
         .instance
         .clone()
@@ -81,7 +85,7 @@
         settings,
         name,
         domain,
-        border,
+        adapter,
         stopping.clone(),
         board,
     ));
@@ -93,7 +97,7 @@
         .map_err(|error| Error::Bind("peers", peer, error.to_string()))?;
     let socket = Rc::new(socket);
     start(&state, &socket);
-    tokio::task::spawn_local(sum_up(Rc::clone(&state)));
+    tokio::task::spawn_local(log_summaries(Rc::clone(&state)));
     tokio::task::spawn_local(reload(Rc::clone(&state), file, hangup));
     event::STARTED.emit(format_args!(
         "instance={} boot={:x}",
@@ -106,22 +110,25 @@
 
 fn start(state: &Rc<State>, socket: &Rc<UdpSocket>) {
     tokio::task::spawn_local(configuration::follow(Rc::clone(state)));
-    tokio::task::spawn_local(configuration::ask_peers(Rc::clone(state)));
+    tokio::task::spawn_local(configuration::fetch_from_peers(Rc::clone(state)));
     tokio::task::spawn_local(registrations::follow(Rc::clone(state)));
-    tokio::task::spawn_local(watch::follow(Rc::clone(state)));
-    tokio::task::spawn_local(watch::ask_endpoints(Rc::clone(state)));
-    tokio::task::spawn_local(gossip::speak(Rc::clone(state), Rc::clone(socket)));
-    tokio::task::spawn_local(gossip::listen(Rc::clone(state), Rc::clone(socket)));
+    tokio::task::spawn_local(membership::follow(Rc::clone(state)));
+    tokio::task::spawn_local(membership::fetch_endpoints(Rc::clone(state)));
+    tokio::task::spawn_local(gossip::send_heartbeats(Rc::clone(state), Rc::clone(socket)));
+    tokio::task::spawn_local(gossip::receive_heartbeats(
+        Rc::clone(state),
+        Rc::clone(socket),
+    ));
     tokio::task::spawn_local(duty::register(Rc::clone(state)));
-    tokio::task::spawn_local(duty::stand(Rc::clone(state)));
-    tokio::task::spawn_local(duty::act(Rc::clone(state)));
+    tokio::task::spawn_local(duty::campaign(Rc::clone(state)));
+    tokio::task::spawn_local(duty::run_leader(Rc::clone(state)));
 }
 
 /// Logs what went well, now and then.
-async fn sum_up(state: Rc<State>) {
+async fn log_summaries(state: Rc<State>) {
     loop {
-        tokio::time::sleep(SUM).await;
-        state.sum_up();
+        tokio::time::sleep(SUMMARY_INTERVAL).await;
+        state.log_summary();
     }
 }
 
@@ -131,7 +138,7 @@
     loop {
         tokio::select! {
             _signal = hangup.recv() => {}
-            () = tokio::time::sleep(REREAD) => {}
+            () = tokio::time::sleep(RELOAD_INTERVAL) => {}
         }
         match settings::load::<Settings>(&file) {
             Ok(settings) if last.as_ref() == Some(&settings) => {}
@@ -149,14 +156,14 @@
 /// until the process ends.
 async fn serve(state: &Rc<State>, callers: &Connections) -> Result<(), Error> {
     let listen = state.settings().listen.clone();
-    let aside: Rc<dyn Handler> = Rc::new(Aside(Rc::clone(state)));
+    let control: Rc<dyn Handler> = Rc::new(Control(Rc::clone(state)));
     let front: Rc<dyn Handler> = Rc::new(Front(Rc::clone(state)));
     let others = Connections::default();
     let parts = [
         ("callers", listen.front, &front, callers),
-        ("readiness", listen.readiness, &aside, &others),
-        ("addresses", listen.directory, &aside, &others),
-        ("control", listen.control, &aside, &others),
+        ("readiness", listen.readiness, &control, &others),
+        ("addresses", listen.directory, &control, &others),
+        ("control", listen.control, &control, &others),
     ];
     for (what, address, handler, connections) in parts {
         let Some(address) = address else {
@@ -172,14 +179,14 @@
 
 /// Readiness, addresses, and what other instances and operators ask.
 #[derive(Debug)]
-struct Aside(Rc<State>);
+struct Control(Rc<State>);
 
-impl Handler for Aside {
+impl Handler for Control {
     fn limits(&self) -> Limits {
         Limits {
-            head: HEAD,
-            head_wait: Duration::from_secs(3),
-            idle: Duration::from_secs(30),
+            max_head_bytes: MAX_HEAD_BYTES,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(30),
         }
     }
 
@@ -194,42 +201,42 @@
 }
 
 fn respond(state: &State, path: &str, query: Option<&str>) -> Response<Outgoing> {
-    let border = &state.border;
-    if border.is_ready(path) {
-        return plain(if state.is_ready() {
+    let adapter = &state.adapter;
+    if adapter.is_readiness_path(path) {
+        return empty(if state.is_ready() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         });
     }
-    if let Some(domain) = border.asks_addresses(path, query) {
+    if let Some(domain) = adapter.address_query(path, query) {
         let own = state
             .is_ready()
             .then(|| (state.front(), state.domain.as_str()));
         let fronts = state.peers.borrow().fronts(state.now(), &domain, own);
         if fronts.is_empty() {
-            return plain(StatusCode::SERVICE_UNAVAILABLE);
+            return empty(StatusCode::SERVICE_UNAVAILABLE);
         }
         let keep = state.settings().bounds.addresses.duration();
-        return json(Outgoing::whole(border.addresses(&fronts, keep)));
+        return json(Outgoing::full(adapter.addresses(&fronts, keep)));
     }
-    if path == METRICS {
-        state.gauge();
+    if path == METRICS_PATH {
+        state.update_gauges();
         return match state.board.render() {
-            Ok(text) => answer(StatusCode::OK, HeaderMap::new(), Outgoing::whole(text)),
+            Ok(text) => answer(StatusCode::OK, HeaderMap::new(), Outgoing::full(text)),
             Err(error) => {
                 event::BROKEN.emit(format_args!("rule=metrics reason={:?}", error.to_string()));
-                plain(StatusCode::INTERNAL_SERVER_ERROR)
+                empty(StatusCode::INTERNAL_SERVER_ERROR)
             }
         };
     }
     match path {
-        CONFIGURATION => configuration::show(state),
-        PACKED => configuration::show_packed(state),
-        ENDPOINTS => match registrations::show(state, query) {
-            Some(bytes) => json(Outgoing::whole(bytes)),
-            None => plain(StatusCode::NOT_FOUND),
+        CONFIGURATION_PATH => configuration::show(state),
+        COMPRESSED_CONFIGURATION_PATH => configuration::show_compressed(state),
+        ENDPOINTS_PATH => match registrations::page(state, query) {
+            Some(bytes) => json(Outgoing::full(bytes)),
+            None => empty(StatusCode::NOT_FOUND),
         },
-        _ => plain(StatusCode::NOT_FOUND),
+        _ => empty(StatusCode::NOT_FOUND),
     }
 }
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -8,16 +8,16 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::allowance::{self, Reach};
 use coltsfoothall::forward::choice;
+use coltsfoothall::forward::config::Route;
 use coltsfoothall::forward::duration;
-use coltsfoothall::forward::history::{Era, Fence, Place};
+use coltsfoothall::forward::history::{Era, Fence, Position};
 use coltsfoothall::forward::leader::Leader;
 use coltsfoothall::forward::order::{self, Meter};
 use coltsfoothall::forward::peer::{self, Peers, Profile};
+use coltsfoothall::forward::rate_limit::{self, Coverage};
 use coltsfoothall::forward::roster::{End, Ended, Event, Roster};
 use coltsfoothall::forward::stop::Stop;
-use coltsfoothall::forward::table::Route;
 use coltsfoothall::forward::upgrade;
 use coltsfoothall::forward::usage;
 use coltsfoothall::id;
@@ -28,23 +28,23 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
+use crate::adapter::Adapter;
 use crate::adoption::Adoption;
-use crate::border::Border;
 use crate::calls::Calls;
+use crate::changelog::Changelog;
 use crate::health::Health;
-use crate::kept::Pool;
-use crate::passed::Passed;
+use crate::pool::Pool;
 use crate::retries::Retries;
 use crate::settings::Settings;
 use crate::time::{self, Clock};
 
 /// How long an attempt that broke off waits for word of its endpoint: registrations lapse
 /// after three heartbeats, and the store may be away meanwhile.
-const EVIDENCE: Duration = Duration::from_secs(15);
+const EVIDENCE_RETENTION: Duration = Duration::from_secs(15);
 /// How long news of ended endpoints is told to others.
-const NEWS: Duration = Duration::from_secs(6);
+const DEPARTURE_RETENTION: Duration = Duration::from_secs(6);
 /// After the store came back, removed endpoints get so long to register again.
-pub const RETURN: Duration = Duration::from_millis(2_000);
+pub const REGISTRATION_GRACE: Duration = Duration::from_millis(2_000);
 
 /// Counts a request as under way until it is dropped.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
 
 /// News of an ended endpoint.
 #[derive(Debug, Clone)]
-pub struct News {
+pub struct Departure {
     /// What ended, and when.
     pub ended: Ended,
     at: Time,
@@ -81,7 +81,7 @@
     /// Its failure domain.
     pub domain: id::Domain,
     /// The platform.
-    pub border: Rc<dyn Border>,
+    pub adapter: Rc<dyn Adapter>,
     /// The runtime's clock.
     pub clock: Clock,
     /// Number of this boot, drawn at random.
@@ -91,13 +91,13 @@
     /// The moments of the stop that is under way.
     pub stop: Cell<Option<Stop>>,
     /// Set when a planned stop waits no longer for what is under way.
-    pub cutting: CancellationToken,
+    pub abort: CancellationToken,
     /// Endpoints.
     pub roster: RefCell<Roster>,
     /// Connections to endpoints.
     pub pool: RefCell<Pool>,
     /// Rates of workspaces.
-    pub allowance: RefCell<allowance::Book>,
+    pub rate_limiter: RefCell<rate_limit::Limiter>,
     /// How long answers take.
     pub durations: RefCell<duration::Table>,
     /// Services that move to another version.
@@ -109,33 +109,33 @@
     /// The election of who acts for all.
     pub leader: RefCell<Leader>,
     /// Registrations of endpoints as they were read, for instances that lack them.
-    pub passed: RefCell<Passed>,
+    pub changelog: RefCell<Changelog>,
     /// As of when the registrations known here are the store's own; none while it does not
     /// answer, or is not asked.
-    pub fresh: Cell<Option<Time>>,
+    pub registrations_as_of: Cell<Option<Time>>,
     /// Whether the store did not answer the last call for registrations.
-    pub unread: Cell<bool>,
+    pub registrations_lost: Cell<bool>,
     /// The configuration in force, and what is known of newer ones.
     pub adoption: Adoption,
     /// Whether the store answers.
     pub health: Health,
     era: Cell<Option<Era>>,
     /// Wakes who waits when the store came back from an older copy.
-    pub risen: Notify,
+    pub era_changed: Notify,
     reported: Cell<Option<u64>>,
     /// Calls to the store.
     pub calls: Calls,
     /// Evidence against requests that crash endpoints.
-    pub docket: RefCell<Tracker>,
-    attempts: Cell<u64>,
+    pub suspicions: RefCell<Tracker>,
+    next_attempt: Cell<u64>,
     /// Requests under way.
     pub open: Cell<usize>,
     /// Counters and histograms for a scrape.
     pub board: Board,
     pub(crate) served: Cell<u64>,
     retries: RefCell<Retries>,
-    news: RefCell<Vec<News>>,
-    returned: Cell<Option<Time>>,
+    departures: RefCell<Vec<Departure>>,
+    store_returned_at: Cell<Option<Time>>,
     meters: RefCell<Vec<(id::Service, Meter)>>,
 }
 
@@ -154,7 +154,7 @@
         settings: Settings,
         name: id::Instance,
         domain: id::Domain,
-        border: Rc<dyn Border>,
+        adapter: Rc<dyn Adapter>,
         stopping: CancellationToken,
         board: Board,
     ) -> Self {
@@ -162,7 +162,7 @@
         Self {
             roster: RefCell::new(Roster::new(choice::Settings::default())),
             pool: RefCell::default(),
-            allowance: RefCell::default(),
+            rate_limiter: RefCell::default(),
             upgrades: RefCell::new(upgrade::Book::new(upgrade::Settings::default(), boot)),
             usage: RefCell::new(usage::Book::new(
                 boot,
@@ -170,17 +170,17 @@
             )),
             peers: RefCell::new(Peers::new(name.clone(), peer::Settings::default())),
             leader: RefCell::new(Leader::new(settings.bounds.lease.duration())),
-            passed: RefCell::default(),
-            fresh: Cell::default(),
-            unread: Cell::default(),
+            changelog: RefCell::default(),
+            registrations_as_of: Cell::default(),
+            registrations_lost: Cell::default(),
             adoption: Adoption::default(),
             health: Health::default(),
             era: Cell::default(),
-            risen: Notify::new(),
+            era_changed: Notify::new(),
             reported: Cell::default(),
             calls: Calls::default(),
-            docket: RefCell::new(Tracker::new(suspicion::Settings::default())),
-            attempts: Cell::new(boot),
+            suspicions: RefCell::new(Tracker::new(suspicion::Settings::default())),
+            next_attempt: Cell::new(boot),
             open: Cell::new(0),
             board,
             served: Cell::new(0),
@@ -188,19 +188,19 @@
                 settings.bounds.retry_ratio,
                 settings.bounds.retry_slack,
             )),
-            news: RefCell::default(),
-            returned: Cell::new(None),
+            departures: RefCell::default(),
+            store_returned_at: Cell::new(None),
             meters: RefCell::default(),
             clock: Clock::start(),
             settings: RefCell::new(Rc::new(settings)),
             name,
             domain,
-            border,
+            adapter,
             boot,
             stopping,
             stop: Cell::new(None),
             durations: RefCell::default(),
-            cutting: CancellationToken::new(),
+            abort: CancellationToken::new(),
         }
     }
 
@@ -219,16 +219,16 @@
     /// Takes over settings that were read again. What is bound to a running process stays:
     /// its name, its domain, its addresses.
     pub fn reload(&self, settings: Settings) {
-        let had = self.settings();
+        let previous = self.settings();
         *self.settings.borrow_mut() = Rc::new(Settings {
-            instance: had.instance.clone(),
-            domain: had.domain.clone(),
-            listen: had.listen.clone(),
-            peer_port: had.peer_port,
-            store: had.store,
-            store_history: had.store_history,
-            cloud: had.cloud,
-            log: had.log.clone(),
+            instance: previous.instance.clone(),
+            domain: previous.domain.clone(),
+            listen: previous.listen.clone(),
+            peer_port: previous.peer_port,
+            store: previous.store,
+            store_history: previous.store_history,
+            cloud: previous.cloud,
+            log: previous.log.clone(),
             ..settings
         });
         event::RELOADED.emit(format_args!("seeds={:?}", self.settings().seeds));
@@ -267,8 +267,8 @@
 
     /// Members that share the rates.
     #[must_use]
-    pub fn reach(&self) -> Reach {
-        self.peers.borrow().reach(self.now())
+    pub fn reach(&self) -> Coverage {
+        self.peers.borrow().coverage(self.now())
     }
 
     /// Time since 1970 as most instances have it.
@@ -291,32 +291,32 @@
     /// A run ended. One that broke off is evidence if its endpoint turns out to be gone; a
     /// whole answer clears its like. Endpoints that leave without a word go on serving, so
     /// runs that did not break are no evidence.
-    pub fn testify(&self, endpoint: &id::Endpoint, fingerprint: Fingerprint, end: End) {
+    pub fn record_evidence(&self, endpoint: &id::Endpoint, fingerprint: Fingerprint, end: End) {
         let now = self.now();
-        let mut docket = self.docket.borrow_mut();
-        let attempt = self.attempts.get();
+        let mut suspicions = self.suspicions.borrow_mut();
+        let attempt = self.next_attempt.get();
         match end {
-            End::Whole if docket.is_empty() => {}
+            End::Whole if suspicions.is_empty() => {}
             End::Whole => {
-                docket.record_start(now, attempt, endpoint.clone(), fingerprint, false);
-                docket.record_end(now, attempt, true);
+                suspicions.record_start(now, attempt, endpoint.clone(), fingerprint, false);
+                suspicions.record_end(now, attempt, true);
             }
             End::Failed => {
                 // The fleet's attempts differ, since each boot counts from a number of its own.
-                self.attempts.set(attempt.wrapping_add(1));
-                docket.record_start(now, attempt, endpoint.clone(), fingerprint, false);
+                self.next_attempt.set(attempt.wrapping_add(1));
+                suspicions.record_start(now, attempt, endpoint.clone(), fingerprint, false);
             }
             End::Refused | End::Unreachable | End::Abandoned => {}
         }
     }
 
     /// An endpoint is gone; what ran there is evidence unless that was expected.
-    fn died(&self, id: &id::Endpoint, announced: bool) {
+    fn record_death(&self, id: &id::Endpoint, announced: bool) {
         let now = self.now();
-        let mut docket = self.docket.borrow_mut();
-        docket.abandon(now - EVIDENCE);
-        docket.expire(now);
-        let marks = docket.record_death(now, id, announced);
+        let mut suspicions = self.suspicions.borrow_mut();
+        suspicions.abandon(now - EVIDENCE_RETENTION);
+        suspicions.expire(now);
+        let marks = suspicions.record_death(now, id, announced);
         if !marks.is_empty() {
             event::ENDPOINT_DIED.emit(format_args!(
                 "endpoint={id} announced={announced} suspects={}",
@@ -328,7 +328,9 @@
     /// A request goes to a service for the first time.
     pub fn count_sent(&self, service: &id::Service) {
         let (now, members) = (self.now(), self.reach().members);
-        self.retries.borrow_mut().sent(now, service, members);
+        self.retries
+            .borrow_mut()
+            .record_first(now, service, members);
     }
 
     /// Whether a request may go to one more endpoint of a service.
@@ -339,19 +341,19 @@
     }
 
     /// An instance tells what its requests took of the endpoints' time.
-    pub fn hear_work(&self, boot: u64, work: &[(id::Service, u64)]) {
+    pub fn merge_work(&self, boot: u64, work: &[(id::Service, u64)]) {
         let now = self.now();
         let mut meters = self.meters.borrow_mut();
         for (service, micros) in work {
-            let place = match meters.binary_search_by(|(have, _)| have.cmp(service)) {
-                Ok(place) => place,
-                Err(place) => {
+            let index = match meters.binary_search_by(|(have, _)| have.cmp(service)) {
+                Ok(index) => index,
+                Err(index) => {
                     let meter = Meter::new(now, order::Settings::default());
-                    meters.insert(place, (service.clone(), meter));
-                    place
+                    meters.insert(index, (service.clone(), meter));
+                    index
                 }
             };
-            meters[place].1.hear(now, boot, *micros);
+            meters[index].1.merge_work(now, boot, *micros);
         }
     }
 
@@ -359,22 +361,22 @@
     #[must_use]
     pub fn load(&self, service: &id::Service) -> Option<order::Load> {
         let own = self.roster.borrow().work().to_vec();
-        self.hear_work(self.boot, &own);
+        self.merge_work(self.boot, &own);
         let meters = self.meters.borrow();
         let found = meters.binary_search_by(|(have, _)| have.cmp(service));
         found
             .ok()
-            .and_then(|place| meters[place].1.load(self.now()))
+            .and_then(|index| meters[index].1.load(self.now()))
     }
 
     /// A request on a route took this time until its answer was whole or given up.
-    pub fn note_duration(&self, route: &Route, begun: Time) {
+    pub fn record_duration(&self, route: &Route, begun: Time) {
         let took = self.now().since(begun);
         self.durations.borrow_mut().saw(&route.name, took);
     }
 
     /// Acts on a change in the list of endpoints.
-    pub fn note(&self, event: Option<Event>, place: Place, source: &str) {
+    pub fn apply_event(&self, event: Option<Event>, place: Position, source: &str) {
         match event {
             None => {}
             Some(Event::Added(id)) => {
@@ -390,56 +392,65 @@
                 event::ENDPOINT.emit(format_args!(
                     "endpoint={id} state=restarted place={place} source={source}"
                 ));
-                self.pool.borrow_mut().forget(&id);
-                let announced = self.was_leaving(&id);
-                self.died(&id, announced);
+                self.pool.borrow_mut().remove(&id);
+                let announced = self.has_departed(&id);
+                self.record_death(&id, announced);
             }
             Some(Event::Leaving(id)) => {
                 event::ENDPOINT.emit(format_args!(
                     "endpoint={id} state=leaving place={place} source={source}"
                 ));
-                self.tell(id, place);
+                self.record_departure(id, place);
             }
             Some(Event::Gone(id)) => {
                 event::ENDPOINT.emit(format_args!(
                     "endpoint={id} state=gone place={place} source={source}"
                 ));
-                self.pool.borrow_mut().forget(&id);
-                let announced = self.mercy().is_some() || self.was_leaving(&id);
-                self.died(&id, announced);
-                self.tell(id, place);
+                self.pool.borrow_mut().remove(&id);
+                let announced = self.registration_grace().is_some() || self.has_departed(&id);
+                self.record_death(&id, announced);
+                self.record_departure(id, place);
             }
         }
     }
 
     /// Whether an endpoint's leaving was told before it was gone.
-    fn was_leaving(&self, id: &id::Endpoint) -> bool {
-        self.news.borrow().iter().any(|news| news.ended.id == *id)
+    fn has_departed(&self, id: &id::Endpoint) -> bool {
+        self.departures
+            .borrow()
+            .iter()
+            .any(|departure| departure.ended.id == *id)
     }
 
-    fn tell(&self, id: id::Endpoint, place: Place) {
+    fn record_departure(&self, id: id::Endpoint, place: Position) {
         let at = self.now();
-        let ended = Ended { id, place };
-        self.news.borrow_mut().push(News { ended, at });
+        let ended = Ended {
+            id,
+            position: place,
+        };
+        self.departures.borrow_mut().push(Departure { ended, at });
     }
 
     /// News that others may not have heard yet.
     #[must_use]
-    pub fn news(&self) -> Vec<Ended> {
+    pub fn departures(&self) -> Vec<Ended> {
         let now = self.now();
-        let mut news = self.news.borrow_mut();
-        news.retain(|news| now.since(news.at) < NEWS);
-        news.iter().map(|news| news.ended.clone()).collect()
+        let mut departures = self.departures.borrow_mut();
+        departures.retain(|departure| now.since(departure.at) < DEPARTURE_RETENTION);
+        departures
+            .iter()
+            .map(|departure| departure.ended.clone())
+            .collect()
     }
 
     /// The store answers again after it was away.
     pub fn store_returned(&self) {
-        self.returned.set(Some(self.now()));
+        self.store_returned_at.set(Some(self.now()));
     }
 
     /// Whether the fleet is so small that each instance reads registrations for itself alone.
     #[must_use]
-    pub fn reads_alone(&self) -> bool {
+    pub fn reads_directly(&self) -> bool {
         self.reach().members as usize <= self.settings().read_alone
     }
 
@@ -450,15 +461,15 @@
     }
 
     /// Learns the era of the store's answers.
-    pub fn look_at_era(&self) {
-        if let Some(era) = self.border.era() {
-            self.learn_era(era);
+    pub fn refresh_era(&self) {
+        if let Some(era) = self.adapter.era() {
+            self.record_era(era);
         }
     }
 
     /// An answer of the store or another instance names an era. A later one than was known
     /// ends what holds for the earlier: watches, leases, and that what is missing is gone.
-    pub fn learn_era(&self, era: Era) {
+    pub fn record_era(&self, era: Era) {
         let known = self.era.get();
         if known >= Some(era) {
             return;
@@ -470,13 +481,13 @@
         event::STORE_ERA.emit(format_args!("from={known} to={era}"));
         self.leader.borrow_mut().rose(era);
         self.store_returned();
-        self.risen.notify_waiters();
+        self.era_changed.notify_waiters();
     }
 
     /// The number under which this instance may act for all now, if it may.
     #[must_use]
     pub fn fence(&self) -> Option<Fence> {
-        self.look_at_era();
+        self.refresh_era();
         self.leader.borrow().fence(time::boot())
     }
 
@@ -487,15 +498,15 @@
     }
 
     /// A usage window was reported, and all before it.
-    pub fn note_reported(&self, window: u64) {
+    pub fn record_reported(&self, window: u64) {
         self.reported.set(self.reported.get().max(Some(window)));
     }
 
     /// Time that a removed endpoint still has to register again.
     #[must_use]
-    pub fn mercy(&self) -> Option<Duration> {
-        let returned = self.returned.get()?;
-        let rest = RETURN.saturating_sub(self.now().since(returned));
+    pub fn registration_grace(&self) -> Option<Duration> {
+        let returned = self.store_returned_at.get()?;
+        let rest = REGISTRATION_GRACE.saturating_sub(self.now().since(returned));
         (!rest.is_zero()).then_some(rest)
     }
 }
--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfoothall::catalog::{Catalog, Revision, Workspace};
-use coltsfoothall::choice::{Ask, Endpoint, Router, Settings};
+use coltsfoothall::choice::{Endpoint, Query, Router, Settings};
 use coltsfoothall::clock::Time;
 use coltsfoothall::duty::{Context, duties};
 use coltsfoothall::id;
@@ -283,13 +283,13 @@
     let empty = resident().saturating_sub(before);
     for number in 0..count {
         let events = events(number, 1, CACHE);
-        black_box(router.cache_events(&name("runner", number), &events));
+        black_box(router.record_cache_events(&name("runner", number), &events));
     }
     let full = resident().saturating_sub(before);
     println!(
         "endpoints={count} router_empty_bytes={empty} router_full_bytes={full} beliefs={} \
          blocks_reported={}",
-        router.beliefs(),
+        router.index_entries(),
         count as u64 * CACHE
     );
     measure(&format!("endpoints={count} set_endpoints"), |_| {
@@ -303,11 +303,11 @@
         capacity: Tokens(400_000),
     };
     measure(&format!("endpoints={count} report"), |round| {
-        router.report(at(round as u64), &name("runner", round % count), &report);
+        router.record_report(at(round as u64), &name("runner", round % count), &report);
     });
     measure(&format!("endpoints={count} cache_events_of_16"), |round| {
         let events = events(round % count, CACHE + 1 + round as u64 * 16, 16);
-        black_box(router.cache_events(&name("runner", round % count), &events));
+        black_box(router.record_cache_events(&name("runner", round % count), &events));
     });
     choices(count, &mut router);
     std::mem::forget(router);
@@ -318,7 +318,7 @@
     let shared: Vec<Block> = events(0, 1, 256).iter().map(stored).collect();
     let lengths = [("short", 1), ("long", 16)];
     for (label, blocks) in lengths {
-        let ask = Ask {
+        let query = Query {
             service: &service,
             model: None,
             blocks: &shared[7..7 + blocks],
@@ -327,24 +327,24 @@
             class: Class::Interactive,
             domain: &domain,
             exclude: &[],
-            alone: false,
+            isolated: false,
         };
         measure(&format!("endpoints={count} choose_{label}"), |round| {
-            black_box(router.choose(at(1000 + round as u64), &ask));
+            black_box(router.choose(at(1000 + round as u64), &query));
         });
         measure(
             &format!("endpoints={count} choose_began_ended_{label}"),
             |round| {
                 let now = at(2000 + round as u64);
-                if let Some(pick) = router.choose(now, &ask) {
-                    let run = router.began(now, &pick.endpoint, &ask);
-                    router.ended(now, run);
+                if let Some(pick) = router.choose(now, &query) {
+                    let run = router.record_start(now, &pick.endpoint, &query);
+                    router.record_end(now, run);
                 }
             },
         );
     }
     measure(&format!("endpoints={count} room"), |round| {
-        black_box(router.room(at(3000 + round as u64), &service));
+        black_box(router.budget(at(3000 + round as u64), &service));
     });
 }
 
--- a/coltsfoothall/src/forward/choice.rs
+++ b/coltsfoothall/src/forward/choice.rs
@@ -11,8 +11,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::clock::Time;
+use crate::forward::latency::{self, Model, Sample};
 use crate::forward::node::Node;
-use crate::forward::pace::{self, Pace, Sample};
 use crate::forward::roster::Roster;
 use crate::forward::upgrade::Versions;
 use crate::id;
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// What is assumed of engines until their answers are seen.
-    pub pace: pace::Settings,
+    pub latency: latency::Settings,
     /// Microseconds that a plain request works, before that was measured.
     pub work: f64,
     /// Microseconds that the hop to another failure domain counts as: bytes there are
@@ -46,7 +46,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            pace: pace::Settings::default(),
+            latency: latency::Settings::default(),
             work: 30_000.0,
             hop: 3_000.0,
             fault: 600_000.0,
@@ -70,7 +70,7 @@
 
 /// What a request asks of an endpoint.
 #[derive(Debug, Clone)]
-pub struct Ask<'a> {
+pub struct Query<'a> {
     /// Its service.
     pub service: &'a id::Service,
     /// Parts of its prompt in order; the last one is its own.
@@ -89,7 +89,7 @@
     pub versions: &'a Versions,
 }
 
-impl Ask<'_> {
+impl Query<'_> {
     /// Whether an endpoint is of those that may run it.
     fn allows(&self, node: &Node) -> bool {
         let entry = &node.entry;
@@ -120,7 +120,7 @@
 
 /// Why no endpoint was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Nobody {
+pub enum Unavailable {
     /// The service has no endpoint that takes work.
     Absent,
     /// All are full.
@@ -134,37 +134,37 @@
     ///
     /// # Errors
     /// Says whether there is none, all are full, or the request fits in none.
-    pub fn choose(&self, now: Time, ask: &Ask<'_>) -> Result<Pick, Nobody> {
-        let needed = ask.prompt.plus(ask.answer);
-        if ask.memory.is_some_and(|memory| needed > memory) {
-            return Err(Nobody::Large);
+    pub fn choose(&self, now: Time, query: &Query<'_>) -> Result<Pick, Unavailable> {
+        let needed = query.prompt.plus(query.answer);
+        if query.memory.is_some_and(|memory| needed > memory) {
+            return Err(Unavailable::Large);
         }
-        let chains: Vec<u64> = chains(ask.parts).collect();
-        let part = shared(ask, &chains);
-        let home = self.home(now, ask, part);
-        let pace = self.pace(ask.service);
-        let mut nobody = Nobody::Absent;
+        let chains: Vec<u64> = chains(query.parts).collect();
+        let part = shared(query, &chains);
+        let home = self.home(now, query, part);
+        let model = self.latency_model(query.service);
+        let mut unavailable = Unavailable::Absent;
         let mut best: Option<(&Node, Weighed)> = None;
         let mut among = 0;
         for node in &self.nodes {
-            if !ask.allows(node) || ask.exclude.contains(&node.entry.id) {
+            if !query.allows(node) || query.exclude.contains(&node.entry.id) {
                 continue;
             }
-            if self.is_full(now, node, ask) {
-                nobody = Nobody::Full;
+            if self.is_full(now, node, query) {
+                unavailable = Unavailable::Full;
                 continue;
             }
             among += 1;
-            let weighed = self.weigh(now, node, ask, &chains, pace);
+            let weighed = self.weigh(now, node, query, &chains, model);
             let kept = part.filter(|part| home.is(node, part.chain));
             // Reading the part elsewhere takes time now, and again when it is asked there.
-            let saved = kept.map_or(0.0, |part| pace.reading(part.tokens.0, 0));
+            let saved = kept.map_or(0.0, |part| model.prefill(part.tokens.0, 0));
             let cost = weighed.cost - saved * self.settings.home;
             if best.is_none_or(|(_, least)| cost < least.cost) {
                 best = Some((node, Weighed { cost, ..weighed }));
             }
         }
-        let (node, weighed) = best.ok_or(nobody)?;
+        let (node, weighed) = best.ok_or(unavailable)?;
         Ok(Pick {
             endpoint: node.entry.id.clone(),
             address: node.entry.address,
@@ -179,12 +179,12 @@
     /// Where all instances look first for the longest part that others share: where it was
     /// sent lately, by whichever instance. A part that is nowhere has the first endpoint of
     /// its rendezvous hash, so that it is read once and not once each.
-    fn home(&self, now: Time, ask: &Ask<'_>, part: Option<Shared>) -> Home<'_> {
+    fn home(&self, now: Time, query: &Query<'_>, part: Option<Shared>) -> Home<'_> {
         let Some(Shared { chain, .. }) = part else {
             return Home::Nowhere;
         };
         let oldest = now - self.settings.keep;
-        let nodes = || self.nodes.iter().filter(|node| ask.allows(node));
+        let nodes = || self.nodes.iter().filter(|node| query.allows(node));
         if nodes().any(|node| node.knows(chain, oldest)) {
             return Home::Held(oldest);
         }
@@ -195,12 +195,16 @@
         first.map_or(Home::Nowhere, |node| Home::First(&node.entry.id))
     }
 
-    fn is_full(&self, now: Time, node: &Node, ask: &Ask<'_>) -> bool {
+    fn is_full(&self, now: Time, node: &Node, query: &Query<'_>) -> bool {
         let load = node.load();
         let slots = f64::from(node.entry.slots.max(1));
-        match ask.memory {
+        match query.memory {
             Some(memory) => {
-                let needed = ask.prompt.plus(ask.answer).0.saturating_add(load.memory);
+                let needed = query
+                    .prompt
+                    .plus(query.answer)
+                    .0
+                    .saturating_add(load.memory);
                 f64::from(load.open) >= slots * self.settings.fill
                     || (load.open > 0 && needed as f64 > memory.0 as f64 * self.settings.fill)
             }
@@ -209,24 +213,31 @@
         }
     }
 
-    fn weigh(&self, now: Time, node: &Node, ask: &Ask<'_>, chains: &[u64], pace: &Pace) -> Weighed {
+    fn weigh(
+        &self,
+        now: Time,
+        node: &Node,
+        query: &Query<'_>,
+        chains: &[u64],
+        model: &Model,
+    ) -> Weighed {
         let settings = &self.settings;
         let load = node.load();
-        let known = self.known(now, node, ask, chains);
-        let unread = ask.prompt.minus(known);
+        let known = self.known(now, node, query, chains);
+        let unread = query.prompt.minus(known);
         let sample = Sample {
             tokens: load.unread.saturating_add(unread.0),
-            pairs: load.pairs.saturating_add(pairs(ask.prompt, unread)),
+            pairs: load.pairs.saturating_add(pairs(query.prompt, unread)),
             open: load.open,
         };
-        let work = if ask.memory.is_some() {
-            pace.wait(sample).as_micros() as f64
+        let work = if query.memory.is_some() {
+            model.first_event(sample).as_micros() as f64
         } else {
             let queued = f64::from(load.open) / f64::from(node.entry.slots.max(1));
             settings.work * (1.0 + queued * queued)
         };
         let wait = work * node.slowness + 4_000.0;
-        let hop = if node.entry.domain == *ask.domain {
+        let hop = if node.entry.domain == *query.domain {
             0.0
         } else {
             settings.hop
@@ -252,16 +263,16 @@
     }
 
     /// Tokens at the start of the prompt that the endpoint read lately.
-    fn known(&self, now: Time, node: &Node, ask: &Ask<'_>, chains: &[u64]) -> Tokens {
+    fn known(&self, now: Time, node: &Node, query: &Query<'_>, chains: &[u64]) -> Tokens {
         let oldest = now - self.settings.keep;
         let mut known = Tokens(0);
-        for (part, chain) in ask.parts.iter().zip(chains) {
+        for (part, chain) in query.parts.iter().zip(chains) {
             if !node.knows(*chain, oldest) {
                 break;
             }
             known = known.plus(part.tokens);
         }
-        known.min(ask.prompt)
+        known.min(query.prompt)
     }
 }
 
@@ -286,10 +297,10 @@
 }
 
 /// All parts but the last one, which is the request's own.
-fn shared(ask: &Ask<'_>, chains: &[u64]) -> Option<Shared> {
-    let count = ask.parts.len().checked_sub(1)?;
+fn shared(query: &Query<'_>, chains: &[u64]) -> Option<Shared> {
+    let count = query.parts.len().checked_sub(1)?;
     let chain = *chains[..count].last()?;
-    let tokens = ask.parts[..count].iter().map(|part| part.tokens.0).sum();
+    let tokens = query.parts[..count].iter().map(|part| part.tokens.0).sum();
     Some(Shared {
         chain,
         tokens: Tokens(tokens),
--- a/coltsfoothall/tests/choice.rs
+++ b/coltsfoothall/tests/choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfoothall::choice::{Ask, Endpoint, Router, Run, Settings};
+use coltsfoothall::choice::{Endpoint, Query, Router, Run, Settings};
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 use coltsfoothall::load::Report;
@@ -39,7 +39,7 @@
     domain: id::Domain,
     blocks: Vec<Block>,
     exclude: Vec<id::Endpoint>,
-    alone: bool,
+    isolated: bool,
 }
 
 fn want(blocks: std::ops::Range<u64>) -> Want {
@@ -48,13 +48,13 @@
         domain: "smichov".parse().expect("a valid name"),
         blocks: blocks.map(Block).collect(),
         exclude: Vec::new(),
-        alone: false,
+        isolated: false,
     }
 }
 
 impl Want {
-    fn ask(&self) -> Ask<'_> {
-        Ask {
+    fn query(&self) -> Query<'_> {
+        Query {
             service: &self.service,
             model: None,
             blocks: &self.blocks,
@@ -63,26 +63,26 @@
             class: Class::Interactive,
             domain: &self.domain,
             exclude: &self.exclude,
-            alone: self.alone,
+            isolated: self.isolated,
         }
     }
 }
 
 fn send(router: &mut Router, now: Time, want: &Want) -> Run {
     let pick = router
-        .choose(now, &want.ask())
+        .choose(now, &want.query())
         .expect("an endpoint may serve");
-    router.began(now, &pick.endpoint, &want.ask())
+    router.record_start(now, &pick.endpoint, &want.query())
 }
 
 #[test]
 fn prefix_stays() {
     let mut router = router(18, Settings::default());
     let mut first = send(&mut router, at(0), &want(0..40));
-    router.first(at(100), &mut first, Some(Tokens(0)));
+    router.record_first_token(at(100), &mut first, Some(Tokens(0)));
     let endpoint = first.endpoint.clone();
-    router.ended(at(200), first);
-    let pick = router.choose(at(300), &want(0..44).ask()).unwrap();
+    router.record_end(at(200), first);
+    let pick = router.choose(at(300), &want(0..44).query()).unwrap();
     assert_eq!(pick.endpoint, endpoint);
     assert_eq!(pick.cached, Tokens(40 * 256));
 }
@@ -112,7 +112,7 @@
                 ..Settings::default()
             };
             let mut router = router(450, settings);
-            router.choose(at(0), &want(key..key + 9).ask()).unwrap()
+            router.choose(at(0), &want(key..key + 9).query()).unwrap()
         };
         assert_eq!(pick(1).endpoint, pick(2).endpoint);
     }
@@ -122,25 +122,25 @@
 fn leaving_never() {
     let mut router = router(2, Settings::default());
     let name: id::Endpoint = "e0000".parse().unwrap();
-    router.leaving(&name);
+    router.mark_leaving(&name);
     let again = (0..2).map(|n| endpoint("reader", &format!("e{n:04}"), "smichov"));
     router.set_endpoints(again.collect());
     for n in 0..50 {
         let run = send(&mut router, at(n), &want(n..n + 3));
         assert_eq!(run.endpoint.as_str(), "e0001");
     }
-    router.leaving(&"e0001".parse().unwrap());
-    assert!(router.choose(at(60), &want(0..3).ask()).is_none());
+    router.mark_leaving(&"e0001".parse().unwrap());
+    assert!(router.choose(at(60), &want(0..3).query()).is_none());
 }
 
 #[test]
 fn suspect_last() {
     let mut router = router(2, Settings::default());
-    router.suspect(&"e0000".parse().unwrap(), at(1_000));
-    let pick = router.choose(at(0), &want(0..3).ask()).unwrap();
+    router.mark_suspect(&"e0000".parse().unwrap(), at(1_000));
+    let pick = router.choose(at(0), &want(0..3).query()).unwrap();
     assert_eq!(pick.endpoint.as_str(), "e0001");
-    router.leaving(&"e0001".parse().unwrap());
-    let pick = router.choose(at(0), &want(0..3).ask()).unwrap();
+    router.mark_leaving(&"e0001".parse().unwrap());
+    let pick = router.choose(at(0), &want(0..3).query()).unwrap();
     assert_eq!(pick.endpoint.as_str(), "e0000");
 }
 
@@ -149,24 +149,24 @@
     let mut router = router(2, Settings::default());
     let mut want = want(0..3);
     want.exclude = vec!["e0000".parse().unwrap(), "e0001".parse().unwrap()];
-    assert!(router.choose(at(0), &want.ask()).is_none());
+    assert!(router.choose(at(0), &want.query()).is_none());
 }
 
 #[test]
 fn alone_means_alone() {
     let mut router = router(2, Settings::default());
     let beside = send(&mut router, at(0), &want(0..3));
-    let mut lonely = want(0..3);
-    lonely.alone = true;
-    let run = send(&mut router, at(1), &lonely);
+    let mut exclusive = want(0..3);
+    exclusive.isolated = true;
+    let run = send(&mut router, at(1), &exclusive);
     assert_ne!(run.endpoint, beside.endpoint);
     let next = send(&mut router, at(2), &want(0..3));
     assert_eq!(next.endpoint, beside.endpoint);
-    assert!(router.choose(at(3), &lonely.ask()).is_none());
-    router.ended(at(4), run);
-    router.ended(at(4), beside);
-    router.ended(at(4), next);
-    assert!(router.choose(at(5), &lonely.ask()).is_some());
+    assert!(router.choose(at(3), &exclusive.query()).is_none());
+    router.record_end(at(4), run);
+    router.record_end(at(4), beside);
+    router.record_end(at(4), next);
+    assert!(router.choose(at(5), &exclusive.query()).is_some());
 }
 
 #[test]
@@ -187,7 +187,7 @@
                 running: if n == 4 { 10 } else { 14 },
                 ..Report::default()
             };
-            router.report(at(0), &format!("e{n:04}").parse().unwrap(), &busy);
+            router.record_report(at(0), &format!("e{n:04}").parse().unwrap(), &busy);
         }
     }
     let mut there = 0;
@@ -210,25 +210,25 @@
         for n in 0..12 {
             let name: id::Endpoint = format!("e{n:04}").parse().unwrap();
             if leaving[n] {
-                router.leaving(&name);
+                router.mark_leaving(&name);
             }
             if suspect[n] {
-                router.suspect(&name, at(1_000));
+                router.mark_suspect(&name, at(1_000));
             }
         }
         let good = |n: usize| !leaving[n] && !suspect[n];
         for (first, ends) in asks {
             let want = want(first..first + 5);
-            let Some(pick) = router.choose(at(0), &want.ask()) else {
+            let Some(pick) = router.choose(at(0), &want.query()) else {
                 prop_assert!(leaving.iter().all(|leaving| *leaving));
                 continue;
             };
             let n: usize = pick.endpoint.as_str()[1..].parse().unwrap();
             prop_assert!(!leaving[n]);
             prop_assert!(good(n) || (0..12).all(|n| !good(n)));
-            let run = router.began(at(0), &pick.endpoint, &want.ask());
+            let run = router.record_start(at(0), &pick.endpoint, &want.query());
             if ends {
-                router.ended(at(0), run);
+                router.record_end(at(0), run);
             }
         }
     }
--- a/coltsfoothall/tests/forward_peer.rs
+++ b/coltsfoothall/tests/forward_peer.rs
@@ -7,8 +7,8 @@
 
 use coltsfoothall::batch;
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::allowance::Reach;
-use coltsfoothall::forward::peer::{Peers, Profile, Settings, TOGETHER};
+use coltsfoothall::forward::peer::{MAX_HEARTBEATS_PER_BATCH, Peers, Profile, Settings};
+use coltsfoothall::forward::rate_limit::Coverage;
 use coltsfoothall::size::Megabits;
 
 fn at(millis: u64) -> Time {
@@ -85,18 +85,18 @@
     let mut peers = peers();
     peers.registered(profile(2, 1, "north"));
     peers.heard(at(0), profile(3, 1, "north"));
-    let reach = |heard| Reach { members: 3, heard };
-    assert_eq!(peers.reach(at(0)), reach(2));
-    assert_eq!(peers.reach(at(2_000)), reach(1));
+    let coverage = |heard| Coverage { members: 3, heard };
+    assert_eq!(peers.coverage(at(0)), coverage(2));
+    assert_eq!(peers.coverage(at(2_000)), coverage(1));
     assert_eq!(peers.expire(at(5_000)), [1], "neither registered nor heard");
     assert_eq!(
-        peers.reach(at(5_000)).members,
+        peers.coverage(at(5_000)).members,
         2,
         "a registered one may still grant"
     );
     peers.withdrawn(&"entry-2".parse().unwrap());
     peers.expire(at(5_000));
-    assert_eq!(peers.reach(at(5_000)).members, 1);
+    assert_eq!(peers.coverage(at(5_000)).members, 1);
 }
 
 #[test]
@@ -117,7 +117,7 @@
     let mut peers = peers();
     peers.introduced(at(0), profile(2, 1, "north"));
     assert_eq!(peers.addresses(), [front(2)], "it gets heartbeats");
-    assert_eq!(peers.reach(at(0)).heard, 1, "but is not heard");
+    assert_eq!(peers.coverage(at(0)).heard, 1, "but is not heard");
     peers.expire(at(5_000));
     assert!(peers.addresses().is_empty());
 }
@@ -187,11 +187,15 @@
         let all: Vec<SocketAddr> = (0..count)
             .map(|n| SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8], 7_500)))
             .collect();
-        let turns = batch::count(all.len(), TOGETHER);
+        let turns = batch::count(all.len(), MAX_HEARTBEATS_PER_BATCH);
         let mut told = Vec::new();
         for turn in 7..7 + turns {
-            let due = batch::select(&all, TOGETHER, turn);
-            assert!(due.len() <= TOGETHER, "{count}: {}", due.len());
+            let due = batch::select(&all, MAX_HEARTBEATS_PER_BATCH, turn);
+            assert!(
+                due.len() <= MAX_HEARTBEATS_PER_BATCH,
+                "{count}: {}",
+                due.len()
+            );
             told.extend(due);
         }
         told.sort_unstable();
