--- a/coltsfoothall/src/denial.rs
+++ b/coltsfoothall/src/denial.rs
@@ -115,10 +115,10 @@
     }
 
     fn confirm(&mut self, asked: Time) {
-        let Role::Primary(owner) = &self.role else {
+        let Role::Primary(primary) = &self.role else {
             return;
         };
-        let held = |item: &Item| item.seq <= owner.released && !item.unsure;
+        let held = |item: &Item| item.seq <= primary.released && !item.unsure;
         for item in self.items.iter_mut().filter(|item| held(item)) {
             item.confirmation.confirm(asked);
         }
@@ -168,12 +168,12 @@
     }
 
     /// Updates the local state after a change of the record.
-    pub(crate) fn record_change(&mut self, now: Time, seq: Seq, denied: bool, owner: bool) {
+    pub(crate) fn record_change(&mut self, now: Time, seq: Seq, denied: bool, is_primary: bool) {
         if denied {
             self.retracted = Some(self.seq);
         }
         self.seq = seq;
-        self.confirmation = match owner && self.ended_not_run() {
+        self.confirmation = match is_primary && self.ended_not_run() {
             true => Confirmation::Awaited(now),
             false => Confirmation::None,
         };
--- a/coltsfoothall/src/duty.rs
+++ b/coltsfoothall/src/duty.rs
@@ -191,8 +191,8 @@
                 step.to = copy.clone();
             }
         }
-        // Slots that already are drained are handed over before others are copied, as they serve
-        // no requests meanwhile.
+        // Slots that are already drained serve no requests, so they are handed over before others
+        // are copied.
         let drained = |step: &Move| self.ledger.drained(step.slot);
         if moves.iter().any(drained) {
             moves.retain(drained);
--- a/coltsfoothall/src/handoff.rs
+++ b/coltsfoothall/src/handoff.rs
@@ -61,16 +61,16 @@
             return None;
         }
         let replica = self.replica_mut(slot).filter(|replica| replica.drained())?;
-        let Role::Primary(owner) = &replica.role else {
+        let Role::Primary(primary) = &replica.role else {
             return None;
         };
-        let Link { peer, holder, .. } = owner.successor()?.clone();
+        let Link { peer, holder, .. } = primary.successor()?.clone();
         let handoff = Handoff {
             slot,
             epoch: replica.epoch,
             seq: replica.seq,
-            released: owner.released,
-            contested: owner.contested,
+            released: primary.released,
+            contested: primary.contested,
             life: holder.life,
         };
         replica.sealed = true;
@@ -147,15 +147,15 @@
                 // An earlier process may have sealed its copy and continued unreplicated.
                 replica.doubt(now, epoch.next());
             }
-            let Role::Primary(owner) = &mut replica.role else {
+            let Role::Primary(primary) = &mut replica.role else {
                 return;
             };
-            let lost = owner.backup.take_if(|link| link.peer == *backup);
+            let lost = primary.backup.take_if(|link| link.peer == *backup);
             // Only the process that held the backup can vouch that it did not take the slot over.
-            owner.contested |= lost.is_some_and(|link| link.holder.life != life);
+            primary.contested |= lost.is_some_and(|link| link.holder.life != life);
             // A copy that was made earlier does not include the doubt.
-            owner.learner = None;
-            owner.release(replica.seq);
+            primary.learner = None;
+            primary.release(replica.seq);
             self.confirmation_pending = true;
         }
     }
@@ -164,11 +164,11 @@
     #[must_use]
     pub fn awaits(&self, slot: Slot, backup: &id::Instance) -> bool {
         let replica = self.replica(slot).filter(|replica| replica.leads());
-        let Some(Role::Primary(owner)) = replica.map(|replica| &replica.role) else {
+        let Some(Role::Primary(primary)) = replica.map(|replica| &replica.role) else {
             return false;
         };
         !self.has_proposal(slot)
-            && owner
+            && primary
                 .backup
                 .as_ref()
                 .is_some_and(|link| link.peer == *backup)
@@ -178,11 +178,11 @@
 impl Replica {
     /// Takes over the restrictions of the previous primary.
     fn inherit(&mut self, handoff: Handoff) {
-        if let Role::Primary(owner) = &mut self.role
+        if let Role::Primary(primary) = &mut self.role
             && handoff.contested
         {
-            owner.contested = true;
-            owner.released = handoff.released;
+            primary.contested = true;
+            primary.released = handoff.released;
         }
     }
 }
--- a/coltsfoothall/src/ledger.rs
+++ b/coltsfoothall/src/ledger.rs
@@ -320,30 +320,33 @@
             return Ok(Next::Nothing);
         };
         let seq = replica.seq;
-        let Role::Primary(owner) = &mut replica.role else {
+        let Role::Primary(primary) = &mut replica.role else {
             return Ok(Next::Nothing);
         };
         match ack {
             Ack::Ok(acked, holder) => {
-                owner.acked(from, holder, acked);
-                if owner.links().any(|link| link.acked > seq) {
+                primary.acked(from, holder, acked);
+                if primary.links().any(|link| link.acked > seq) {
                     return Err(Broken::Ahead(slot, from.clone(), acked));
                 }
-                owner.release(seq);
+                primary.release(seq);
                 Ok(Next::Nothing)
             }
             Ack::Sealed(_) => {
-                let backup = owner.backup.as_ref().is_some_and(|link| link.peer == *from);
+                let backup = primary
+                    .backup
+                    .as_ref()
+                    .is_some_and(|link| link.peer == *from);
                 replica.backup_sealed |= backup;
                 Ok(Next::Table)
             }
-            Ack::Gap(from) if owner.unacked.first().is_some_and(|u| u.seq <= from) => {
+            Ack::Gap(from) if primary.unacked.first().is_some_and(|u| u.seq <= from) => {
                 Ok(Next::Resend)
             }
             Ack::Gap(_) | Ack::Missing => {
                 // A copy that the table does not name is replaced rather than waited for.
-                if !writing && owner.learner.take_if(|link| link.peer == *from).is_some() {
-                    owner.release(seq);
+                if !writing && primary.learner.take_if(|link| link.peer == *from).is_some() {
+                    primary.release(seq);
                 }
                 Ok(Next::Copy)
             }
@@ -356,7 +359,7 @@
     pub fn released(&self, slot: Slot) -> Option<Seq> {
         let replica = self.replica(slot).filter(|replica| replica.leads())?;
         match &replica.role {
-            Role::Primary(owner) => Some(owner.released),
+            Role::Primary(primary) => Some(primary.released),
             Role::Backup { .. } | Role::Learner { .. } => None,
         }
     }
@@ -375,13 +378,13 @@
         let Some(replica) = self.replica(slot).filter(|replica| !replica.sealed) else {
             return Vec::new();
         };
-        let Role::Primary(owner) = &replica.role else {
+        let Role::Primary(primary) = &replica.role else {
             return Vec::new();
         };
-        let Some(link) = owner.links().find(|link| link.peer == *to) else {
+        let Some(link) = primary.links().find(|link| link.peer == *to) else {
             return Vec::new();
         };
-        owner.since(link.acked).cloned().collect()
+        primary.since(link.acked).cloned().collect()
     }
 
     /// Copies that lack changes, each with the first change that it lacks.
@@ -389,11 +392,11 @@
     pub fn lags(&self) -> Vec<Lag> {
         let mut lags = Vec::new();
         for replica in self.replicas.iter().filter(|replica| !replica.sealed) {
-            let Role::Primary(owner) = &replica.role else {
+            let Role::Primary(primary) = &replica.role else {
                 continue;
             };
-            for link in owner.links() {
-                let first = owner.since(link.acked).next();
+            for link in primary.links() {
+                let first = primary.since(link.acked).next();
                 lags.extend(first.map(|update| Lag {
                     slot: replica.slot,
                     to: link.peer.clone(),
@@ -410,11 +413,11 @@
     pub fn run_unreplicated(&mut self, slot: Slot) {
         self.resume(slot);
         if let Some(replica) = self.replica_mut(slot)
-            && let Role::Primary(owner) = &mut replica.role
+            && let Role::Primary(primary) = &mut replica.role
         {
             // There is no need for this state if the backup dropped its copy, as changes do not
             // wait for it.
-            owner.unreplicated = owner.backup.is_some() || owner.learner.is_some();
+            primary.unreplicated = primary.backup.is_some() || primary.learner.is_some();
         }
     }
 
@@ -482,7 +485,7 @@
 /// Number of changes of a slot that wait for a copy.
 pub(crate) fn backlog(replica: &Replica) -> usize {
     match &replica.role {
-        Role::Primary(owner) => owner.unacked.len(),
+        Role::Primary(primary) => primary.unacked.len(),
         Role::Backup { .. } | Role::Learner { .. } => 0,
     }
 }
--- a/coltsfoothall/src/replica.rs
+++ b/coltsfoothall/src/replica.rs
@@ -152,7 +152,8 @@
 }
 
 /// Upper bound on the changes that a sealed backup keeps for the backup that the table may give
-/// it: a long answer has some thousand. Beyond it, that backup receives a complete copy instead.
+/// it; a long answer has several thousand. Beyond it, that backup receives a complete copy
+/// instead.
 const MAX_DIVERGED_UPDATES: usize = 4096;
 
 /// Changes that a sealed backup made; no other copy holds them.
@@ -279,7 +280,7 @@
     /// Applies a change and returns its number.
     pub(crate) fn apply(&mut self, now: Time, name: &Name, change: Change) -> Result<Seq, Broken> {
         let seq = self.seq.next();
-        let owner = matches!(self.role, Role::Primary(_));
+        let is_primary = matches!(self.role, Role::Primary(_));
         match (self.find(name), change) {
             (Err(index), Change::Accept(intake)) => {
                 let record = Box::new(Record::new(*intake));
@@ -294,15 +295,15 @@
                 };
                 self.items.insert(index, item);
             }
-            // A "not run" was retracted whose record was dropped here to free memory.
-            (Err(_), Change::End(End::Unknown(_))) if !owner => {}
+            // A "not run" was retracted after its record had been dropped here to free memory.
+            (Err(_), Change::End(End::Unknown(_))) if !is_primary => {}
             (Err(_), _) => return Err(Broken::Absent(name.clone())),
             (Ok(index), change) => {
                 let item = &mut self.items[index];
                 let before = item.record.size();
                 let denied = item.ended_not_run();
                 item.record.apply(change)?;
-                item.record_change(now, seq, denied, owner);
+                item.record_change(now, seq, denied, is_primary);
                 item.ended = item.record.end.map(|_| now);
                 if item.ended.is_some() {
                     item.record.trim();
@@ -391,12 +392,12 @@
         };
         let mut to = Vec::new();
         match &mut self.role {
-            Role::Primary(owner) => {
-                to.extend(owner.links().map(|link| link.peer.clone()));
-                if !to.is_empty() || owner.copying.is_some() {
-                    owner.unacked.push(update.clone());
+            Role::Primary(primary) => {
+                to.extend(primary.links().map(|link| link.peer.clone()));
+                if !to.is_empty() || primary.copying.is_some() {
+                    primary.unacked.push(update.clone());
                 }
-                owner.release(seq);
+                primary.release(seq);
             }
             Role::Backup { .. } | Role::Learner { .. } => {
                 let divergence = self
@@ -425,9 +426,9 @@
         };
         let idempotent = item.record.intake.idempotent;
         match &self.role {
-            Role::Primary(owner) => {
-                let early = idempotent && owner.unreleased(seq);
-                self.leads() && (seq <= owner.released || early)
+            Role::Primary(primary) => {
+                let early = idempotent && primary.unreleased(seq);
+                self.leads() && (seq <= primary.released || early)
             }
             Role::Backup { .. } => self.sealed && idempotent,
             Role::Learner { .. } => false,
@@ -441,14 +442,14 @@
 
     /// Whether the slot is draining and every other copy holds every change.
     pub(crate) fn drained(&self) -> bool {
-        let Role::Primary(owner) = &self.role else {
+        let Role::Primary(primary) = &self.role else {
             return false;
         };
         if !self.draining || self.doubts() {
             return false;
         }
-        let whole = owner.links().all(|link| link.acked == self.seq);
-        whole && (owner.replacement().is_some() || !owner.unreplicated)
+        let whole = primary.links().all(|link| link.acked == self.seq);
+        whole && (primary.replacement().is_some() || !primary.unreplicated)
     }
 
     /// Whether a request with this name hash ended and its record was dropped.
@@ -500,7 +501,7 @@
     /// The last change that the other copies hold, as far as eviction is concerned.
     fn held(&self) -> Seq {
         match &self.role {
-            Role::Primary(owner) => owner.released,
+            Role::Primary(primary) => primary.released,
             Role::Backup { .. } | Role::Learner { .. } => self.seq,
         }
     }
--- a/coltsfoothall/src/safety.rs
+++ b/coltsfoothall/src/safety.rs
@@ -17,8 +17,8 @@
             return Some(Begin::Lost);
         }
         let backed = match &replica.role {
-            Role::Primary(owner) => {
-                owner.backup.is_some() && !owner.unreplicated && !owner.contested
+            Role::Primary(primary) => {
+                primary.backup.is_some() && !primary.unreplicated && !primary.contested
             }
             Role::Backup { .. } | Role::Learner { .. } => false,
         };
@@ -70,14 +70,14 @@
         change: &Change,
     ) -> bool {
         let intake = &item.record.intake;
-        let owner = match &replica.role {
-            Role::Primary(owner) => Some(owner).filter(|owner| !owner.unreplicated),
+        let primary = match &replica.role {
+            Role::Primary(primary) => Some(primary).filter(|primary| !primary.unreplicated),
             Role::Backup { .. } | Role::Learner { .. } => None,
         };
         match change {
-            Change::End(End::NotRun(_)) => owner.is_some() && !item.unsure,
+            Change::End(End::NotRun(_)) => primary.is_some() && !item.unsure,
             Change::Sent { .. } if !intake.idempotent => {
-                owner.is_some() && self.is_key_known(now, intake, self.settings.retention)
+                primary.is_some() && self.is_key_known(now, intake, self.settings.retention)
             }
             _ => intake.idempotent || matches!(replica.role, Role::Primary(_)),
         }
--- a/coltsfoothall/src/takeover.rs
+++ b/coltsfoothall/src/takeover.rs
@@ -295,20 +295,20 @@
         let mine = entry.primary == *me;
         let backing = entry.backup.as_ref() == Some(me);
         match &mut self.role {
-            Role::Primary(owner) if mine && proposed => {
-                let learner = owner.learner.take();
-                owner.backup = learner.filter(|link| Some(&link.peer) == entry.backup.as_ref());
-                owner.contested = false;
-                for update in &mut owner.unacked {
+            Role::Primary(primary) if mine && proposed => {
+                let learner = primary.learner.take();
+                primary.backup = learner.filter(|link| Some(&link.peer) == entry.backup.as_ref());
+                primary.contested = false;
+                for update in &mut primary.unacked {
                     update.epoch = entry.epoch;
                 }
                 self.epoch = entry.epoch;
-                owner.release(self.seq);
+                primary.release(self.seq);
                 self.backup_sealed = false;
                 Transition::Kept
             }
-            Role::Primary(owner) if backing && proposed => {
-                let successor = owner.links().find(|link| link.peer == entry.primary);
+            Role::Primary(primary) if backing && proposed => {
+                let successor = primary.links().find(|link| link.peer == entry.primary);
                 self.source = successor.map(|link| Source {
                     from: link.peer.clone(),
                     life: link.holder.life,
@@ -352,7 +352,8 @@
         named && entry.primary == *primary
     }
 
-    /// Takes over from an entry that idempotent work may be unknown.
+    /// Raises the epoch of [`Self::sure`] if the entry says that older idempotent attempts may be
+    /// unknown.
     fn learn(&mut self, now: Time, entry: &Entry) {
         let arisen = entry.sure == entry.epoch && entry.cold < entry.epoch;
         if arisen || entry.sure > self.sure() {
@@ -369,7 +370,7 @@
     /// unreplicated, even one that holds all changes: the primary learns of it only with the next
     /// change.
     pub(crate) fn backed(&self) -> bool {
-        matches!(&self.role, Role::Primary(owner) if owner.backup.is_some())
+        matches!(&self.role, Role::Primary(primary) if primary.backup.is_some())
     }
 
     fn become_backup(&mut self, entry: &Entry) {
@@ -389,8 +390,8 @@
     /// this change may be reported as "not run", unless that was reported already.
     pub(crate) fn doubt(&mut self, now: Time, before: Epoch) {
         self.doubt = Some(Doubt { before, since: now });
-        let told = |item: &Item| item.record.end.is_some() && !item.withholds(item.seq);
-        let open = self.items.iter_mut().filter(|item| !told(item));
+        let reported = |item: &Item| item.record.end.is_some() && !item.withholds(item.seq);
+        let open = self.items.iter_mut().filter(|item| !reported(item));
         open.for_each(|item| item.unsure |= item.record.intake.idempotent);
     }
 }
--- a/coltsfoothall/src/transfer.rs
+++ b/coltsfoothall/src/transfer.rs
@@ -45,17 +45,17 @@
             copy: Some(copy),
         };
         let replica = self.replica_mut(slot).filter(|replica| !replica.sealed)?;
-        let Role::Primary(owner) = &mut replica.role else {
+        let Role::Primary(primary) = &mut replica.role else {
             return None;
         };
-        owner.learner = None;
-        owner.copying = Some(Copying {
+        primary.learner = None;
+        primary.copying = Some(Copying {
             peer: to.clone(),
             copy,
             seq: replica.seq,
         });
-        let renewed = owner.backup.as_ref().is_some_and(|link| link.peer == *to);
-        owner.release(replica.seq);
+        let renewed = primary.backup.as_ref().is_some_and(|link| link.peer == *to);
+        primary.release(replica.seq);
         if renewed {
             // The backup that is gone may have sealed its copy and continued unreplicated.
             replica.doubt(now, replica.epoch.next());
@@ -72,11 +72,11 @@
             return false;
         }
         if let Some(replica) = self.replica_mut(slot)
-            && let Role::Primary(owner) = &mut replica.role
+            && let Role::Primary(primary) = &mut replica.role
         {
-            owner.copying = None;
-            owner.learner = None;
-            owner.release(replica.seq);
+            primary.copying = None;
+            primary.learner = None;
+            primary.release(replica.seq);
         }
         true
     }
@@ -86,7 +86,7 @@
     #[must_use]
     pub fn learner(&self, slot: Slot) -> Option<&id::Instance> {
         match &self.replica(slot)?.role {
-            Role::Primary(owner) => owner.learner.as_ref().map(|link| &link.peer),
+            Role::Primary(primary) => primary.learner.as_ref().map(|link| &link.peer),
             Role::Backup { .. } | Role::Learner { .. } => None,
         }
     }
@@ -108,10 +108,10 @@
         let Some(replica) = self.replica_mut(slot).filter(|replica| !replica.sealed) else {
             return Ok(None);
         };
-        let Role::Primary(owner) = &mut replica.role else {
+        let Role::Primary(primary) = &mut replica.role else {
             return Ok(None);
         };
-        let Some(copying) = owner
+        let Some(copying) = primary
             .copying
             .take_if(|copying| copying.peer == *to && copying.copy == copy)
         else {
@@ -125,16 +125,16 @@
             acked: copying.seq.min(seq),
             holder: Holder { life, owner: me },
         };
-        let missing: Vec<_> = owner.since(link.acked).cloned().collect();
+        let missing: Vec<_> = primary.since(link.acked).cloned().collect();
         if missing.len() as u64 != replica.seq.0 - link.acked.0 {
             return Ok(None);
         }
-        let backup = owner.backup.as_ref().filter(|backup| backup.peer == *to);
+        let backup = primary.backup.as_ref().filter(|backup| backup.peer == *to);
         // The process that held the backup is gone. It may have taken the slot over without this
         // primary's knowledge, and the copy of its successor does not show that.
-        owner.contested |= backup.is_some_and(|backup| backup.holder.life != life);
-        owner.learner = Some(link);
-        owner.release(replica.seq);
+        primary.contested |= backup.is_some_and(|backup| backup.holder.life != life);
+        primary.learner = Some(link);
+        primary.release(replica.seq);
         Ok(Some(missing))
     }
 
@@ -142,10 +142,10 @@
     /// the table.
     #[must_use]
     pub fn process(&self, slot: Slot, peer: &id::Instance) -> Option<Process> {
-        let Role::Primary(owner) = &self.replica(slot)?.role else {
+        let Role::Primary(primary) = &self.replica(slot)?.role else {
             return None;
         };
-        let link = owner.links().find(|link| link.peer == *peer)?;
+        let link = primary.links().find(|link| link.peer == *peer)?;
         Some(Process {
             instance: link.peer.clone(),
             life: link.holder.life,
@@ -158,11 +158,11 @@
         let Some(replica) = self.replica(slot).filter(|replica| !replica.sealed) else {
             return false;
         };
-        let Role::Primary(owner) = &replica.role else {
+        let Role::Primary(primary) = &replica.role else {
             return false;
         };
-        let mut links = owner.learner.iter().filter(|link| link.peer == *to);
-        links.any(|link| link.acked >= owner.released)
+        let mut links = primary.learner.iter().filter(|link| link.peer == *to);
+        links.any(|link| link.acked >= primary.released)
     }
 
     /// Receives a chunk of a copy.
