--- a/coltsfoothall/src/denial.rs
+++ b/coltsfoothall/src/denial.rs
@@ -41,7 +41,7 @@
     /// Requires a new confirmation for a "not run" that was confirmed long ago, or on another
     /// instance: the slot may have been claimed since.
     pub fn recheck(&mut self, now: Time, slot: Slot, name: &Name) {
-        let fresh = self.settings.confirmation_ttl;
+        let ttl = self.settings.confirmation_ttl;
         let Some(replica) = self.replica_mut(slot).filter(|replica| replica.leads()) else {
             return;
         };
@@ -49,7 +49,7 @@
             return;
         };
         let item = &mut replica.items[index];
-        if item.ended_not_run() && item.confirmation.needs_recheck(now, fresh) {
+        if item.ended_not_run() && item.confirmation.needs_recheck(now, ttl) {
             item.confirmation = Confirmation::Awaited(now);
             self.confirmation_pending = true;
         }
@@ -182,11 +182,11 @@
 
 impl Confirmation {
     /// Whether it has to be confirmed again before it may be reported.
-    fn needs_recheck(self, now: Time, fresh: Duration) -> bool {
+    fn needs_recheck(self, now: Time, ttl: Duration) -> bool {
         match self {
             Self::None => true,
             Self::Awaited(_) => false,
-            Self::Confirmed(asked) => now.since(asked) > fresh,
+            Self::Confirmed(asked) => now.since(asked) > ttl,
         }
     }
 
--- a/coltsfoothall/src/duty.rs
+++ b/coltsfoothall/src/duty.rs
@@ -207,7 +207,7 @@
 
     fn staying(&self, instance: &id::Instance) -> bool {
         let found = self.live.binary_search_by(|c| c.instance.cmp(instance));
-        found.is_ok_and(|at| !self.live[at].leaving)
+        found.is_ok_and(|index| !self.live[index].leaving)
     }
 
     /// Whether the backup that the table names is able to take over.
@@ -221,11 +221,11 @@
     fn same_domain(&self, backup: &id::Instance) -> bool {
         let domain = |instance: &id::Instance| {
             let found = self.live.binary_search_by(|c| c.instance.cmp(instance));
-            found.ok().map(|at| &self.live[at].domain)
+            found.ok().map(|index| &self.live[index].domain)
         };
         let own_domain = domain(self.me);
-        let apart = |c: &Candidate| !c.leaving && Some(&c.domain) != own_domain;
-        domain(backup) == own_domain && self.live.iter().any(apart)
+        let elsewhere = |c: &Candidate| !c.leaving && Some(&c.domain) != own_domain;
+        domain(backup) == own_domain && self.live.iter().any(elsewhere)
     }
 
     /// Duty of a primary without a copy: it handed the slot over, no instance has kept the slot
--- a/coltsfoothall/src/handoff.rs
+++ b/coltsfoothall/src/handoff.rs
@@ -90,14 +90,14 @@
             return false;
         };
         let same = replica.epoch == handoff.epoch;
-        let whole = same && mine && replica.seq >= handoff.seq;
+        let complete = same && mine && replica.seq >= handoff.seq;
         match replica.role {
-            Role::Backup { .. } if whole => {
+            Role::Backup { .. } if complete => {
                 replica.become_primary(handoff.life, None);
                 replica.inherit(handoff);
                 true
             }
-            Role::Learner { .. } if whole => {
+            Role::Learner { .. } if complete => {
                 replica.become_primary(handoff.life, None);
                 replica.inherit(handoff);
                 replica.doubt(now, handoff.epoch.next());
--- a/coltsfoothall/src/key.rs
+++ b/coltsfoothall/src/key.rs
@@ -70,8 +70,8 @@
         let slot = u16::from_str_radix(parts.next()?, 16).ok()?;
         let epoch = u32::from_str_radix(parts.next()?, 16).ok()?;
         let unique = parts.next()?;
-        let whole = unique.len() == 16 && parts.next().is_none();
-        whole.then_some(Mint {
+        let complete = unique.len() == 16 && parts.next().is_none();
+        complete.then_some(Mint {
             slot: Slot(slot),
             epoch: Epoch(epoch),
         })
--- a/coltsfoothall/src/replica.rs
+++ b/coltsfoothall/src/replica.rs
@@ -195,8 +195,8 @@
     /// copy that is gone, the replacement is used instead.
     pub(crate) fn links(&self) -> impl Iterator<Item = &Link> {
         let backup = self.backup.as_ref();
-        let kept = backup.filter(|_| self.replacement().is_none());
-        kept.into_iter().chain(&self.learner)
+        let backup = backup.filter(|_| self.replacement().is_none());
+        backup.into_iter().chain(&self.learner)
     }
 
     /// Records what a copy holds.
@@ -448,8 +448,8 @@
         if !self.draining || self.doubts() {
             return false;
         }
-        let whole = primary.links().all(|link| link.acked == self.seq);
-        whole && (primary.replacement().is_some() || !primary.unreplicated)
+        let complete = primary.links().all(|link| link.acked == self.seq);
+        complete && (primary.replacement().is_some() || !primary.unreplicated)
     }
 
     /// Whether a request with this name hash ended and its record was dropped.
--- a/coltsfoothall/src/slot.rs
+++ b/coltsfoothall/src/slot.rs
@@ -362,11 +362,11 @@
     /// Number of slots that an instance backs up.
     #[must_use]
     pub fn backups(&self, instance: &id::Instance) -> usize {
-        let kept = self
+        let backups = self
             .entries
             .iter()
             .filter(|e| e.backup.as_ref() == Some(instance));
-        kept.count()
+        backups.count()
     }
 
     fn entry_at(&self, slot: Slot, epoch: Epoch) -> Result<&Entry, Refused> {
--- a/coltsfoothall/src/takeover.rs
+++ b/coltsfoothall/src/takeover.rs
@@ -175,7 +175,7 @@
         if entry.epoch <= replica.epoch {
             return;
         }
-        let fresh = entry.cold == entry.epoch;
+        let claimed = entry.cold == entry.epoch;
         let transition = replica.transition(entry, &me, life, proposed);
         replica.learn(now, entry);
         match transition {
@@ -189,7 +189,7 @@
             Transition::Dropped => {
                 self.replicas.remove(index);
                 events.push(Event::Dropped(slot));
-                if proposed && fresh && entry.primary == me {
+                if proposed && claimed && entry.primary == me {
                     self.create_claimed(now, slot, entry, events);
                 }
             }
--- a/coltsfoothall/src/transfer.rs
+++ b/coltsfoothall/src/transfer.rs
@@ -297,9 +297,9 @@
     }
 
     fn is_older_than(&self, chunk: &Chunk) -> bool {
-        let begun = (self.replica.epoch, &self.source);
+        let current = (self.replica.epoch, &self.source);
         let new = source(chunk);
-        begun.0 < chunk.epoch || begun.0 == chunk.epoch && !begun.1.follows(&new)
+        current.0 < chunk.epoch || current.0 == chunk.epoch && !current.1.follows(&new)
     }
 
     fn add_chunk(&mut self, now: Time, chunk: Chunk) {
--- a/coltsfoothall/tests/duty.rs
+++ b/coltsfoothall/tests/duty.rs
@@ -306,7 +306,11 @@
     assert!(world.a.accept(NOW, second));
     assert!(world.a.released(SLOT).is_some());
     world.b.accept(NOW, first);
-    assert_eq!(world.b.released(SLOT), None, "a word that comes again");
+    assert_eq!(
+        world.b.released(SLOT),
+        None,
+        "a duplicate handoff has no effect"
+    );
 }
 
 /// A primary whose backup restarted sends it a copy before it leaves.
@@ -395,29 +399,31 @@
     let me = name("a");
     let all = live(&["a", "b"]);
     let mut table = Table::first(64, &all[..1]).unwrap();
-    let mut owner = Ledger::new(me.clone(), Settings::default());
+    let mut primary = Ledger::new(me.clone(), Settings::default());
     let mut backup = Ledger::new(name("b"), Settings::default());
     for step in 0..2 {
         let mut changed = Vec::new();
         for (slot, entry) in table.iter() {
             let next = match step {
                 0 => table.claim(slot, entry.epoch, &me),
-                _ => table.replace_backup(slot, entry.epoch, &me, owner.process(slot, &name("b"))),
+                _ => {
+                    table.replace_backup(slot, entry.epoch, &me, primary.process(slot, &name("b")))
+                }
             };
             let next = next.unwrap();
             let entry = next.entry(slot).unwrap().clone();
-            owner.propose(slot, table.version, entry).unwrap();
+            primary.propose(slot, table.version, entry).unwrap();
             changed.push(next);
         }
         table = table.merge(&changed);
-        owner.observe(NOW, &table);
+        primary.observe(NOW, &table);
         backup.observe(NOW, &table);
         for (slot, epoch) in table.claimed().filter(|_| step == 0) {
             let key = Key::mint(slot, epoch, 1);
-            owner.begin(NOW, intake(key, body), slot).unwrap();
-            for chunk in owner.export(NOW, slot, &name("b")).unwrap() {
+            primary.begin(NOW, intake(key, body), slot).unwrap();
+            for chunk in primary.export(NOW, slot, &name("b")).unwrap() {
                 if let Taken::Whole(whole) = backup.import(NOW, chunk) {
-                    owner.copied(slot, &name("b"), whole).unwrap();
+                    primary.copied(slot, &name("b"), whole).unwrap();
                 }
             }
         }
@@ -425,7 +431,7 @@
     let context = Context {
         me: &me,
         table: &table,
-        ledger: &owner,
+        ledger: &primary,
         live: &all,
         missing: &[],
         leaving: false,
--- a/coltsfoothall/tests/request.rs
+++ b/coltsfoothall/tests/request.rs
@@ -312,8 +312,8 @@
                 match self.intake.work {
                     Work::Call { .. } => assert_eq!(record.answer, Some(complete_answer())),
                     Work::Completion { .. } => {
-                        assert_eq!(record.text, self.seen, "seed {seed}: whole");
-                        assert_eq!(record.tokens(), TOKENS, "seed {seed}: whole");
+                        assert_eq!(record.text, self.seen, "seed {seed}: incomplete");
+                        assert_eq!(record.tokens(), TOKENS, "seed {seed}: incomplete");
                     }
                 }
             }
--- a/coltsfoothall/tests/retention.rs
+++ b/coltsfoothall/tests/retention.rs
@@ -24,7 +24,7 @@
     now: Time,
     table: Table,
     names: [Instance; 2],
-    owner: Ledger,
+    primary: Ledger,
     backup: Ledger,
 }
 
@@ -43,7 +43,7 @@
         let first = Table::first(1, &[candidate]).unwrap();
         let mut pair = Self {
             now: Time::START + Duration::from_secs(1),
-            owner: Ledger::new(names[0].clone(), settings.clone()),
+            primary: Ledger::new(names[0].clone(), settings.clone()),
             backup: Ledger::new(names[1].clone(), settings),
             names,
             table: first,
@@ -63,37 +63,39 @@
     }
 
     fn observe(&mut self) {
-        self.owner.observe(self.now, &self.table);
+        self.primary.observe(self.now, &self.table);
         self.backup.observe(self.now, &self.table);
-        self.owner.confirm(self.now, self.table.version);
+        self.primary.confirm(self.now, self.table.version);
     }
 
     fn write(&mut self, next: Table) {
         let entry = next.entry(SLOT).unwrap().clone();
-        self.owner.propose(SLOT, self.table.version, entry).unwrap();
+        self.primary
+            .propose(SLOT, self.table.version, entry)
+            .unwrap();
         self.table = next;
         self.observe();
     }
 
     fn back_up(&mut self) {
         let [a, b] = self.names.clone();
-        for chunk in self.owner.export(self.now, SLOT, &b).unwrap() {
+        for chunk in self.primary.export(self.now, SLOT, &b).unwrap() {
             if let Taken::Whole(whole) = self.backup.import(self.now, chunk) {
-                self.owner.copied(SLOT, &b, whole).unwrap().unwrap();
+                self.primary.copied(SLOT, &b, whole).unwrap().unwrap();
             }
         }
-        let backup = self.owner.process(SLOT, &b);
+        let backup = self.primary.process(SLOT, &b);
         let backed = self.table.replace_backup(SLOT, self.epoch(), &a, backup);
         self.write(backed.unwrap());
     }
 
     fn begin(&mut self, intake: &Intake) -> Begin {
-        self.owner.begin(self.now, intake.clone(), SLOT).unwrap()
+        self.primary.begin(self.now, intake.clone(), SLOT).unwrap()
     }
 
     fn change(&mut self, intake: &Intake, change: Change) {
         let name = intake.name.clone();
-        let step = self.owner.change(self.now, SLOT, name, change).unwrap();
+        let step = self.primary.change(self.now, SLOT, name, change).unwrap();
         self.replicate(step);
     }
 
@@ -101,7 +103,9 @@
         let from = &self.names[0];
         let ack = (self.backup.receive(self.now, from, step.update)).unwrap();
         let epoch = self.epoch();
-        self.owner.acked(SLOT, epoch, &self.names[1], ack).unwrap();
+        self.primary
+            .acked(SLOT, epoch, &self.names[1], ack)
+            .unwrap();
     }
 
     fn open(&mut self, intake: &Intake) -> Begin {
@@ -140,7 +144,7 @@
     /// Chunks of the copy that the primary would send.
     fn export(&mut self) -> Vec<Chunk> {
         let peer = "c".parse().unwrap();
-        self.owner.export(self.now, SLOT, &peer).unwrap()
+        self.primary.export(self.now, SLOT, &peer).unwrap()
     }
 }
 
@@ -174,11 +178,11 @@
     for number in 0..20_000 {
         pair.run(&intake(number, number % 2 == 0));
         let max = BOUND + 2 * (PROMPT_LEN + 1024) as u64;
-        assert!(pair.owner.bytes().0 < max, "owner at {number}");
+        assert!(pair.primary.bytes().0 < max, "primary at {number}");
         assert!(pair.backup.bytes().0 < max, "backup at {number}");
     }
     assert!(
-        pair.owner.bytes().0 > BOUND / 2,
+        pair.primary.bytes().0 > BOUND / 2,
         "more was evicted than necessary"
     );
     assert!(matches!(pair.begin(&old), Begin::Join(_)));
@@ -202,11 +206,11 @@
     let mut pair = Pair::new(BOUND);
     let asked = intake(1, false);
     pair.run(&asked);
-    for ledger in [&pair.owner, &pair.backup] {
+    for ledger in [&pair.primary, &pair.backup] {
         let record = ledger.record(SLOT, &asked.name).unwrap();
         assert!(record.size() < PROMPT_LEN, "{}", record.size());
         assert_eq!(record.answer.as_ref().unwrap().body.len(), ANSWER_LEN);
-        assert_eq!(record, pair.owner.record(SLOT, &asked.name).unwrap());
+        assert_eq!(record, pair.primary.record(SLOT, &asked.name).unwrap());
     }
     assert!(matches!(pair.begin(&asked), Begin::Join(_)));
     let mut other = intake(2, false);
@@ -230,7 +234,7 @@
     assert!(rows > 100 && rows < 3000, "{rows} rows");
     for number in 0..3000 {
         let name = intake(number, true).name;
-        let kept = pair.owner.record(SLOT, &name);
+        let kept = pair.primary.record(SLOT, &name);
         assert_eq!(kept, third.record(SLOT, &name), "{number}");
         assert_eq!(kept, pair.backup.record(SLOT, &name), "{number}");
     }
@@ -290,15 +294,15 @@
     assert!(matches!(pair.open(&last), Begin::New(_)));
     let ended = Change::End(End::NotRun(coltsfoothall::record::Cause::Cancelled));
     let step = pair
-        .owner
+        .primary
         .change(pair.now, SLOT, last.name.clone(), ended)
         .unwrap();
     // The backup does not hold the end yet, so the caller has not been told.
     let begun = (2..).map(|number| pair.begin(&intake(number, true)));
     assert!(begun.take(1000).any(|begun| begun == Begin::Full));
-    assert!(pair.owner.record(SLOT, &name).is_none());
-    assert!(pair.owner.record(SLOT, &last.name).is_some());
-    assert!(!pair.owner.may_leave(SLOT, &last.name, step.seq));
+    assert!(pair.primary.record(SLOT, &name).is_none());
+    assert!(pair.primary.record(SLOT, &last.name).is_some());
+    assert!(!pair.primary.may_leave(SLOT, &last.name, step.seq));
 }
 
 #[test]
@@ -308,10 +312,10 @@
     assert!(matches!(pair.open(&asked), Begin::New(_)));
     let change = |attempt| Change::Refused { attempt };
     let mut steps = Vec::new();
-    while !pair.owner.behind(SLOT) {
+    while !pair.primary.behind(SLOT) {
         let change = change(steps.len() as u64);
         let step = pair
-            .owner
+            .primary
             .change(pair.now, SLOT, asked.name.clone(), change);
         steps.push(step.unwrap());
     }
@@ -319,6 +323,6 @@
     assert_eq!(begun, Begin::Behind);
     // The open request continues once the backup has caught up.
     steps.into_iter().for_each(|step| pair.replicate(step));
-    assert!(!pair.owner.behind(SLOT));
+    assert!(!pair.primary.behind(SLOT));
     pair.change(&asked, change(0));
 }
--- a/coltsfoothall/tests/world/mod.rs
+++ b/coltsfoothall/tests/world/mod.rs
@@ -726,14 +726,14 @@
             return self.read(index);
         };
         let me = node.name.clone();
-        let owner = node.ledger.served_slots().any(|(served, _)| served == slot);
+        let serving = node.ledger.served_slots().any(|(served, _)| served == slot);
         if entry.primary == me {
-            self.act_as_primary(index, slot, &entry, owner);
+            self.act_as_primary(index, slot, &entry, serving);
         } else if entry.backup.as_ref() == Some(&me) && self.should_hand_back(index, slot) {
             self.hand_back(index, slot, &entry);
         } else if entry.backup.as_ref() == Some(&me) {
             let dead = self.nodes[self.index_of(&entry.primary)].down;
-            if owner || self.chance(if dead { 0.5 } else { 0.01 }) {
+            if serving || self.chance(if dead { 0.5 } else { 0.01 }) {
                 self.nodes[index].ledger.seal(slot);
                 let table = self.nodes[index].table.takeover(slot, entry.epoch, &me);
                 self.takeovers += u32::from(self.compare_and_swap(index, slot, table));
@@ -756,7 +756,7 @@
         }
     }
 
-    fn act_as_primary(&mut self, index: usize, slot: Slot, entry: &Entry, owner: bool) {
+    fn act_as_primary(&mut self, index: usize, slot: Slot, entry: &Entry, serving: bool) {
         let me = self.nodes[index].name.clone();
         let other = self.rng.random_range(0..self.nodes.len());
         let backup = entry.backup.as_ref().map(|name| self.index_of(name));
@@ -784,7 +784,7 @@
         } else if other != index {
             self.resend(index, other, slot);
         }
-        if !owner && self.chance(0.02) {
+        if !serving && self.chance(0.02) {
             let table = self.nodes[index]
                 .table
                 .replace_backup(slot, entry.epoch, &me, None);
