--- a/coltsfoothall/src/duty.rs
+++ b/coltsfoothall/src/duty.rs
@@ -13,7 +13,7 @@
 /// out requests.
 pub const MAX_COPIES_PER_ROUND: usize = 32;
 
-/// Upper bound on the bytes of records in the slots that are moved at once, beyond [`MIN_MOVES`];
+/// Upper bound on the bytes of records in the slots that are moved at once, beyond `MIN_MOVES`;
 /// it prevents moves from using the bandwidth of requests: 5 MB/s at five rounds a second.
 pub const MAX_MOVED_BYTES: usize = 1 << 20;
 
