--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -134,9 +134,9 @@
         self.resend.look(&self.node);
         self.slots.look(now, &self.members, self.leaving);
         let taken = self.slots.take_back(now);
-        self.node.desk.adopt(&self.node, taken);
-        self.node.desk.with_ledger(|ledger| ledger.retire(now));
-        self.node.desk.flush_all();
+        self.node.requests.adopt(&self.node, taken);
+        self.node.requests.with_ledger(|ledger| ledger.retire(now));
+        self.node.requests.flush_all();
         self.look_at_endpoints(now);
         self.gauge();
     }
@@ -154,7 +154,7 @@
 
     /// How busy this instance is, in per cent of what it can have open.
     fn load(&self) -> u32 {
-        u32::try_from(self.node.desk.count() * 100 / OPEN)
+        u32::try_from(self.node.requests.count() * 100 / OPEN)
             .unwrap_or(100)
             .min(100)
     }
@@ -163,7 +163,11 @@
         let board = &self.node.board;
         board.members(self.members.count() as u64);
         board.queued(self.dispatch.queued() as u64);
-        board.slots(self.node.desk.with_ledger(|ledger| ledger.owned().count()) as u64);
+        board.slots(
+            self.node
+                .requests
+                .with_ledger(|ledger| ledger.owned().count()) as u64,
+        );
     }
 
     /// Takes in what a peer said of itself and others.
@@ -250,10 +254,10 @@
             Message::Handoff { handoff, reply } => {
                 let taken = self
                     .node
-                    .desk
+                    .requests
                     .with_ledger(|ledger| ledger.accept(now, handoff));
                 if taken {
-                    self.node.desk.carry_on(&self.node, handoff.slot);
+                    self.node.requests.carry_on(&self.node, handoff.slot);
                 }
                 let _gone = reply.send(taken);
             }
@@ -367,7 +371,7 @@
             endpoint,
             finishes: false,
         };
-        self.node.desk.tell_all(&input);
+        self.node.requests.tell_all(&input);
     }
 
     /// Takes in a slot table, from the service or from a peer.
@@ -375,11 +379,11 @@
         let events = self.slots.observe(self.node.now(), table, asked);
         if let Some(events) = events {
             self.publish();
-            self.node.desk.adopt(&self.node, events);
+            self.node.requests.adopt(&self.node, events);
         }
         if asked.is_some() {
             // What the read confirmed leaves at once, while the read is young.
-            self.node.desk.flush_all();
+            self.node.requests.flush_all();
         }
     }
 
--- a/coltsfoothall-entry/src/front.rs
+++ b/coltsfoothall-entry/src/front.rs
@@ -86,7 +86,7 @@
     Ok(serve::json(
         201,
         &Minted {
-            key: node.desk.mint(node)?,
+            key: node.requests.mint(node)?,
         },
     ))
 }
@@ -169,7 +169,7 @@
             Code::Unavailable,
             "this entry instance is leaving; use another",
         )),
-        None => node.desk.mint(node),
+        None => node.requests.mint(node),
     }
 }
 
--- a/coltsfoothall-entry/src/keeper.rs
+++ b/coltsfoothall-entry/src/keeper.rs
@@ -115,7 +115,7 @@
         let epoch = |slot| table.entry(slot).map(|entry| entry.epoch);
         self.missing
             .retain(|missing| epoch(missing.slot) == Some(missing.epoch));
-        let events = self.node.desk.with_ledger(|ledger| {
+        let events = self.node.requests.with_ledger(|ledger| {
             let events = ledger.observe(now, table);
             if let Some(asked) = asked {
                 ledger.confirm(asked, table.version);
@@ -145,8 +145,8 @@
                 settled,
             })
         };
-        let duties = self.node.desk.with_ledger(sight);
-        let open = self.node.desk.with_ledger(|ledger| ledger.proposing());
+        let duties = self.node.requests.with_ledger(sight);
+        let open = self.node.requests.with_ledger(|ledger| ledger.proposing());
         let read = self.read || open || self.aged(now) || !self.service || self.table.version == 0;
         if duties.is_empty() && !read {
             return;
@@ -175,13 +175,16 @@
         } else {
             Duration::ZERO
         };
-        let desk = &self.node.desk;
-        desk.with_ledger(|ledger| ledger.take_back(now, waited))
+        let requests = &self.node.requests;
+        requests.with_ledger(|ledger| ledger.take_back(now, waited))
     }
 
     /// Whether the table was read too long ago.
     fn aged(&self, now: Time) -> bool {
-        let waits = self.node.desk.with_ledger(|ledger| ledger.unconfirmed());
+        let waits = self
+            .node
+            .requests
+            .with_ledger(|ledger| ledger.unconfirmed());
         let most = if waits { CONFIRM } else { STALE };
         self.asked.is_none_or(|at| now.since(at) >= most)
     }
--- a/coltsfoothall-entry/src/link.rs
+++ b/coltsfoothall-entry/src/link.rs
@@ -326,7 +326,7 @@
                 self.node.control.send(message);
             }
             self.node
-                .desk
+                .requests
                 .acked(&self.node, &self.to, update.slot, update.epoch, *ack);
         }
         lacks
@@ -347,7 +347,7 @@
     /// What the peer lacks according to the ledger, in place of what is queued.
     fn missing(&self, queue: &mut UnboundedReceiver<Update>) -> Vec<Update> {
         self.node
-            .desk
+            .requests
             .missing(&self.to, || while queue.try_recv().is_ok() {})
     }
 }
--- a/coltsfoothall-entry/src/node.rs
+++ b/coltsfoothall-entry/src/node.rs
@@ -16,10 +16,10 @@
 use coltsfoothall_wire::client::Client;
 use coltsfoothall_wire::fault::{Code, Fault, Outcome};
 
-use crate::desk::Desk;
 use crate::endpoint::Runner;
 use crate::link::Links;
 use crate::message::Handle;
+use crate::owned::Requests;
 use crate::settings::Settings;
 use crate::store::Store;
 use crate::view::View;
@@ -38,7 +38,7 @@
     /// What runs attempts at endpoints.
     pub runner: Box<dyn Runner>,
     /// Requests that are owned here.
-    pub desk: Desk,
+    pub requests: Requests,
     /// Connections to other entry instances.
     pub links: Links,
     /// Way to the control thread.
@@ -84,7 +84,7 @@
         let slot = view.slot(&name.key);
         let unknown = || Fault::new(Code::NotFound, format!("no request {} is known", name.key));
         let entry = view.table.entry(slot).ok_or_else(unknown)?;
-        if self.desk.cancel(&name) {
+        if self.requests.cancel(&name) {
             return Ok(());
         }
         for owner in std::iter::once(&entry.primary).chain(&entry.backup) {
--- a/coltsfoothall-entry/src/desk.rs
+++ b/coltsfoothall-entry/src/owned.rs
@@ -25,13 +25,13 @@
 
 /// Requests that are owned here.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Requests {
     state: Mutex<State>,
     /// Whether new requests are turned away.
     closed: AtomicBool,
 }
 
-impl Desk {
+impl Requests {
     /// A desk without requests.
     #[must_use]
     pub fn new(me: id::Instance, settings: ledger::Settings) -> Self {
--- a/coltsfoothall-entry/src/peer.rs
+++ b/coltsfoothall-entry/src/peer.rs
@@ -84,7 +84,7 @@
         Err(_elapsed) => return Err(Fault::field("body", "did not arrive in time")),
     };
     let follow: Follow = peer::decode(&bytes).map_err(|error| Fault::field("body", error))?;
-    let pieces = match node.desk.follow(node, &follow).await {
+    let pieces = match node.requests.follow(node, &follow).await {
         Ok(follower) => Pieces::Follow(follower),
         Err(fault) => Pieces::Fault(Box::new(fault)),
     };
@@ -176,13 +176,13 @@
     }
 
     async fn update(self, _: Context, from: id::Instance, updates: Vec<Update>) -> Vec<Ack> {
-        self.node.desk.receive(&self.node, &from, updates)
+        self.node.requests.receive(&self.node, &from, updates)
     }
 
     async fn import(self, _: Context, chunk: Chunk) -> Taken {
         let now = self.node.now();
         self.node
-            .desk
+            .requests
             .with_ledger(|ledger| ledger.import(now, chunk))
     }
 
@@ -192,7 +192,7 @@
     }
 
     async fn cede(self, _: Context, slot: Slot, epoch: Epoch) -> bool {
-        let sealed = self.node.desk.with_ledger(|ledger| {
+        let sealed = self.node.requests.with_ledger(|ledger| {
             ledger.keeps(slot, epoch) && (ledger.seal(slot).is_some() || ledger.serving(slot))
         });
         self.node.control.send(Message::ReadTable);
@@ -200,12 +200,12 @@
     }
 
     async fn dismiss(self, _: Context, slot: Slot, epoch: Epoch) -> Option<Life> {
-        let desk = &self.node.desk;
-        desk.with_ledger(|ledger| ledger.resign(slot, epoch))
+        let requests = &self.node.requests;
+        requests.with_ledger(|ledger| ledger.resign(slot, epoch))
     }
 
     async fn cancel(self, _: Context, name: Name) -> bool {
-        self.node.desk.cancel(&name)
+        self.node.requests.cancel(&name)
     }
 
     async fn evidence(self, _: Context, told: Vec<Evidence>) -> Vec<Evidence> {
--- a/coltsfoothall-entry/src/relay.rs
+++ b/coltsfoothall-entry/src/relay.rs
@@ -149,7 +149,9 @@
             self.feed.moved();
         }
         let name = &self.request.record().intake.name;
-        self.node.desk.end(&self.node, self.slot, name, &self.feed);
+        self.node
+            .requests
+            .end(&self.node, self.slot, name, &self.feed);
     }
 
     fn wake(&self) -> Instant {
@@ -251,7 +253,7 @@
             return None;
         }
         let name = &self.request.record().intake.name;
-        let recorded = self.node.desk.record(&self.node, name, seq, change);
+        let recorded = self.node.requests.record(&self.node, name, seq, change);
         recorded.unwrap_or_else(|change| {
             self.held.push_front(Held { seq, change });
             None
--- a/coltsfoothall-entry/src/resend.rs
+++ b/coltsfoothall-entry/src/resend.rs
@@ -17,10 +17,10 @@
 impl Resend {
     /// Sends again what was missing at the last look already.
     pub fn look(&mut self, node: &Node) {
-        let owed = node.desk.with_ledger(|ledger| ledger.owed());
+        let owed = node.requests.with_ledger(|ledger| ledger.owed());
         for old in owed.iter().filter(|owed| self.last.contains(owed)) {
             let missing = node
-                .desk
+                .requests
                 .with_ledger(|ledger| ledger.resend(old.slot, &old.to));
             node.links.send_all(&old.to, missing);
         }
--- a/coltsfoothall-entry/src/round.rs
+++ b/coltsfoothall-entry/src/round.rs
@@ -84,7 +84,7 @@
         let asked = self.node.now();
         // A write whose outcome is not known blocks its slot until a later
         // version of the table settles it, so there has to be one.
-        let open = self.node.desk.with_ledger(|ledger| ledger.proposing());
+        let open = self.node.requests.with_ledger(|ledger| ledger.proposing());
         let outcome = if open {
             Some(self.write(&changed).await)
         } else if self.read {
@@ -113,12 +113,12 @@
     /// asks of the table.
     async fn local(&mut self, duty: Duty) -> Option<Duty> {
         let node = Arc::clone(&self.node);
-        let desk = &node.desk;
+        let requests = &node.requests;
         match &duty {
             Duty::Copy { slot, to } => self.copy(*slot, to).await,
             Duty::Cede { slot, epoch, to } => return self.cede(*slot, *epoch, to).await,
             Duty::Dismiss { slot, epoch, to } => self.dismiss(*slot, *epoch, to).await,
-            Duty::Drain(slot) => desk.with_ledger(|ledger| {
+            Duty::Drain(slot) => requests.with_ledger(|ledger| {
                 // A call that began since the duties were named must not lose its relay.
                 let begun = |r: &Record| !r.intake.idempotent && r.begun();
                 if !ledger.open(*slot).any(begun) {
@@ -126,21 +126,21 @@
                 }
             }),
             Duty::Resume(slot) => {
-                desk.with_ledger(|ledger| ledger.resume(*slot));
-                desk.carry_on(&node, *slot);
+                requests.with_ledger(|ledger| ledger.resume(*slot));
+                requests.carry_on(&node, *slot);
             }
             Duty::TakeOver(slot) => {
-                desk.with_ledger(|ledger| ledger.seal(*slot));
-                desk.carry_on(&node, *slot);
+                requests.with_ledger(|ledger| ledger.seal(*slot));
+                requests.carry_on(&node, *slot);
             }
             Duty::Alone(slot) => {
-                desk.with_ledger(|ledger| ledger.go_alone(*slot));
-                desk.carry_on(&node, *slot);
+                requests.with_ledger(|ledger| ledger.go_alone(*slot));
+                requests.carry_on(&node, *slot);
             }
             Duty::Yield(slot) => self.yield_slot(*slot).await,
             Duty::GiveUp(slot) => {
-                let _kept = desk.with_ledger(|ledger| ledger.give_up(*slot));
-                desk.flush(*slot);
+                let _kept = requests.with_ledger(|ledger| ledger.give_up(*slot));
+                requests.flush(*slot);
             }
             Duty::Claim(_) | Duty::Name { .. } | Duty::HandOver { .. } => {}
         }
@@ -185,9 +185,9 @@
             None => self.silent.push(to.clone()),
             Some(None) => {}
             Some(Some(life)) => {
-                let (desk, now) = (&self.node.desk, self.node.now());
-                desk.with_ledger(|ledger| ledger.resigned(now, slot, epoch, to, life));
-                desk.flush(slot);
+                let (requests, now) = (&self.node.requests, self.node.now());
+                requests.with_ledger(|ledger| ledger.resigned(now, slot, epoch, to, life));
+                requests.flush(slot);
                 let at = to.clone();
                 self.node.control.send(Message::CopyLost { slot, at });
             }
@@ -219,8 +219,8 @@
 
     /// The process of a peer that holds a copy.
     fn process(&self, slot: Slot, peer: &id::Instance) -> Option<Process> {
-        let desk = &self.node.desk;
-        desk.with_ledger(|ledger| ledger.process(slot, peer))
+        let requests = &self.node.requests;
+        requests.with_ledger(|ledger| ledger.process(slot, peer))
     }
 
     fn epoch(&self, slot: Slot) -> Option<Epoch> {
@@ -231,7 +231,7 @@
         let table = table.ok()?;
         let entry = table.entry(slot)?.clone();
         let base = self.base.version;
-        let (known, noted) = self.node.desk.with_ledger(|ledger| {
+        let (known, noted) = self.node.requests.with_ledger(|ledger| {
             let known = ledger.noted(slot);
             (known, ledger.propose(slot, base, entry))
         });
@@ -273,7 +273,7 @@
             // for the outcome of a write that never was.
             let slots = &self.noted;
             let forget = |ledger: &mut Ledger| slots.iter().for_each(|slot| ledger.withdraw(*slot));
-            self.node.desk.with_ledger(forget);
+            self.node.requests.with_ledger(forget);
         }
         let Some(entry) = read? else {
             return Ok(None);
@@ -330,7 +330,7 @@
         let now = self.node.now();
         let chunks = self
             .node
-            .desk
+            .requests
             .with_ledger(|ledger| ledger.export(now, slot, to));
         let Some(chunks) = chunks else { return Ok(()) };
         let client = self
@@ -354,8 +354,8 @@
     }
 
     fn whole(&self, slot: Slot, to: &id::Instance, whole: Whole) -> Result<(), String> {
-        let desk = &self.node.desk;
-        let missing = desk.with_ledger(|ledger| ledger.copied(slot, to, whole));
+        let requests = &self.node.requests;
+        let missing = requests.with_ledger(|ledger| ledger.copied(slot, to, whole));
         match missing {
             Ok(updates) => {
                 self.node.links.send_all(to, updates.unwrap_or_default());
@@ -370,11 +370,11 @@
 
     /// Lets the backup act as owner, without the service.
     async fn yield_slot(&self, slot: Slot) {
-        let desk = &self.node.desk;
-        let Some((backup, handoff)) = desk.with_ledger(|ledger| ledger.hand_over(slot)) else {
+        let requests = &self.node.requests;
+        let Some((backup, handoff)) = requests.with_ledger(|ledger| ledger.hand_over(slot)) else {
             return;
         };
-        desk.tell_slot(slot, &Input::Sealed);
+        requests.tell_slot(slot, &Input::Sealed);
         let Ok(client) = self.node.links.client(&backup).await else {
             return;
         };
--- a/coltsfoothall-entry/src/run.rs
+++ b/coltsfoothall-entry/src/run.rs
@@ -21,12 +21,12 @@
 use coltsfoothall_wire::serve::{self, Answer, Handler, Stop};
 
 use crate::control;
-use crate::desk::Desk;
 use crate::endpoint::Remote;
 use crate::front::Front;
 use crate::link::Links;
 use crate::message::{Handle, Message};
 use crate::node::Node;
+use crate::owned::Requests;
 use crate::peer::Back;
 use crate::settings::Settings;
 use crate::view::View;
@@ -114,7 +114,7 @@
         store: Box::new(store),
         traffic: Runtime::current(),
         runner: Box::new(Remote::new(client.clone(), times.endpoint.duration())),
-        desk: Desk::new(settings.instance.clone(), records()),
+        requests: Requests::new(settings.instance.clone(), records()),
         links: Links::default(),
         control: handle,
         board: Board::new().map_err(|error| Error::Metric(error.to_string()))?,
@@ -191,22 +191,22 @@
     let times = &node.settings.times;
     let span = times.stop.duration();
     let (hand_over, limit) = (Instant::now() + span / HAND_OVER, Instant::now() + span);
-    event::STOPPING.emit(format_args!("open={}", node.desk.count()));
+    event::STOPPING.emit(format_args!("open={}", node.requests.count()));
     node.control.send(Message::Leave);
     while owned(node) > 0 && Instant::now() < hand_over {
         sleep(LOOK).await;
     }
     // What comes now could not finish here, and its owner-to-be has the slots then.
-    node.desk.close();
+    node.requests.close();
     // What is sent until then on a connection without a request, or on one made just now, gets its
     // refusal; a caller that met a closed one could not tell whether it was read.
     let idle = (Instant::now() + times.addresses.duration()).min(limit - span / CLOSING);
     let mut whole = doors.callers.shut(idle, limit).await;
     // What is still owned here runs for callers of other instances.
-    while owned(node) > 0 && node.desk.count() > 0 && Instant::now() < limit {
+    while owned(node) > 0 && node.requests.count() > 0 && Instant::now() < limit {
         sleep(LOOK).await;
     }
-    whole &= owned(node) == 0 || node.desk.count() == 0;
+    whole &= owned(node) == 0 || node.requests.count() == 0;
     let event = if whole {
         event::STOPPED
     } else {
@@ -215,7 +215,7 @@
     event.emit(format_args!(
         "slots={} open={}",
         owned(node),
-        node.desk.count()
+        node.requests.count()
     ));
     // Streams of other instances end with the last connection.
     doors.peers.stop.idle.cancel();
@@ -229,7 +229,7 @@
         return 0;
     }
     let view = node.view();
-    node.desk.with_ledger(|ledger| {
+    node.requests.with_ledger(|ledger| {
         // A slot that takes no changes any more counts until it is handed over.
         let held = |slot| ledger.released(slot).is_some() || ledger.serving(slot);
         view.table.iter().filter(|(slot, _)| held(*slot)).count()
--- a/coltsfoothall-entry/src/source.rs
+++ b/coltsfoothall-entry/src/source.rs
@@ -243,7 +243,7 @@
 
     async fn open(&mut self, owner: &id::Instance) -> Result<Option<Stream>, Fault> {
         if *owner == self.node.settings.instance {
-            return match self.node.desk.follow(&self.node, &self.follow).await {
+            return match self.node.requests.follow(&self.node, &self.follow).await {
                 Ok(follower) => {
                     self.sent = true;
                     Ok(Some(Stream::Local(follower)))
--- a/coltsfoothall-entry/src/status.rs
+++ b/coltsfoothall-entry/src/status.rs
@@ -62,7 +62,7 @@
                 .endpoints()
                 .filter_map(|m| self.endpoint_status(m))
                 .collect(),
-            open: u32::try_from(self.node.desk.count()).unwrap_or(u32::MAX),
+            open: u32::try_from(self.node.requests.count()).unwrap_or(u32::MAX),
             broken,
         }
     }
--- a/coltsfoothall-entry/src/trial.rs
+++ b/coltsfoothall-entry/src/trial.rs
@@ -83,7 +83,7 @@
             "endpoint={endpoint} announced={announced} suspects={}",
             marks.len()
         ));
-        self.node.desk.tell_all(&Input::EndpointDied {
+        self.node.requests.tell_all(&Input::EndpointDied {
             endpoint: endpoint.clone(),
         });
         if !marks.is_empty() {
