--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -28,12 +28,12 @@
 use crate::census::Census;
 use crate::dispatch::Dispatch;
 use crate::fetch;
-use crate::keeper::Slots;
 use crate::members::Members;
 use crate::message::{Held, Inbox, Message};
 use crate::node::Node;
 use crate::resend::Resend;
 use crate::round::Round;
+use crate::slots::Slots;
 use crate::view::View;
 
 /// Between two looks at what waits.
