--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -25,9 +25,9 @@
 use coltsfoothall_wire::cloud::Machine;
 use coltsfoothall_wire::peer;
 
-use crate::census::Census;
 use crate::dispatch::Dispatch;
 use crate::fetch;
+use crate::inventory::Inventory;
 use crate::members::Members;
 use crate::message::{Held, Inbox, Message};
 use crate::node::Node;
@@ -61,7 +61,7 @@
     pub(crate) members: Members,
     pub(crate) slots: Slots,
     resend: Resend,
-    pub(crate) census: Census,
+    pub(crate) inventory: Inventory,
     /// Looks so far; it spaces what is done less often.
     looks: u64,
     /// Times that peers were asked for all evidence.
@@ -97,7 +97,7 @@
             members: Members::new(Arc::clone(&node)),
             slots: Slots::new(Arc::clone(&node)),
             resend: Resend::default(),
-            census: Census::default(),
+            inventory: Inventory::default(),
             looks: 0,
             asked: 0,
             leaving: false,
@@ -281,7 +281,7 @@
             self.try_endpoint(endpoint);
         }
         if self.looks.is_multiple_of(TELL) {
-            for instance in self.census.recent(now) {
+            for instance in self.inventory.recent(now) {
                 self.members.pass_on(instance);
             }
         }
@@ -338,11 +338,11 @@
     }
 
     fn set_machines(&mut self, machines: Vec<Machine>) {
-        let gone = self.census.set(self.node.now(), machines);
+        let gone = self.inventory.set(self.node.now(), machines);
         self.try_gone(&gone);
-        self.dispatch.set_endpoints(self.census.choices());
-        self.members.set_seeds(self.census.machines());
-        for instance in self.census.leaving() {
+        self.dispatch.set_endpoints(self.inventory.choices());
+        self.members.set_seeds(self.inventory.machines());
+        for instance in self.inventory.leaving() {
             self.leave(&instance);
         }
         self.dispatch.poll(self.node.now());
@@ -354,7 +354,7 @@
             self.node.stop.cancel();
             return;
         }
-        if self.census.note(self.node.now(), instance) {
+        if self.inventory.note(self.node.now(), instance) {
             self.members.pass_on(instance);
         }
         self.leave(instance);
--- a/coltsfoothall-entry/src/census.rs
+++ b/coltsfoothall-entry/src/inventory.rs
@@ -29,14 +29,14 @@
 
 /// The instances and the notices.
 #[derive(Debug, Default)]
-pub struct Census {
+pub struct Inventory {
     /// Sorted by name.
     machines: Arc<Vec<Machine>>,
     /// Sorted by name.
     noticed: Vec<Noticed>,
 }
 
-impl Census {
+impl Inventory {
     /// Takes a list that was read; gives those that it no longer names.
     pub fn set(&mut self, now: Time, mut machines: Vec<Machine>) -> Vec<Machine> {
         machines.sort_by(|a, b| a.id.cmp(&b.id));
--- a/coltsfoothall-entry/src/lib.rs
+++ b/coltsfoothall-entry/src/lib.rs
@@ -13,7 +13,6 @@
 pub mod answer;
 mod attempt;
 pub mod busy;
-mod census;
 mod claim;
 pub mod config;
 pub mod control;
@@ -26,6 +25,7 @@
 mod fetch;
 pub mod front;
 pub mod intake;
+mod inventory;
 mod lease;
 pub mod link;
 mod members;
--- a/coltsfoothall-entry/src/status.rs
+++ b/coltsfoothall-entry/src/status.rs
@@ -20,7 +20,7 @@
     pub fn publish(&self) {
         let catalog = self.config.held().cloned().unwrap_or_default();
         let tokens = tokens(&catalog);
-        let places = self.census.places(&catalog);
+        let places = self.inventory.places(&catalog);
         let view = View {
             catalog,
             tokens,
@@ -30,9 +30,9 @@
             peers: self.members.peers(),
             leaving: self.leaving,
             watches: self.members.watches(),
-            machines: Arc::clone(self.census.machines()),
-            noticed: self.census.noticed(),
-            busy: self.dispatch.busy(self.census.machines()),
+            machines: Arc::clone(self.inventory.machines()),
+            noticed: self.inventory.noticed(),
+            busy: self.dispatch.busy(self.inventory.machines()),
         };
         self.views.send_replace(Arc::new(view));
     }
@@ -58,7 +58,7 @@
             in_force: u32::try_from(in_force(revision, &held)).unwrap_or(u32::MAX),
             members,
             endpoints: self
-                .census
+                .inventory
                 .endpoints()
                 .filter_map(|m| self.endpoint_status(m))
                 .collect(),
@@ -74,7 +74,7 @@
             id,
             service: machine.service.clone(),
             domain: machine.domain.clone(),
-            state: self.census.state(machine).into(),
+            state: self.inventory.state(machine).into(),
             open,
         })
     }
--- a/coltsfoothall-entry/src/trial.rs
+++ b/coltsfoothall-entry/src/trial.rs
@@ -28,7 +28,7 @@
     /// What a trial found, where no answer of an endpoint that left the instance
     /// list means that it is dead.
     fn settle(&self, endpoint: &id::Endpoint, found: Found) -> Found {
-        let listed = self.census.find(endpoint).is_some();
+        let listed = self.inventory.find(endpoint).is_some();
         match found {
             Found::Silent if !listed => Found::Dead { domain: false },
             Found::Silent | Found::Alive | Found::Restarted(_) | Found::Dead { .. } => found,
@@ -52,7 +52,7 @@
 
     /// Tries an endpoint, and if it is dead the others of its failure domain.
     pub fn try_endpoint(&mut self, endpoint: id::Endpoint) {
-        let machine = self.census.find(&endpoint).cloned();
+        let machine = self.inventory.find(&endpoint).cloned();
         self.try_machine(endpoint, machine.as_ref());
     }
 
@@ -60,7 +60,7 @@
         let node = Arc::clone(&self.node);
         let address = machine.map(|m| m.address.clone()).unwrap_or_default();
         let boot = self.dispatch.judge().tried_boot(&endpoint);
-        let mates = machine.map(|m| self.census.mates(m)).unwrap_or_default();
+        let mates = machine.map(|m| self.inventory.mates(m)).unwrap_or_default();
         tokio::spawn(async move {
             let found = death::probe(&node.client, &address, boot, &mates).await;
             node.control.send(Message::Tried(endpoint, found));
@@ -77,7 +77,7 @@
             self.dispatch.died(now, endpoint, true);
             return;
         }
-        let announced = domain || self.census.announced(endpoint);
+        let announced = domain || self.inventory.announced(endpoint);
         let marks = self.dispatch.died(now, endpoint, announced);
         event::ENDPOINT_DIED.emit(format_args!(
             "endpoint={endpoint} announced={announced} suspects={}",
