--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -25,11 +25,11 @@
 use crate::claim::Claims;
 use crate::death::{Found, Judge, Ruling};
 use crate::endpoint::Ended;
+use crate::isolation;
 pub use crate::pick::{Pick, ticket};
 use crate::queue::{Queue, Waiting};
 use crate::refusal::COME_BACK;
 use crate::retries::Retries;
-use crate::room::Rooms;
 
 /// Wait before the next choice when no endpoint can be chosen.
 const NONE: Duration = Duration::from_millis(100);
@@ -47,7 +47,7 @@
     gate: Gate,
     domain: id::Domain,
     judge: Judge,
-    rooms: Rooms,
+    isolation: isolation::Endpoints,
     retries: Retries,
     claims: Claims,
     queue: Queue,
@@ -70,7 +70,7 @@
             gate: Gate::new(limit::Settings::default()),
             domain,
             judge: Judge::default(),
-            rooms: Rooms::default(),
+            isolation: isolation::Endpoints::default(),
             retries: Retries::default(),
             claims: Claims::default(),
             queue: Queue::default(),
@@ -97,15 +97,15 @@
 
     /// Takes the list of endpoints.
     pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>) {
-        self.rooms.set(&endpoints);
-        let rooms = &self.rooms;
-        self.judge.keep(|endpoint| rooms.has(endpoint));
+        self.isolation.set(&endpoints);
+        let isolation = &self.isolation;
+        self.judge.keep(|endpoint| isolation.has(endpoint));
         self.router.set_endpoints(endpoints);
     }
 
     /// Sets this instance's place among all entry instances, and their number.
     pub fn set_place(&mut self, place: usize, count: usize) {
-        self.rooms.set_place(place, count);
+        self.isolation.set_place(place, count);
         self.router
             .set_entries(u32::try_from(count).unwrap_or(u32::MAX));
     }
@@ -115,7 +115,7 @@
         self.router.report(now, endpoint, report);
         let all = report.running.saturating_add(report.waiting) as usize;
         let others = all.saturating_sub(self.open_at(endpoint));
-        self.rooms.note(now, endpoint, others);
+        self.isolation.note(now, endpoint, others);
     }
 
     /// Sets the workspaces.
@@ -279,7 +279,7 @@
     pub fn died(&mut self, now: Time, endpoint: &id::Endpoint, announced: bool) -> Vec<Mark> {
         self.router.suspect(endpoint, now + AVOID);
         let owed = self.attempts.dead(endpoint) + self.open_at(endpoint);
-        if let Some(service) = self.rooms.service(endpoint).cloned() {
+        if let Some(service) = self.isolation.service(endpoint).cloned() {
             self.retries.owe(now, &service, owed);
         }
         self.judge.died(now, endpoint, announced)
@@ -374,9 +374,10 @@
             // If one of them is dead already, that would count against this request.
             unfit.extend(self.judge.tried().cloned());
             let at = |endpoint: &id::Endpoint| self.attempts.at(endpoint);
-            self.rooms.unfit(now, &pick.ticket.service, &at, &mut unfit);
+            self.isolation
+                .unfit(now, &pick.ticket.service, &at, &mut unfit);
         } else {
-            unfit.extend(self.rooms.reserved(now).cloned());
+            unfit.extend(self.isolation.reserved(now).cloned());
         }
         unfit
     }
--- a/coltsfoothall-entry/src/room.rs
+++ b/coltsfoothall-entry/src/isolation.rs
@@ -22,7 +22,7 @@
 
 /// An endpoint.
 #[derive(Debug, Clone)]
-struct Room {
+struct Candidate {
     service: id::Service,
     endpoint: id::Endpoint,
     /// Others' requests there, as last reported.
@@ -39,9 +39,9 @@
 
 /// The endpoints of all services, and this instance's part of them.
 #[derive(Debug, Default)]
-pub struct Rooms {
+pub struct Endpoints {
     /// Sorted by service, then endpoint.
-    rooms: Vec<Room>,
+    candidates: Vec<Candidate>,
     place: usize,
     count: usize,
     reserve: Option<Reserve>,
@@ -49,19 +49,21 @@
     none: Option<Time>,
 }
 
-impl Rooms {
+impl Endpoints {
     /// Takes the list of endpoints.
     pub fn set(&mut self, endpoints: &[Endpoint]) {
-        let old = std::mem::take(&mut self.rooms);
+        let old = std::mem::take(&mut self.candidates);
         for endpoint in endpoints {
-            let had = old.iter().find(|room| room.endpoint == endpoint.id);
-            self.rooms.push(Room {
+            let had = old
+                .iter()
+                .find(|candidate| candidate.endpoint == endpoint.id);
+            self.candidates.push(Candidate {
                 service: endpoint.service.clone(),
                 endpoint: endpoint.id.clone(),
-                others: had.map_or(0, |room| room.others),
+                others: had.map_or(0, |candidate| candidate.others),
             });
         }
-        self.rooms
+        self.candidates
             .sort_by(|a, b| (&a.service, &a.endpoint).cmp(&(&b.service, &b.endpoint)));
     }
 
@@ -80,18 +82,21 @@
     /// The service of an endpoint.
     #[must_use]
     pub fn service(&self, endpoint: &id::Endpoint) -> Option<&id::Service> {
-        let room = self.rooms.iter().find(|room| room.endpoint == *endpoint);
-        room.map(|room| &room.service)
+        let candidate = self
+            .candidates
+            .iter()
+            .find(|candidate| candidate.endpoint == *endpoint);
+        candidate.map(|candidate| &candidate.service)
     }
 
     /// Others have so many requests at an endpoint.
     pub fn note(&mut self, _now: Time, endpoint: &id::Endpoint, others: usize) {
-        let room = self
-            .rooms
+        let candidate = self
+            .candidates
             .iter_mut()
-            .find(|room| room.endpoint == *endpoint);
-        if let Some(room) = room {
-            room.others = others;
+            .find(|candidate| candidate.endpoint == *endpoint);
+        if let Some(candidate) = candidate {
+            candidate.others = others;
         }
     }
 
@@ -117,33 +122,39 @@
         let urgent = urgent.map(|reserve| reserve.endpoint.clone());
         let mut spare: Option<(usize, id::Endpoint)> = None;
         let mut free = false;
-        let rooms = self.rooms.iter().filter(|room| room.service == *service);
+        let candidates = self
+            .candidates
+            .iter()
+            .filter(|candidate| candidate.service == *service);
         // Numbered before any is left out, so that instances agree on the parts.
-        let rooms = rooms
+        let candidates = candidates
             .enumerate()
-            .filter(|(_, room)| !exclude.contains(&room.endpoint));
-        let rooms: Vec<(usize, Room)> = rooms.map(|(at, room)| (at, room.clone())).collect();
+            .filter(|(_, candidate)| !exclude.contains(&candidate.endpoint));
+        let candidates: Vec<(usize, Candidate)> = candidates
+            .map(|(at, candidate)| (at, candidate.clone()))
+            .collect();
         let (place, count) = (self.place, self.count.max(1));
         let mine = |at: usize| at % count == place;
-        let none = !rooms.iter().any(|(at, _)| mine(*at)) && self.stranded(now);
-        for (at, room) in rooms {
+        let none = !candidates.iter().any(|(at, _)| mine(*at)) && self.stranded(now);
+        for (at, candidate) in candidates {
             let mine = none || mine(at);
-            let own = open(&room.endpoint);
-            let empty = own == 0 && (room.others == 0 || urgent.as_ref() == Some(&room.endpoint));
+            let own = open(&candidate.endpoint);
+            let empty =
+                own == 0 && (candidate.others == 0 || urgent.as_ref() == Some(&candidate.endpoint));
             if mine && empty {
                 free = true;
                 continue;
             }
             // The one that is kept free already comes first.
-            let rank = if kept.as_ref() == Some(&room.endpoint) {
+            let rank = if kept.as_ref() == Some(&candidate.endpoint) {
                 0
             } else {
                 own + 1
             };
             if mine && spare.as_ref().is_none_or(|(least, _)| rank < *least) {
-                spare = Some((rank, room.endpoint.clone()));
+                spare = Some((rank, candidate.endpoint.clone()));
             }
-            exclude.push(room.endpoint.clone());
+            exclude.push(candidate.endpoint.clone());
         }
         match (free, spare) {
             (false, Some((_, endpoint))) => self.keep_free(now, endpoint),
