--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -37,10 +37,10 @@
 use crate::view::View;
 
 /// Between two looks at what waits.
-const TICK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Between two looks at members and slots; the lag of this timer tells an own stall.
-pub const LOOK: Duration = Duration::from_millis(200);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Looks between two repeats of evidence to a peer.
 const REPEAT: u64 = 25;
@@ -106,8 +106,8 @@
     }
 
     async fn run(mut self, mut inbox: Inbox) {
-        let mut tick = interval(TICK);
-        let mut look = interval(LOOK);
+        let mut tick = interval(POLL_INTERVAL);
+        let mut look = interval(TICK_INTERVAL);
         let mut beat = interval(self.node.settings.times.heartbeat.duration());
         for timer in [&mut tick, &mut look, &mut beat] {
             timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/coltsfoothall-entry/src/members.rs
+++ b/coltsfoothall-entry/src/members.rs
@@ -18,7 +18,7 @@
 use coltsfoothall_wire::operator::Member;
 use coltsfoothall_wire::peer;
 
-use crate::control::LOOK;
+use crate::control::TICK_INTERVAL;
 use crate::link;
 use crate::message::Message;
 use crate::node::Node;
@@ -84,7 +84,7 @@
             ..member::Settings::default()
         };
         let stall = stall::Settings {
-            tick: LOOK,
+            tick: TICK_INTERVAL,
             timeout: times.suspect.duration(),
             ..stall::Settings::default()
         };
