--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -213,10 +213,10 @@
             Message::First { attempt, cached } => self.dispatch.first(now, attempt, cached),
             Message::Ended { attempt, ended } => {
                 if let Some(endpoint) = self.dispatch.ended(now, attempt, ended) {
-                    self.try_endpoint(endpoint);
+                    self.probe_endpoint(endpoint);
                 }
             }
-            Message::Tried(endpoint, found) => self.tried(now, &endpoint, found),
+            Message::ProbeEnded(endpoint, found) => self.record_probe(now, &endpoint, found),
             Message::Evidence { told, reply } => {
                 let answer = self.evidence(&told);
                 let _gone = reply.send(answer);
@@ -226,7 +226,7 @@
             Message::Notice(instance) => self.notice(&instance),
             Message::Load(endpoint, report, boot) => {
                 if let Some(boot) = boot {
-                    self.dispatch.judge().saw(&endpoint, boot);
+                    self.dispatch.detector().saw(&endpoint, boot);
                 }
                 self.dispatch.report(now, &endpoint, &report);
             }
@@ -277,8 +277,8 @@
     /// Repeats what peers may have missed, and tries dead endpoints again.
     fn look_at_endpoints(&mut self, now: Time) {
         self.looks += 1;
-        for endpoint in self.dispatch.judge().due(now) {
-            self.try_endpoint(endpoint);
+        for endpoint in self.dispatch.detector().due(now) {
+            self.probe_endpoint(endpoint);
         }
         if self.looks.is_multiple_of(TELL) {
             for instance in self.inventory.recent(now) {
@@ -290,8 +290,8 @@
             self.members.tell(&[], 1);
         }
         if self.looks.is_multiple_of(REPEAT) {
-            self.dispatch.judge().expire(now);
-            let newest = self.dispatch.judge().newest(now);
+            self.dispatch.detector().expire(now);
+            let newest = self.dispatch.detector().newest(now);
             if !newest.is_empty() {
                 self.members.tell(&newest, 1);
             }
@@ -339,7 +339,7 @@
 
     fn set_machines(&mut self, machines: Vec<Machine>) {
         let gone = self.inventory.set(self.node.now(), machines);
-        self.try_gone(&gone);
+        self.probe_removed(&gone);
         self.dispatch.set_endpoints(self.inventory.choices());
         self.members.set_seeds(self.inventory.machines());
         for instance in self.inventory.leaving() {
--- a/coltsfoothall-entry/src/death.rs
+++ b/coltsfoothall-entry/src/death.rs
@@ -46,7 +46,7 @@
 
 /// What a trial found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found {
+pub enum Finding {
     /// It takes connections.
     Alive,
     /// It takes connections, and this process answers, not the one that is known.
@@ -62,7 +62,7 @@
 
 /// An endpoint that may be dead.
 #[derive(Debug)]
-struct Trial {
+struct Probe {
     endpoint: id::Endpoint,
     /// Attempts that broke there and wait for the finding.
     broken: Vec<u64>,
@@ -90,19 +90,19 @@
 
 /// What follows from a finding.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ruling {
+pub enum Conclusion {
     /// It lives; these attempts broke by themselves.
-    Lives(Vec<u64>),
+    Alive(Vec<u64>),
     /// It is dead.
     Dead,
 }
 
 /// Trials of endpoints, and the docket of requests.
 #[derive(Debug)]
-pub struct Judge {
+pub struct Detector {
     docket: Docket,
     /// Sorted by endpoint.
-    trials: Vec<Trial>,
+    probes: Vec<Probe>,
     /// Sorted by endpoint.
     dead: Vec<Dead>,
     /// Sorted by attempt.
@@ -113,11 +113,11 @@
     settled: Time,
 }
 
-impl Default for Judge {
+impl Default for Detector {
     fn default() -> Self {
         Self {
             docket: Docket::new(Settings::default()),
-            trials: Vec::new(),
+            probes: Vec::new(),
             dead: Vec::new(),
             runs: Vec::new(),
             boots: Vec::new(),
@@ -126,12 +126,12 @@
     }
 }
 
-impl Judge {
+impl Detector {
     /// How a request may run now.
     #[must_use]
     pub fn verdict(&self, now: Time, print: Print) -> Verdict {
         let verdict = self.docket.verdict(now, print);
-        let tried = |run: &Run| run.print.content == print.content && self.tries(&run.endpoint);
+        let tried = |run: &Run| run.print.content == print.content && self.is_probed(&run.endpoint);
         let early = verdict == Verdict::Alone && now < self.settled;
         if early || (verdict < Verdict::Later && self.runs.iter().any(tried)) {
             return Verdict::Later;
@@ -174,21 +174,21 @@
 
     /// Puts an endpoint on trial, for the attempt that broke there if one did.
     /// True if it was not on trial.
-    pub fn accuse(&mut self, endpoint: &id::Endpoint, broken: Option<u64>) -> bool {
+    pub fn start_probe(&mut self, endpoint: &id::Endpoint, broken: Option<u64>) -> bool {
         match self
-            .trials
-            .binary_search_by(|trial| trial.endpoint.cmp(endpoint))
+            .probes
+            .binary_search_by(|probe| probe.endpoint.cmp(endpoint))
         {
             Ok(at) => {
-                self.trials[at].broken.extend(broken);
+                self.probes[at].broken.extend(broken);
                 false
             }
             Err(at) => {
                 let ran = broken.and_then(|attempt| self.find(attempt).ok());
                 let boot = ran.map_or_else(|| self.boot(endpoint), |ran| self.runs[ran].boot);
-                self.trials.insert(
+                self.probes.insert(
                     at,
-                    Trial {
+                    Probe {
                         endpoint: endpoint.clone(),
                         broken: broken.into_iter().collect(),
                         boot,
@@ -204,32 +204,32 @@
         &mut self,
         now: Time,
         endpoint: &id::Endpoint,
-        found: Found,
+        found: Finding,
         open: usize,
-    ) -> Ruling {
+    ) -> Conclusion {
         let place = self
-            .trials
-            .binary_search_by(|trial| trial.endpoint.cmp(endpoint));
+            .probes
+            .binary_search_by(|probe| probe.endpoint.cmp(endpoint));
         let broken = place
-            .map(|at| self.trials.remove(at).broken)
+            .map(|at| self.probes.remove(at).broken)
             .unwrap_or_default();
         let together = broken.len() >= TOGETHER && open == 0;
         match found {
-            Found::Dead { .. } => return Ruling::Dead,
-            Found::Restarted(boot) => {
+            Finding::Dead { .. } => return Conclusion::Dead,
+            Finding::Restarted(boot) => {
                 self.saw(endpoint, boot);
-                return Ruling::Dead;
+                return Conclusion::Dead;
             }
-            Found::Alive if together => return Ruling::Dead,
-            Found::Alive | Found::Silent => {}
+            Finding::Alive if together => return Conclusion::Dead,
+            Finding::Alive | Finding::Silent => {}
         }
         for attempt in &broken {
             self.ended(now, *attempt, false);
         }
-        if found == Found::Alive {
+        if found == Finding::Alive {
             self.revive(endpoint);
         }
-        Ruling::Lives(broken)
+        Conclusion::Alive(broken)
     }
 
     /// An endpoint tells which process it is.
@@ -242,11 +242,11 @@
 
     /// The process that attempts ran in at an endpoint on trial, if it told.
     #[must_use]
-    pub fn tried_boot(&self, endpoint: &id::Endpoint) -> Option<Boot> {
+    pub fn probed_boot(&self, endpoint: &id::Endpoint) -> Option<Boot> {
         let found = self
-            .trials
-            .binary_search_by(|trial| trial.endpoint.cmp(endpoint));
-        found.ok().and_then(|at| self.trials[at].boot)
+            .probes
+            .binary_search_by(|probe| probe.endpoint.cmp(endpoint));
+        found.ok().and_then(|at| self.probes[at].boot)
     }
 
     /// An endpoint is dead. Returns the marks to tell peers of.
@@ -285,12 +285,12 @@
     }
 
     /// Endpoints on trial, sorted.
-    pub fn tried(&self) -> impl Iterator<Item = &id::Endpoint> {
-        self.trials.iter().map(|trial| &trial.endpoint)
+    pub fn probed(&self) -> impl Iterator<Item = &id::Endpoint> {
+        self.probes.iter().map(|probe| &probe.endpoint)
     }
 
     /// Forgets dead endpoints that are no longer listed.
-    pub fn keep(&mut self, listed: impl Fn(&id::Endpoint) -> bool) {
+    pub fn retain(&mut self, listed: impl Fn(&id::Endpoint) -> bool) {
         self.dead.retain(|dead| listed(&dead.endpoint));
         self.boots.retain(|(endpoint, _)| listed(endpoint));
     }
@@ -302,7 +302,7 @@
             dead.next = now + AGAIN;
             due.push(dead.endpoint.clone());
         }
-        due.retain(|endpoint| self.accuse(endpoint, None));
+        due.retain(|endpoint| self.start_probe(endpoint, None));
         due
     }
 
@@ -356,9 +356,9 @@
         self.dead.retain(|dead| dead.endpoint != *endpoint);
     }
 
-    fn tries(&self, endpoint: &id::Endpoint) -> bool {
-        self.trials
-            .binary_search_by(|trial| trial.endpoint.cmp(endpoint))
+    fn is_probed(&self, endpoint: &id::Endpoint) -> bool {
+        self.probes
+            .binary_search_by(|probe| probe.endpoint.cmp(endpoint))
             .is_ok()
     }
 
@@ -386,27 +386,32 @@
 
 /// Tries an endpoint, and if it is dead the others of its failure domain. `boot` is the
 /// process that attempts there ran in, if it is known.
-pub async fn probe(client: &Client, address: &str, boot: Option<Boot>, mates: &[String]) -> Found {
+pub async fn probe(
+    client: &Client,
+    address: &str,
+    boot: Option<Boot>,
+    mates: &[String],
+) -> Finding {
     let mut found = connect(address).await;
     for _ in 1..TRIES {
-        if found != Found::Alive {
+        if found != Finding::Alive {
             break;
         }
         sleep(PAUSE).await;
         found = connect(address).await;
     }
-    if found == Found::Alive && boot.is_some() {
+    if found == Finding::Alive && boot.is_some() {
         return match answers(client, address).await {
-            Some(now) if Some(now) != boot => Found::Restarted(now),
-            Some(_) | None => Found::Alive,
+            Some(now) if Some(now) != boot => Finding::Restarted(now),
+            Some(_) | None => Finding::Alive,
         };
     }
-    if found != (Found::Dead { domain: false }) {
+    if found != (Finding::Dead { domain: false }) {
         return found;
     }
     let mates = join_all(mates.iter().take(MATES).map(|mate| connect(mate))).await;
-    let lost = mates.iter().filter(|mate| **mate != Found::Alive).count();
-    Found::Dead {
+    let lost = mates.iter().filter(|mate| **mate != Finding::Alive).count();
+    Finding::Dead {
         domain: lost == mates.len() && lost >= DOMAIN,
     }
 }
@@ -425,15 +430,15 @@
     None
 }
 
-async fn connect(address: &str) -> Found {
+async fn connect(address: &str) -> Finding {
     let Ok(address) = address.parse::<SocketAddr>() else {
-        return Found::Silent;
+        return Finding::Silent;
     };
     match timeout(CONNECT, TcpStream::connect(address)).await {
-        Ok(Ok(_stream)) => Found::Alive,
+        Ok(Ok(_stream)) => Finding::Alive,
         Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
-            Found::Dead { domain: false }
+            Finding::Dead { domain: false }
         }
-        Ok(Err(_)) | Err(_) => Found::Silent,
+        Ok(Err(_)) | Err(_) => Finding::Silent,
     }
 }
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -23,7 +23,7 @@
 use crate::attempt::Attempts;
 use crate::busy::{self, Busy};
 use crate::claim::Claims;
-use crate::death::{Found, Judge, Ruling};
+use crate::death::{Conclusion, Detector, Finding};
 use crate::endpoint::Ended;
 use crate::isolation;
 pub use crate::pick::{Pick, ticket};
@@ -46,7 +46,7 @@
     router: Router,
     gate: Gate,
     domain: id::Domain,
-    judge: Judge,
+    detector: Detector,
     isolation: isolation::Endpoints,
     retries: Retries,
     claims: Claims,
@@ -69,7 +69,7 @@
             router: Router::new(settings),
             gate: Gate::new(limit::Settings::default()),
             domain,
-            judge: Judge::default(),
+            detector: Detector::default(),
             isolation: isolation::Endpoints::default(),
             retries: Retries::default(),
             claims: Claims::default(),
@@ -86,8 +86,8 @@
     }
 
     /// The judge of endpoints' deaths.
-    pub fn judge(&mut self) -> &mut Judge {
-        &mut self.judge
+    pub fn detector(&mut self) -> &mut Detector {
+        &mut self.detector
     }
 
     /// This instance is leaving: from now on no non-idempotent request begins.
@@ -99,7 +99,7 @@
     pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>) {
         self.isolation.set(&endpoints);
         let isolation = &self.isolation;
-        self.judge.keep(|endpoint| isolation.has(endpoint));
+        self.detector.retain(|endpoint| isolation.has(endpoint));
         self.router.set_endpoints(endpoints);
     }
 
@@ -181,7 +181,7 @@
 
     /// Chooses an endpoint, at once or when the request's turn comes.
     pub fn pick(&mut self, now: Time, pick: Pick, reply: UnboundedSender<Input>) {
-        if self.judge.verdict(now, pick.print) == suspicion::Verdict::Poisonous {
+        if self.detector.verdict(now, pick.print) == suspicion::Verdict::Poisonous {
             tell(&reply, Input::Poisoned);
             return;
         }
@@ -233,38 +233,40 @@
         }
         match ended {
             Ended::Whole | Ended::Refused | Ended::Unheard => {
-                self.judge.ended(now, attempt, ended == Ended::Whole);
+                self.detector.ended(now, attempt, ended == Ended::Whole);
                 None
             }
             Ended::Unsent => {
                 // Nothing of it ran there, so it is no evidence.
-                self.judge.ended(now, attempt, false);
-                self.accuse(now, endpoint, None)
+                self.detector.ended(now, attempt, false);
+                self.start_probe(now, endpoint, None)
             }
             Ended::Broke => {
                 self.attempts.broke(attempt, &endpoint, open.reply);
-                self.accuse(now, endpoint, Some(attempt))
+                self.start_probe(now, endpoint, Some(attempt))
             }
         }
     }
 
     /// An endpoint may be dead. Returns it if it is to be tried.
-    fn accuse(
+    fn start_probe(
         &mut self,
         now: Time,
         endpoint: id::Endpoint,
         broken: Option<u64>,
     ) -> Option<id::Endpoint> {
         self.router.suspect(&endpoint, now + AVOID);
-        self.judge.accuse(&endpoint, broken).then_some(endpoint)
+        self.detector
+            .start_probe(&endpoint, broken)
+            .then_some(endpoint)
     }
 
     /// A trial of an endpoint ended; true if it is dead.
-    pub fn rule(&mut self, now: Time, endpoint: &id::Endpoint, found: Found) -> bool {
+    pub fn rule(&mut self, now: Time, endpoint: &id::Endpoint, found: Finding) -> bool {
         let open = self.open_at(endpoint);
-        match self.judge.rule(now, endpoint, found, open) {
-            Ruling::Dead => true,
-            Ruling::Lives(broken) => {
+        match self.detector.rule(now, endpoint, found, open) {
+            Conclusion::Dead => true,
+            Conclusion::Alive(broken) => {
                 for attempt in broken {
                     if let Some(reply) = self.attempts.lives(attempt) {
                         tell(&reply, Input::Broke { attempt });
@@ -282,7 +284,7 @@
         if let Some(service) = self.isolation.service(endpoint).cloned() {
             self.retries.owe(now, &service, owed);
         }
-        self.judge.died(now, endpoint, announced)
+        self.detector.died(now, endpoint, announced)
     }
 
     /// A request is over; its place at the gate is free.
@@ -331,7 +333,7 @@
         if self.leaving && !waiting.pick.idempotent {
             return self.stop(now, &waiting, not_safe());
         }
-        let alone = match self.judge.verdict(now, waiting.pick.print) {
+        let alone = match self.detector.verdict(now, waiting.pick.print) {
             suspicion::Verdict::Poisonous => return self.stop(now, &waiting, Input::Poisoned),
             suspicion::Verdict::Later => return self.stop(now, &waiting, no_pick(LATER)),
             suspicion::Verdict::Alone => true,
@@ -345,7 +347,7 @@
         };
         let run = self.router.began(now, &chosen.endpoint, &ask);
         let (attempt, reply) = (waiting.pick.attempt, waiting.reply.clone());
-        self.judge
+        self.detector
             .started(now, attempt, &chosen.endpoint, waiting.pick.print, alone);
         self.retries.sent(now, &waiting.pick.ticket.service);
         self.attempts.begin(waiting.open(run));
@@ -369,10 +371,10 @@
     /// Endpoints that a request is not to run at.
     fn unfit(&mut self, now: Time, pick: &Pick, alone: bool) -> Vec<id::Endpoint> {
         let mut unfit = pick.exclude.clone();
-        unfit.extend(self.judge.dead().cloned());
+        unfit.extend(self.detector.dead().cloned());
         if alone {
             // If one of them is dead already, that would count against this request.
-            unfit.extend(self.judge.tried().cloned());
+            unfit.extend(self.detector.probed().cloned());
             let at = |endpoint: &id::Endpoint| self.attempts.at(endpoint);
             self.isolation
                 .unfit(now, &pick.ticket.service, &at, &mut unfit);
--- a/coltsfoothall-entry/src/message.rs
+++ b/coltsfoothall-entry/src/message.rs
@@ -23,7 +23,7 @@
 use coltsfoothall_wire::operator::Status;
 use coltsfoothall_wire::peer;
 
-use crate::death::Found;
+use crate::death::Finding;
 use crate::endpoint::Ended;
 use crate::pick::Pick;
 use crate::round::Round;
@@ -69,7 +69,7 @@
         ended: Ended,
     },
     /// A trial of an endpoint ended.
-    Tried(id::Endpoint, Found),
+    ProbeEnded(id::Endpoint, Finding),
     /// A peer tells evidence against requests, or asks for all.
     Evidence {
         /// What it tells.
--- a/coltsfoothall-entry/src/trial.rs
+++ b/coltsfoothall-entry/src/probe.rs
@@ -10,7 +10,7 @@
 use coltsfoothall_wire::cloud::Machine;
 
 use crate::control::Control;
-use crate::death::{self, Found};
+use crate::death::{self, Finding};
 use crate::message::Message;
 
 /// Peers that new evidence is told to, which tell it on.
@@ -18,25 +18,27 @@
 
 impl Control {
     /// A trial ended: takes in what it found.
-    pub fn tried(&mut self, now: Time, endpoint: &id::Endpoint, found: Found) {
+    pub fn record_probe(&mut self, now: Time, endpoint: &id::Endpoint, found: Finding) {
         let found = self.settle(endpoint, found);
         if self.dispatch.rule(now, endpoint, found) {
-            self.endpoint_died(endpoint, found == (Found::Dead { domain: true }));
+            self.endpoint_died(endpoint, found == (Finding::Dead { domain: true }));
         }
     }
 
     /// What a trial found, where no answer of an endpoint that left the instance
     /// list means that it is dead.
-    fn settle(&self, endpoint: &id::Endpoint, found: Found) -> Found {
+    fn settle(&self, endpoint: &id::Endpoint, found: Finding) -> Finding {
         let listed = self.inventory.find(endpoint).is_some();
         match found {
-            Found::Silent if !listed => Found::Dead { domain: false },
-            Found::Silent | Found::Alive | Found::Restarted(_) | Found::Dead { .. } => found,
+            Finding::Silent if !listed => Finding::Dead { domain: false },
+            Finding::Silent | Finding::Alive | Finding::Restarted(_) | Finding::Dead { .. } => {
+                found
+            }
         }
     }
 
     /// Tries endpoints that run something here and left the instance list.
-    pub fn try_gone(&mut self, gone: &[Machine]) {
+    pub fn probe_removed(&mut self, gone: &[Machine]) {
         for machine in gone {
             let Ok(endpoint) = machine.id.as_str().parse::<id::Endpoint>() else {
                 continue;
@@ -44,26 +46,26 @@
             if self.dispatch.open_at(&endpoint) == 0 {
                 continue;
             }
-            if self.dispatch.judge().accuse(&endpoint, None) {
-                self.try_machine(endpoint, Some(machine));
+            if self.dispatch.detector().start_probe(&endpoint, None) {
+                self.probe_machine(endpoint, Some(machine));
             }
         }
     }
 
     /// Tries an endpoint, and if it is dead the others of its failure domain.
-    pub fn try_endpoint(&mut self, endpoint: id::Endpoint) {
+    pub fn probe_endpoint(&mut self, endpoint: id::Endpoint) {
         let machine = self.inventory.find(&endpoint).cloned();
-        self.try_machine(endpoint, machine.as_ref());
+        self.probe_machine(endpoint, machine.as_ref());
     }
 
-    fn try_machine(&mut self, endpoint: id::Endpoint, machine: Option<&Machine>) {
+    fn probe_machine(&mut self, endpoint: id::Endpoint, machine: Option<&Machine>) {
         let node = Arc::clone(&self.node);
         let address = machine.map(|m| m.address.clone()).unwrap_or_default();
-        let boot = self.dispatch.judge().tried_boot(&endpoint);
+        let boot = self.dispatch.detector().probed_boot(&endpoint);
         let mates = machine.map(|m| self.inventory.mates(m)).unwrap_or_default();
         tokio::spawn(async move {
             let found = death::probe(&node.client, &address, boot, &mates).await;
-            node.control.send(Message::Tried(endpoint, found));
+            node.control.send(Message::ProbeEnded(endpoint, found));
         });
     }
 
@@ -71,7 +73,7 @@
     /// there is suspected unless its death was announced.
     fn endpoint_died(&mut self, endpoint: &id::Endpoint, domain: bool) {
         let now = self.node.now();
-        let again = self.dispatch.judge().is_dead(endpoint);
+        let again = self.dispatch.detector().is_dead(endpoint);
         if again && self.dispatch.open_at(endpoint) == 0 {
             // Tried again and still dead; all know.
             self.dispatch.died(now, endpoint, true);
@@ -87,7 +89,7 @@
             endpoint: endpoint.clone(),
         });
         if !marks.is_empty() {
-            let evidence = self.dispatch.judge().about(now, &marks);
+            let evidence = self.dispatch.detector().about(now, &marks);
             self.members.tell(&evidence, FAN);
         }
         self.dispatch.poll(now);
@@ -97,9 +99,9 @@
     pub fn evidence(&mut self, told: &[Evidence]) -> Vec<Evidence> {
         let now = self.node.now();
         if told.is_empty() {
-            return self.dispatch.judge().evidence(now);
+            return self.dispatch.detector().evidence(now);
         }
-        let news = self.dispatch.judge().merge(now, told);
+        let news = self.dispatch.detector().merge(now, told);
         if !news.is_empty() {
             self.members.tell(&news, FAN);
         }
--- a/coltsfoothall-entry/tests/dispatch.rs
+++ b/coltsfoothall-entry/tests/dispatch.rs
@@ -14,7 +14,7 @@
 use coltsfoothall::size::{Millis, Price, Tokens};
 use coltsfoothall::step::Input;
 use coltsfoothall::weight::Risk;
-use coltsfoothall_entry::death::Found;
+use coltsfoothall_entry::death::Finding;
 use coltsfoothall_entry::dispatch::{Dispatch, Pick, ticket};
 use coltsfoothall_entry::endpoint::Ended;
 use rand::{Rng, SeedableRng};
@@ -142,8 +142,8 @@
                 .set_endpoints((0..ENDPOINTS).map(endpoint).collect()),
             _ => self.dispatch.poll(self.now),
         }
-        for endpoint in self.dispatch.judge().due(self.now) {
-            self.settle(&endpoint, Found::Alive);
+        for endpoint in self.dispatch.detector().due(self.now) {
+            self.settle(&endpoint, Finding::Alive);
         }
         self.hear();
     }
@@ -238,10 +238,10 @@
         let tried = self.dispatch.ended(self.now, attempt, ended);
         if let Some(endpoint) = tried {
             let found = [
-                Found::Alive,
-                Found::Silent,
-                Found::Dead { domain: false },
-                Found::Alive,
+                Finding::Alive,
+                Finding::Silent,
+                Finding::Dead { domain: false },
+                Finding::Alive,
             ][self.random.random_range(0..4)];
             self.settle(&endpoint, found);
         }
@@ -261,12 +261,12 @@
 
     fn die(&mut self, at: usize) {
         let endpoint = endpoint(at).id;
-        if self.dispatch.judge().accuse(&endpoint, None) {
-            self.settle(&endpoint, Found::Dead { domain: false });
+        if self.dispatch.detector().start_probe(&endpoint, None) {
+            self.settle(&endpoint, Finding::Dead { domain: false });
         }
     }
 
-    fn settle(&mut self, endpoint: &coltsfoothall::id::Endpoint, found: Found) {
+    fn settle(&mut self, endpoint: &coltsfoothall::id::Endpoint, found: Finding) {
         if self.dispatch.rule(self.now, endpoint, found) {
             let announced = self.random.random_bool(0.5);
             self.dispatch.died(self.now, endpoint, announced);
@@ -317,7 +317,7 @@
         );
         assert_eq!(left, (0, 0, 0), "seed {seed}: places, picks, attempts");
         assert_eq!(world.dispatch.queued(), 0, "seed {seed}");
-        assert_eq!(world.dispatch.judge().running(), 0, "seed {seed}");
+        assert_eq!(world.dispatch.detector().running(), 0, "seed {seed}");
     }
 }
 
@@ -359,7 +359,7 @@
     assert_eq!(world.chosen(&innocent, 2, &[1, 2]), Some(endpoint(0).id));
     world.dispatch.ended(world.now, 1, Ended::Broke);
     world.dispatch.ended(world.now, 2, Ended::Broke);
-    let dead = Found::Dead { domain: false };
+    let dead = Finding::Dead { domain: false };
     assert!(world.dispatch.rule(world.now, &endpoint(0).id, dead));
     world.dispatch.died(world.now, &endpoint(0).id, false);
     world.now = world.now + Duration::from_secs(1);
@@ -369,7 +369,7 @@
     assert!(
         !world
             .dispatch
-            .rule(world.now, &endpoint(2).id, Found::Alive)
+            .rule(world.now, &endpoint(2).id, Finding::Alive)
     );
     assert_eq!(world.chosen(&innocent, 5, &[]), Some(endpoint(2).id));
 }
