--- a/coltsfoothall-entry/benches/message.rs
+++ b/coltsfoothall-entry/benches/message.rs
@@ -17,7 +17,7 @@
 use coltsfoothall::record::{Change, Class, End, Finish, Intake, Name, Part, Work};
 use coltsfoothall::size::{Bytes, Millis, Price, Rate, Tokens};
 use coltsfoothall::slot::{Candidate, Process, SLOTS, Table};
-use coltsfoothall_entry::view::{Peer, Place, Token, View};
+use coltsfoothall_entry::view::{Location, Peer, Token, View};
 use coltsfoothall_wire::caller::{Address, Addresses};
 use coltsfoothall_wire::cloud::{Lend, Machine, Machines, Phase};
 use coltsfoothall_wire::engine::{self, Event, Events, Load};
@@ -211,9 +211,9 @@
         tokens.extend(workspace.tokens.iter().map(token));
     }
     tokens.sort();
-    let place = |machine: &Machine| {
+    let location = |machine: &Machine| {
         let endpoint = machine.id.as_str().parse().ok()?;
-        Some(Place {
+        Some(Location {
             endpoint,
             engine: true,
             address: machine.address.clone(),
@@ -233,7 +233,7 @@
     Arc::new(View {
         catalog: Arc::clone(catalog),
         tokens,
-        places: machines.iter().filter_map(place).collect(),
+        locations: machines.iter().filter_map(location).collect(),
         addresses: Some(Addresses {
             addresses: addresses.collect(),
             ttl_ms: known.ttl,
--- a/coltsfoothall-entry/src/inventory.rs
+++ b/coltsfoothall-entry/src/inventory.rs
@@ -13,7 +13,7 @@
 
 use crate::death::MATES;
 use crate::members::ENTRY;
-use crate::view::Place;
+use crate::view::Location;
 
 /// How long notices are repeated to peers.
 const RETELL: Duration = Duration::from_secs(10);
@@ -76,9 +76,9 @@
     }
 
     /// Where endpoints listen, sorted by name.
-    pub fn places(&self, catalog: &Catalog) -> Vec<Place> {
+    pub fn locations(&self, catalog: &Catalog) -> Vec<Location> {
         self.endpoints()
-            .filter_map(|machine| place(machine, catalog))
+            .filter_map(|machine| location(machine, catalog))
             .collect()
     }
 
@@ -92,14 +92,14 @@
 
     /// Notes a notice; true if it is new.
     pub fn note(&mut self, now: Time, instance: &id::Instance) -> bool {
-        let Err(place) = self.place(instance) else {
+        let Err(index) = self.find_notice(instance) else {
             return false;
         };
         let noticed = Noticed {
             instance: instance.clone(),
             at: now,
         };
-        self.noticed.insert(place, noticed);
+        self.noticed.insert(index, noticed);
         true
     }
 
@@ -148,13 +148,13 @@
     pub fn state(&self, machine: &Machine) -> &'static str {
         match machine.phase {
             Phase::Starting => "starting",
-            Phase::Live if self.place(&machine.id).is_ok() => "leaving",
+            Phase::Live if self.find_notice(&machine.id).is_ok() => "leaving",
             Phase::Live => "live",
             Phase::Leaving => "leaving",
         }
     }
 
-    fn place(&self, instance: &id::Instance) -> Result<usize, usize> {
+    fn find_notice(&self, instance: &id::Instance) -> Result<usize, usize> {
         self.noticed
             .binary_search_by(|noticed| noticed.instance.cmp(instance))
     }
@@ -181,14 +181,14 @@
     })
 }
 
-fn place(machine: &Machine, catalog: &Catalog) -> Option<Place> {
+fn location(machine: &Machine, catalog: &Catalog) -> Option<Location> {
     let endpoint = machine.id.as_str().parse().ok()?;
     let services = &catalog.services;
     let service = services
         .iter()
         .find(|service| service.name == machine.service);
     let engine = service.is_some_and(|service| matches!(service.kind, Kind::Model { .. }));
-    Some(Place {
+    Some(Location {
         endpoint,
         engine,
         address: machine.address.clone(),
--- a/coltsfoothall-entry/src/platform.rs
+++ b/coltsfoothall-entry/src/platform.rs
@@ -104,14 +104,14 @@
 fn renew(node: &Node, readers: &mut Vec<Reader>) {
     let view = node.view();
     readers.retain(|reader| {
-        view.place(&reader.endpoint)
-            .is_some_and(|place| place.engine)
+        view.location(&reader.endpoint)
+            .is_some_and(|location| location.engine)
     });
-    for place in view.places.iter().filter(|place| place.engine) {
-        if let Err(at) = readers.binary_search_by(|have| have.endpoint.cmp(&place.endpoint)) {
+    for location in view.locations.iter().filter(|location| location.engine) {
+        if let Err(at) = readers.binary_search_by(|have| have.endpoint.cmp(&location.endpoint)) {
             let reader = Reader {
-                endpoint: place.endpoint.clone(),
-                address: place.address.clone(),
+                endpoint: location.endpoint.clone(),
+                address: location.address.clone(),
                 after: 0,
             };
             readers.insert(at, reader);
--- a/coltsfoothall-entry/src/relay.rs
+++ b/coltsfoothall-entry/src/relay.rs
@@ -327,8 +327,8 @@
     /// Where an endpoint listens; nowhere if it has just left the list.
     fn address(&self, endpoint: &id::Endpoint) -> String {
         let view = self.node.view();
-        view.place(endpoint)
-            .map(|place| place.address.clone())
+        view.location(endpoint)
+            .map(|location| location.address.clone())
             .unwrap_or_default()
     }
 
--- a/coltsfoothall-entry/src/status.rs
+++ b/coltsfoothall-entry/src/status.rs
@@ -20,11 +20,11 @@
     pub fn publish(&self) {
         let catalog = self.config.held().cloned().unwrap_or_default();
         let tokens = tokens(&catalog);
-        let places = self.inventory.places(&catalog);
+        let locations = self.inventory.locations(&catalog);
         let view = View {
             catalog,
             tokens,
-            places,
+            locations,
             addresses: self.addresses(),
             table: Arc::clone(self.slots.table()),
             peers: self.members.peers(),
--- a/coltsfoothall-entry/src/view.rs
+++ b/coltsfoothall-entry/src/view.rs
@@ -32,7 +32,7 @@
 
 /// Where an endpoint listens.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// The endpoint.
     pub endpoint: id::Endpoint,
     /// Whether it is a model engine.
@@ -49,7 +49,7 @@
     /// Bearer tokens, sorted.
     pub tokens: Vec<Token>,
     /// Where endpoints listen, sorted by name.
-    pub places: Vec<Place>,
+    pub locations: Vec<Location>,
     /// Addresses for callers.
     pub addresses: Option<Addresses>,
     /// Who owns which slot.
@@ -121,12 +121,12 @@
 
     /// Where an endpoint listens.
     #[must_use]
-    pub fn place(&self, endpoint: &id::Endpoint) -> Option<&Place> {
+    pub fn location(&self, endpoint: &id::Endpoint) -> Option<&Location> {
         let at = self
-            .places
-            .binary_search_by(|place| place.endpoint.cmp(endpoint))
+            .locations
+            .binary_search_by(|location| location.endpoint.cmp(endpoint))
             .ok()?;
-        Some(&self.places[at])
+        Some(&self.locations[at])
     }
 
     /// A key's slot.
