--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -146,8 +146,8 @@
         let revision = self.config.revision();
         self.members
             .beat(self.leaving, load, revision.0, self.slots.version());
-        let (place, count) = self.members.place();
-        self.dispatch.set_place(place, count);
+        let (rank, count) = self.members.rank();
+        self.dispatch.set_rank(rank, count);
         // Weights and ages of members change with each heartbeat.
         self.publish();
     }
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -104,8 +104,8 @@
     }
 
     /// Sets this instance's place among all entry instances, and their number.
-    pub fn set_place(&mut self, place: usize, count: usize) {
-        self.isolation.set_place(place, count);
+    pub fn set_rank(&mut self, rank: usize, count: usize) {
+        self.isolation.set_rank(rank, count);
         self.router
             .set_entries(u32::try_from(count).unwrap_or(u32::MAX));
     }
--- a/coltsfoothall-entry/src/isolation.rs
+++ b/coltsfoothall-entry/src/isolation.rs
@@ -42,7 +42,7 @@
 pub struct Endpoints {
     /// Sorted by service, then endpoint.
     candidates: Vec<Candidate>,
-    place: usize,
+    rank: usize,
     count: usize,
     reserve: Option<Reserve>,
     /// Since when a request finds nothing in this instance's part.
@@ -68,8 +68,8 @@
     }
 
     /// Sets this instance's place among all entry instances, and their number.
-    pub fn set_place(&mut self, place: usize, count: usize) {
-        self.place = place;
+    pub fn set_rank(&mut self, rank: usize, count: usize) {
+        self.rank = rank;
         self.count = count;
     }
 
@@ -133,8 +133,8 @@
         let candidates: Vec<(usize, Candidate)> = candidates
             .map(|(at, candidate)| (at, candidate.clone()))
             .collect();
-        let (place, count) = (self.place, self.count.max(1));
-        let mine = |at: usize| at % count == place;
+        let (rank, count) = (self.rank, self.count.max(1));
+        let mine = |at: usize| at % count == rank;
         let none = !candidates.iter().any(|(at, _)| mine(*at)) && self.stranded(now);
         for (at, candidate) in candidates {
             let mine = none || mine(at);
--- a/coltsfoothall-entry/src/members.rs
+++ b/coltsfoothall-entry/src/members.rs
@@ -304,7 +304,7 @@
 
     /// This instance's place among all that live, by name, and how many live.
     #[must_use]
-    pub fn place(&self) -> (usize, usize) {
+    pub fn rank(&self) -> (usize, usize) {
         let me = &self.node.settings.instance;
         let before = self
             .table
--- a/coltsfoothall-entry/tests/dispatch.rs
+++ b/coltsfoothall-entry/tests/dispatch.rs
@@ -69,7 +69,7 @@
         let mut dispatch = Dispatch::new("karlin".parse().unwrap(), seed);
         dispatch.set_endpoints((0..ENDPOINTS).map(endpoint).collect());
         dispatch.set_workspaces(&[workspace("film"), workspace("theatre")]);
-        dispatch.set_place(0, 2);
+        dispatch.set_rank(0, 2);
         Self {
             random: Pcg64Mcg::seed_from_u64(seed),
             dispatch,
