--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -201,7 +201,7 @@
                 let admitted = self.dispatch.admit(now, &ticket);
                 if let Err(Ok(number)) = reply.send(admitted) {
                     // The caller left meanwhile.
-                    self.dispatch.over(now, number);
+                    self.dispatch.release(now, number);
                 }
             }
             Message::Pick { pick, reply } => self.dispatch.pick(now, pick, reply),
@@ -210,9 +210,11 @@
                 attempts,
                 reply,
             } => self.retry(&service, attempts, reply),
-            Message::First { attempt, cached } => self.dispatch.first(now, attempt, cached),
+            Message::First { attempt, cached } => {
+                self.dispatch.record_first_piece(now, attempt, cached)
+            }
             Message::Ended { attempt, ended } => {
-                if let Some(endpoint) = self.dispatch.ended(now, attempt, ended) {
+                if let Some(endpoint) = self.dispatch.record_end(now, attempt, ended) {
                     self.probe_endpoint(endpoint);
                 }
             }
@@ -221,7 +223,7 @@
                 let answer = self.evidence(&told);
                 let _gone = reply.send(answer);
             }
-            Message::Over(number) => self.dispatch.over(now, number),
+            Message::Over(number) => self.dispatch.release(now, number),
             Message::Machines(machines) => self.set_machines(machines),
             Message::Notice(instance) => self.notice(&instance),
             Message::Load(endpoint, report, boot) => {
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -131,7 +131,7 @@
 
     /// Places taken at the gate.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn admitted(&self) -> usize {
         self.gate.open()
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// The first piece of an attempt's answer came.
-    pub fn first(&mut self, now: Time, attempt: u64, cached: Tokens) {
+    pub fn record_first_piece(&mut self, now: Time, attempt: u64, cached: Tokens) {
         if let Some(open) = self.attempts.get(attempt) {
             self.router.first(now, &mut open.run, Some(cached));
             self.gate.read(now, open.number);
@@ -218,10 +218,10 @@
     }
 
     /// An attempt ended. Returns its endpoint if that is to be tried for it.
-    pub fn ended(&mut self, now: Time, attempt: u64, ended: Ended) -> Option<id::Endpoint> {
+    pub fn record_end(&mut self, now: Time, attempt: u64, ended: Ended) -> Option<id::Endpoint> {
         if let Some(waiting) = self.queue.take_attempt(attempt) {
             if waiting.own {
-                self.over(now, waiting.number);
+                self.release(now, waiting.number);
             }
             return None;
         }
@@ -229,7 +229,7 @@
         let endpoint = open.run.endpoint.clone();
         self.router.ended(now, open.run);
         if open.own {
-            self.over(now, open.number);
+            self.release(now, open.number);
         }
         match ended {
             Ended::Whole | Ended::Refused | Ended::Unheard => {
@@ -262,7 +262,7 @@
     }
 
     /// A trial of an endpoint ended; true if it is dead.
-    pub fn rule(&mut self, now: Time, endpoint: &id::Endpoint, found: Finding) -> bool {
+    pub fn record_probe(&mut self, now: Time, endpoint: &id::Endpoint, found: Finding) -> bool {
         let open = self.open_at(endpoint);
         match self.detector.rule(now, endpoint, found, open) {
             Conclusion::Dead => true,
@@ -278,7 +278,12 @@
     }
 
     /// An endpoint died. Returns the marks to tell peers of.
-    pub fn died(&mut self, now: Time, endpoint: &id::Endpoint, announced: bool) -> Vec<Mark> {
+    pub fn record_death(
+        &mut self,
+        now: Time,
+        endpoint: &id::Endpoint,
+        announced: bool,
+    ) -> Vec<Mark> {
         self.router.suspect(endpoint, now + AVOID);
         let owed = self.attempts.dead(endpoint) + self.open_at(endpoint);
         if let Some(service) = self.isolation.service(endpoint).cloned() {
@@ -288,7 +293,7 @@
     }
 
     /// A request is over; its place at the gate is free.
-    pub fn over(&mut self, now: Time, number: Number) {
+    pub fn release(&mut self, now: Time, number: Number) {
         self.claims.drop(number);
         self.gate.ended(now, number);
         self.poll(now);
@@ -364,7 +369,7 @@
     fn stop(&mut self, now: Time, waiting: &Waiting, input: Input) {
         tell(&waiting.reply, input);
         if waiting.own {
-            self.over(now, waiting.number);
+            self.release(now, waiting.number);
         }
     }
 
--- a/coltsfoothall-entry/src/probe.rs
+++ b/coltsfoothall-entry/src/probe.rs
@@ -20,7 +20,7 @@
     /// A trial ended: takes in what it found.
     pub fn record_probe(&mut self, now: Time, endpoint: &id::Endpoint, found: Finding) {
         let found = self.settle(endpoint, found);
-        if self.dispatch.rule(now, endpoint, found) {
+        if self.dispatch.record_probe(now, endpoint, found) {
             self.endpoint_died(endpoint, found == (Finding::Dead { domain: true }));
         }
     }
@@ -76,11 +76,11 @@
         let again = self.dispatch.detector().is_dead(endpoint);
         if again && self.dispatch.open_at(endpoint) == 0 {
             // Tried again and still dead; all know.
-            self.dispatch.died(now, endpoint, true);
+            self.dispatch.record_death(now, endpoint, true);
             return;
         }
         let announced = domain || self.inventory.announced(endpoint);
-        let marks = self.dispatch.died(now, endpoint, announced);
+        let marks = self.dispatch.record_death(now, endpoint, announced);
         event::ENDPOINT_DIED.emit(format_args!(
             "endpoint={endpoint} announced={announced} suspects={}",
             marks.len()
--- a/coltsfoothall-entry/tests/dispatch.rs
+++ b/coltsfoothall-entry/tests/dispatch.rs
@@ -162,7 +162,7 @@
         let carried = self.random.random_bool(0.1);
         if carried {
             // Carried on here: it has no place of its own.
-            self.dispatch.over(self.now, number);
+            self.dispatch.release(self.now, number);
         }
         let number = Some(number).filter(|_| !carried);
         self.callers.push(Caller {
@@ -234,8 +234,9 @@
             Ended::Unsent,
             Ended::Broke,
         ][self.random.random_range(0..5)];
-        self.dispatch.first(self.now, attempt, Tokens(0));
-        let tried = self.dispatch.ended(self.now, attempt, ended);
+        self.dispatch
+            .record_first_piece(self.now, attempt, Tokens(0));
+        let tried = self.dispatch.record_end(self.now, attempt, ended);
         if let Some(endpoint) = tried {
             let found = [
                 Finding::Alive,
@@ -267,9 +268,9 @@
     }
 
     fn settle(&mut self, endpoint: &coltsfoothall::id::Endpoint, found: Finding) {
-        if self.dispatch.rule(self.now, endpoint, found) {
+        if self.dispatch.record_probe(self.now, endpoint, found) {
             let announced = self.random.random_bool(0.5);
-            self.dispatch.died(self.now, endpoint, announced);
+            self.dispatch.record_death(self.now, endpoint, announced);
         }
     }
 
@@ -286,10 +287,10 @@
             .collect();
         let number = caller.number;
         for attempt in attempts {
-            self.dispatch.ended(self.now, attempt, Ended::Unheard);
+            self.dispatch.record_end(self.now, attempt, Ended::Unheard);
         }
         if let Some(number) = number {
-            self.dispatch.over(self.now, number);
+            self.dispatch.release(self.now, number);
         }
     }
 }
@@ -311,7 +312,7 @@
             world.hear();
         }
         let left = (
-            world.dispatch.held(),
+            world.dispatch.admitted(),
             world.dispatch.waiting(),
             world.dispatch.running(),
         );
@@ -357,19 +358,25 @@
     let (blamed, innocent) = (world.asking("blamed"), world.asking("innocent"));
     assert_eq!(world.chosen(&blamed, 1, &[1, 2]), Some(endpoint(0).id));
     assert_eq!(world.chosen(&innocent, 2, &[1, 2]), Some(endpoint(0).id));
-    world.dispatch.ended(world.now, 1, Ended::Broke);
-    world.dispatch.ended(world.now, 2, Ended::Broke);
+    world.dispatch.record_end(world.now, 1, Ended::Broke);
+    world.dispatch.record_end(world.now, 2, Ended::Broke);
     let dead = Finding::Dead { domain: false };
-    assert!(world.dispatch.rule(world.now, &endpoint(0).id, dead));
-    world.dispatch.died(world.now, &endpoint(0).id, false);
+    assert!(
+        world
+            .dispatch
+            .record_probe(world.now, &endpoint(0).id, dead)
+    );
+    world
+        .dispatch
+        .record_death(world.now, &endpoint(0).id, false);
     world.now = world.now + Duration::from_secs(1);
     assert_eq!(world.chosen(&blamed, 3, &[]), Some(endpoint(2).id), "alone");
-    world.dispatch.ended(world.now, 3, Ended::Broke);
+    world.dispatch.record_end(world.now, 3, Ended::Broke);
     assert_eq!(world.chosen(&innocent, 4, &[]), None, "it is on trial");
     assert!(
         !world
             .dispatch
-            .rule(world.now, &endpoint(2).id, Finding::Alive)
+            .record_probe(world.now, &endpoint(2).id, Finding::Alive)
     );
     assert_eq!(world.chosen(&innocent, 5, &[]), Some(endpoint(2).id));
 }
