--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -232,8 +232,8 @@
             self.release(now, open.number);
         }
         match ended {
-            Ended::Whole | Ended::Refused | Ended::Unheard => {
-                self.detector.ended(now, attempt, ended == Ended::Whole);
+            Ended::Complete | Ended::Refused | Ended::Abandoned => {
+                self.detector.ended(now, attempt, ended == Ended::Complete);
                 None
             }
             Ended::Unsent => {
--- a/coltsfoothall-entry/src/endpoint.rs
+++ b/coltsfoothall-entry/src/endpoint.rs
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
     /// With its whole answer.
-    Whole,
+    Complete,
     /// Its endpoint refused it before it began.
     Refused,
     /// No connection came up.
@@ -76,7 +76,7 @@
     /// Its connection broke, or its answer makes no sense.
     Broke,
     /// Nobody listens any more, or it was aborted.
-    Unheard,
+    Abandoned,
 }
 
 impl Remote {
@@ -118,14 +118,14 @@
         loop {
             while let Some(event) = events.next_event() {
                 if event.data == DONE {
-                    return Ended::Whole;
+                    return Ended::Complete;
                 }
                 let chunk = match http::parse::<Chunk>(event.data.as_bytes()) {
                     Ok(chunk) => chunk,
                     Err(error) => return broke(job, &error.to_string()),
                 };
                 if inputs.send(input(chunk)).await.is_err() {
-                    return Ended::Unheard;
+                    return Ended::Abandoned;
                 }
             }
             if events.overflown() {
@@ -169,8 +169,8 @@
             })
             .await
         {
-            Ok(()) => Ended::Whole,
-            Err(_closed) => Ended::Unheard,
+            Ok(()) => Ended::Complete,
+            Err(_closed) => Ended::Abandoned,
         }
     }
 }
@@ -181,10 +181,10 @@
             let attempt = job.attempt;
             let ended = self.attempt(&job, &inputs).await;
             let input = match ended {
-                Ended::Whole => Input::Ended { attempt },
+                Ended::Complete => Input::Ended { attempt },
                 Ended::Refused => Input::Refused { attempt },
                 Ended::Unsent => Input::Unsent { attempt },
-                Ended::Broke | Ended::Unheard => return ended,
+                Ended::Broke | Ended::Abandoned => return ended,
             };
             // A request that has ended meanwhile needs to hear nothing more.
             let _heard = inputs.send(input).await;
--- a/coltsfoothall-entry/src/relay.rs
+++ b/coltsfoothall-entry/src/relay.rs
@@ -314,11 +314,11 @@
             let address = job.address.clone();
             let engine = matches!(job.intake.work, Work::Completion { .. });
             let ended = tokio::select! {
-                () = stop.cancelled() => Ended::Unheard,
+                () = stop.cancelled() => Ended::Abandoned,
                 ended = node.runner.run(job, pieces) => ended,
             };
             node.control.send(Message::Ended { attempt, ended });
-            if ended == Ended::Unheard && engine {
+            if ended == Ended::Abandoned && engine {
                 node.runner.cancel(address, attempt).await;
             }
         });
@@ -349,7 +349,7 @@
         if !running.started {
             self.node.control.send(Message::Ended {
                 attempt,
-                ended: Ended::Unheard,
+                ended: Ended::Abandoned,
             });
         }
     }
@@ -380,7 +380,7 @@
             if !running.started {
                 self.node.control.send(Message::Ended {
                     attempt: running.attempt,
-                    ended: Ended::Unheard,
+                    ended: Ended::Abandoned,
                 });
             }
         }
--- a/coltsfoothall-entry/tests/dispatch.rs
+++ b/coltsfoothall-entry/tests/dispatch.rs
@@ -228,8 +228,8 @@
         let at = open[self.random.random_range(0..open.len())];
         let attempt = self.callers[at].running.pop().unwrap();
         let ended = [
-            Ended::Whole,
-            Ended::Whole,
+            Ended::Complete,
+            Ended::Complete,
             Ended::Refused,
             Ended::Unsent,
             Ended::Broke,
@@ -247,9 +247,9 @@
             self.settle(&endpoint, found);
         }
         match ended {
-            Ended::Whole => self.over(at),
+            Ended::Complete => self.over(at),
             Ended::Refused | Ended::Unsent => self.pick(at),
-            Ended::Broke | Ended::Unheard => {}
+            Ended::Broke | Ended::Abandoned => {}
         }
     }
 
@@ -287,7 +287,8 @@
             .collect();
         let number = caller.number;
         for attempt in attempts {
-            self.dispatch.record_end(self.now, attempt, Ended::Unheard);
+            self.dispatch
+                .record_end(self.now, attempt, Ended::Abandoned);
         }
         if let Some(number) = number {
             self.dispatch.release(self.now, number);
