--- a/coltsfoothall-entry/src/answer.rs
+++ b/coltsfoothall-entry/src/answer.rs
@@ -1,4 +1,5 @@
-//! Answers as callers read them: streamed parts, whole JSON, or a service's own.
+//! Writes answers for callers: as an event stream, as one JSON document, or as a plain
+//! service gave them.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -26,12 +27,12 @@
 use crate::node::Node;
 use crate::source::Source;
 
-/// How an answer is written, and under which labels it is measured.
+/// The format of an answer, and the labels of its metrics.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct Format {
     name: Name,
     class: Class,
-    /// Known for completions: their model and the tokens of their prompt.
+    /// Model and prompt length; only set for completions.
     prompt: Option<Prompt>,
     stream: bool,
 }
@@ -42,8 +43,8 @@
     tokens: Tokens,
 }
 
-impl Shape {
-    /// A completion's answer.
+impl Format {
+    /// The format of a completion's answer.
     #[must_use]
     pub fn completion(intake: &Intake, stream: bool) -> Self {
         let prompt = match &intake.work {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// A plain service's answer.
+    /// The format of a plain service's answer.
     #[must_use]
     pub fn call(intake: &Intake) -> Self {
         Self {
@@ -80,9 +81,9 @@
         }
     }
 
-    /// The answer of a request that is already known: streamed, if it is a completion.
+    /// The format of the answer to a resumed request. It is streamed if it is a completion.
     #[must_use]
-    pub fn resumed(name: &Name) -> Self {
+    pub fn resume(name: &Name) -> Self {
         Self {
             name: name.clone(),
             class: Class::default(),
@@ -92,29 +93,30 @@
     }
 }
 
-/// Writes an answer from its pieces, measured from now.
+/// Writes an answer from its pieces. Latency is measured from this call.
 ///
 /// # Errors
-/// The request was refused, or ended without a whole answer, before any of it was written.
+/// The request was refused, or it ended incomplete before any part of the answer was
+/// written.
 pub async fn write(
     node: &Arc<Node>,
     source: Source,
-    shape: Shape,
+    format: Format,
 ) -> Result<Response<Body>, Fault> {
-    let labels = node.labels(&shape.name, shape.class);
-    let answer = pieces(node, source, &shape).await;
+    let labels = node.labels(&format.name, format.class);
+    let answer = respond(node, source, &format).await;
     if let Err(fault) = &answer {
         node.count_end(&labels, Some(fault));
     }
     answer
 }
 
-async fn pieces(
+async fn respond(
     node: &Arc<Node>,
     mut source: Source,
-    shape: &Shape,
+    format: &Format,
 ) -> Result<Response<Body>, Fault> {
-    let meter = Meter::new(Arc::clone(node), node.labels(&shape.name, shape.class));
+    let meter = Meter::new(Arc::clone(node), node.labels(&format.name, format.class));
     let first = source.next().await;
     let mut response = match first {
         Piece::Text {
@@ -127,29 +129,29 @@
                 text,
                 finish,
             };
-            if shape.stream {
-                streamed(source, shape, piece, meter)
+            if format.stream {
+                stream_completion(source, format, piece, meter)
             } else {
-                whole(source, shape, piece, meter).await?
+                collect(source, format, piece, meter).await?
             }
         }
         Piece::Answer(answer) => {
-            let answer = settle(&mut source, answer, &shape.name.key).await?;
-            meter.end();
-            plain(*answer)
+            let answer = wait_for_end(&mut source, answer, &format.name.key).await?;
+            meter.record_end();
+            pass_through(*answer)
         }
-        Piece::End { end: End::Done, .. } if shape.prompt.is_some() || shape.stream => {
-            // The caller resumed behind the last piece.
-            streamed_end()
+        Piece::End { end: End::Done, .. } if format.prompt.is_some() || format.stream => {
+            // The caller already has the last piece.
+            end_of_stream()
         }
-        other => return Err(fault(other, &shape.name.key)),
+        other => return Err(fault(other, &format.name.key)),
     };
-    name(&mut response, &shape.name.key);
+    set_request_header(&mut response, &format.name.key);
     Ok(response)
 }
 
-/// Waits for the end behind a plain service's answer: only then is the outcome settled.
-async fn settle(
+/// Waits for the end that follows a plain service's answer. The outcome is only final then.
+async fn wait_for_end(
     source: &mut Source,
     mut answer: Box<Answer>,
     key: &Key,
@@ -157,21 +159,21 @@
     loop {
         match source.next().await {
             Piece::End { end: End::Done, .. } => return Ok(answer),
-            // The owner changed in between, and the new one begins with the answer.
-            Piece::Answer(again) => answer = again,
+            // The owner changed in between, and the new one sends the answer from its beginning.
+            Piece::Answer(repeated) => answer = repeated,
             other => return Err(fault(other, key)),
         }
     }
 }
 
-fn name(response: &mut Response<Body>, key: &Key) {
+fn set_request_header(response: &mut Response<Body>, key: &Key) {
     let value = HeaderValue::from_str(key.as_str()).expect("keys hold only plain characters");
     response
         .headers_mut()
         .insert(HeaderName::from_static(header::REQUEST), value);
 }
 
-fn plain(answer: Answer) -> Response<Body> {
+fn pass_through(answer: Answer) -> Response<Body> {
     let mut response = Response::new(serve::full(answer.body));
     if let Ok(status) = answer.status.try_into() {
         *response.status_mut() = status;
@@ -193,15 +195,15 @@
     finish: Option<Finish>,
 }
 
-/// Gathers a completion and answers it whole.
-async fn whole(
+/// Collects a completion and answers with one JSON document.
+async fn collect(
     mut source: Source,
-    shape: &Shape,
+    format: &Format,
     first: Text,
     mut meter: Meter,
 ) -> Result<Response<Body>, Fault> {
-    let mut all = first;
-    meter.tokens(all.tokens);
+    let mut total = first;
+    meter.record_tokens(total.tokens);
     loop {
         match source.next().await {
             Piece::Text {
@@ -209,37 +211,37 @@
                 text,
                 finish,
             } => {
-                all.text.push_str(&text);
-                all.tokens = tokens;
-                all.finish = finish;
-                meter.tokens(tokens);
+                total.text.push_str(&text);
+                total.tokens = tokens;
+                total.finish = finish;
+                meter.record_tokens(tokens);
             }
             Piece::End { end: End::Done, .. } => break,
-            other => return Err(fault(other, &shape.name.key)),
+            other => return Err(fault(other, &format.name.key)),
         }
     }
-    meter.end();
-    let prompt = shape.prompt.clone().unwrap_or(Prompt {
+    meter.record_end();
+    let prompt = format.prompt.clone().unwrap_or(Prompt {
         model: String::new(),
         tokens: Tokens(0),
     });
     let completion = Completion {
-        id: shape.name.key.clone(),
+        id: format.name.key.clone(),
         model: prompt.model,
         usage: Usage {
             prompt_tokens: prompt.tokens,
-            completion_tokens: Tokens(all.tokens),
+            completion_tokens: Tokens(total.tokens),
         },
         choices: vec![Choice {
             index: 0,
-            text: all.text,
-            finish_reason: all.finish,
+            text: total.text,
+            finish_reason: total.finish,
         }],
     };
     Ok(serve::json(200, &completion))
 }
 
-/// What a stream writes next.
+/// The next event of a stream.
 enum Next {
     Piece(Text),
     Follow,
@@ -253,9 +255,9 @@
     next: Next,
 }
 
-/// Streams a completion part by part.
-fn streamed(source: Source, shape: &Shape, first: Text, meter: Meter) -> Response<Body> {
-    let key = shape.name.key.clone();
+/// Streams a completion as server-sent events.
+fn stream_completion(source: Source, format: &Format, first: Text, meter: Meter) -> Response<Body> {
+    let key = format.name.key.clone();
     let writer = Writer {
         source,
         key,
@@ -263,30 +265,30 @@
         next: Next::Piece(first),
     };
     let frames = stream::unfold(writer, |mut writer| async move {
-        let text = writer.event().await?;
+        let text = writer.next_event().await?;
         let frame = Frame::data(Bytes::from(text));
         Some((Ok::<_, Infallible>(frame), writer))
     });
-    events(StreamBody::new(frames).boxed_unsync())
+    event_stream(StreamBody::new(frames).boxed_unsync())
 }
 
-fn streamed_end() -> Response<Body> {
+fn end_of_stream() -> Response<Body> {
     let done = Event {
         id: None,
         data: DONE.into(),
     };
-    events(serve::full(done.encode()))
+    event_stream(serve::full(done.encode()))
 }
 
-fn events(body: Body) -> Response<Body> {
+fn event_stream(body: Body) -> Response<Body> {
     let mut response = Response::new(body);
-    let kind = HeaderValue::from_static("text/event-stream");
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("text/event-stream");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
 impl Writer {
-    async fn event(&mut self) -> Option<String> {
+    async fn next_event(&mut self) -> Option<String> {
         let piece = match std::mem::replace(&mut self.next, Next::Follow) {
             Next::Piece(text) => text,
             Next::End => return None,
@@ -302,7 +304,7 @@
                 },
                 Piece::End { end: End::Done, .. } => {
                     self.next = Next::End;
-                    self.meter.end();
+                    self.meter.record_end();
                     return Some(
                         Event {
                             id: None,
@@ -314,17 +316,17 @@
                 other => {
                     self.next = Next::End;
                     let fault = fault(other, &self.key);
-                    self.meter.fault(&fault);
-                    return Some(broken(&fault));
+                    self.meter.record_fault(&fault);
+                    return Some(error_event(&fault));
                 }
             },
         };
-        self.meter.tokens(piece.tokens);
-        Some(part(&self.key, piece))
+        self.meter.record_tokens(piece.tokens);
+        Some(part_event(&self.key, piece))
     }
 }
 
-fn part(key: &Key, piece: Text) -> String {
+fn part_event(key: &Key, piece: Text) -> String {
     let choice = Choice {
         index: 0,
         text: piece.text,
@@ -342,8 +344,8 @@
     .encode()
 }
 
-/// The error that ends a stream whose head has been sent already.
-fn broken(fault: &Fault) -> String {
+/// The error event that ends a stream after its response head has been sent.
+fn error_event(fault: &Fault) -> String {
     let body = FaultBody {
         error: fault.clone(),
     };
--- a/coltsfoothall-entry/src/attempt.rs
+++ b/coltsfoothall-entry/src/attempt.rs
@@ -1,5 +1,5 @@
-//! This instance's attempts at endpoints: those under way, and those that broke
-//! and wait for what the trial of their endpoint finds.
+//! The attempts of this instance at endpoints: running ones, and broken ones that wait for
+//! the probe of their endpoint.
 
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -8,22 +8,23 @@
 use coltsfoothall::limit::Number;
 use coltsfoothall::step::Input;
 
-/// An attempt under way.
+/// A running attempt.
 #[derive(Debug)]
-pub struct Open {
-    /// Its number.
+pub struct Running {
+    /// The attempt's number.
     pub attempt: u64,
-    /// Its run, as the router knows it.
+    /// The router's record of the run.
     pub run: Run,
-    /// The place at the gate.
+    /// The admission that the attempt runs under.
     pub number: Number,
-    /// Whether the place at the gate ends with the attempt, not the request.
-    pub own: bool,
-    /// Gets what a later finding says of the attempt.
+    /// Whether the admission is released when the attempt ends rather than when the request
+    /// ends.
+    pub ends_with_attempt: bool,
+    /// Receives the result of a later probe.
     pub reply: UnboundedSender<Input>,
 }
 
-/// An attempt that broke and whose endpoint is on trial.
+/// A broken attempt whose endpoint is being probed.
 #[derive(Debug)]
 struct Broken {
     attempt: u64,
@@ -31,52 +32,59 @@
     reply: UnboundedSender<Input>,
 }
 
-/// All attempts.
+/// The running and the broken attempts.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Sorted by attempt.
-    open: Vec<Open>,
+    /// Sorted by attempt number.
+    running: Vec<Running>,
     broken: Vec<Broken>,
 }
 
 impl Attempts {
-    /// Attempts under way.
+    /// Number of running attempts.
     pub fn count(&self) -> usize {
-        self.open.len()
+        self.running.len()
     }
 
-    /// Attempts under way at an endpoint.
-    pub fn at(&self, endpoint: &id::Endpoint) -> usize {
-        self.endpoints().filter(|at| *at == endpoint).count()
+    /// Number of running attempts at an endpoint.
+    pub fn count_at(&self, endpoint: &id::Endpoint) -> usize {
+        self.endpoints()
+            .filter(|running| *running == endpoint)
+            .count()
     }
 
-    /// Endpoints of the attempts under way.
+    /// Endpoints of the running attempts, one item per attempt.
     pub fn endpoints(&self) -> impl Iterator<Item = &id::Endpoint> {
-        self.open.iter().map(|open| &open.run.endpoint)
+        self.running.iter().map(|running| &running.run.endpoint)
     }
 
-    /// An attempt begins; one that is under way already stays as it is.
-    pub fn begin(&mut self, open: Open) {
-        if let Err(at) = self.find(open.attempt) {
-            self.open.insert(at, open);
+    /// Adds a running attempt. An attempt that is already running is left unchanged.
+    pub fn begin(&mut self, running: Running) {
+        if let Err(index) = self.find(running.attempt) {
+            self.running.insert(index, running);
         }
     }
 
-    /// An attempt under way.
-    pub fn get(&mut self, attempt: u64) -> Option<&mut Open> {
-        let at = self.find(attempt).ok()?;
-        Some(&mut self.open[at])
+    /// A running attempt.
+    pub fn get(&mut self, attempt: u64) -> Option<&mut Running> {
+        let index = self.find(attempt).ok()?;
+        Some(&mut self.running[index])
     }
 
-    /// An attempt is under way no more.
-    pub fn end(&mut self, attempt: u64) -> Option<Open> {
-        let at = self.find(attempt).ok()?;
-        Some(self.open.remove(at))
+    /// Removes a running attempt.
+    pub fn end(&mut self, attempt: u64) -> Option<Running> {
+        let index = self.find(attempt).ok()?;
+        Some(self.running.remove(index))
     }
 
-    /// An attempt broke; `reply` gets what the trial of its endpoint finds.
-    pub fn broke(&mut self, attempt: u64, at: &id::Endpoint, reply: UnboundedSender<Input>) {
-        let endpoint = at.clone();
+    /// Adds a broken attempt. `reply` receives the result of the probe of its endpoint.
+    pub fn add_broken(
+        &mut self,
+        attempt: u64,
+        endpoint: &id::Endpoint,
+        reply: UnboundedSender<Input>,
+    ) {
+        let endpoint = endpoint.clone();
         self.broken.push(Broken {
             attempt,
             endpoint,
@@ -84,24 +92,24 @@
         });
     }
 
-    /// The endpoint of a broken attempt lives; gives who is to be told.
-    pub fn lives(&mut self, attempt: u64) -> Option<UnboundedSender<Input>> {
-        let at = self
+    /// Removes a broken attempt whose endpoint is alive, and returns its reply channel.
+    pub fn remove_broken(&mut self, attempt: u64) -> Option<UnboundedSender<Input>> {
+        let index = self
             .broken
             .iter()
             .position(|broken| broken.attempt == attempt)?;
-        Some(self.broken.swap_remove(at).reply)
+        Some(self.broken.swap_remove(index).reply)
     }
 
-    /// The endpoint of broken attempts is dead; gives how many they were.
-    pub fn dead(&mut self, endpoint: &id::Endpoint) -> usize {
+    /// Removes the broken attempts of a dead endpoint, and returns their number.
+    pub fn remove_broken_at(&mut self, endpoint: &id::Endpoint) -> usize {
         let before = self.broken.len();
         self.broken.retain(|broken| broken.endpoint != *endpoint);
         before - self.broken.len()
     }
 
     fn find(&self, attempt: u64) -> Result<usize, usize> {
-        self.open
-            .binary_search_by_key(&attempt, |open| open.attempt)
+        self.running
+            .binary_search_by_key(&attempt, |running| running.attempt)
     }
 }
--- a/coltsfoothall-entry/src/busy.rs
+++ b/coltsfoothall-entry/src/busy.rs
@@ -1,23 +1,23 @@
-//! How many requests of each service this instance has.
+//! Counts the requests of each service on this instance.
 
 use coltsfoothall::id;
 use coltsfoothall_wire::cloud::Machine;
 
-/// Requests of a service on this instance.
+/// The number of requests of a service on this instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Busy {
     /// The service.
     pub service: id::Service,
-    /// Open at endpoints.
+    /// Requests open at endpoints.
     pub open: u64,
-    /// Waiting for an endpoint.
+    /// Requests that wait for an endpoint.
     pub queued: u64,
 }
 
-/// Counts requests by service; the rows are sorted.
+/// Counts requests by service. The result is sorted by service.
 ///
-/// `open` are the endpoints of open requests, `queued` the services of those
-/// that wait, and `machines` is sorted by name.
+/// `open` yields the endpoint of each open request, `queued` the service of each waiting
+/// one. `machines` must be sorted by name.
 pub(crate) fn count<'a>(
     open: impl Iterator<Item = &'a id::Endpoint>,
     queued: impl Iterator<Item = &'a id::Service>,
@@ -26,8 +26,8 @@
     let mut rows: Vec<Busy> = Vec::new();
     for endpoint in open {
         let name = endpoint.as_str();
-        if let Ok(at) = machines.binary_search_by(|m| m.id.as_str().cmp(name)) {
-            row(&mut rows, &machines[at].service).open += 1;
+        if let Ok(index) = machines.binary_search_by(|m| m.id.as_str().cmp(name)) {
+            row(&mut rows, &machines[index].service).open += 1;
         }
     }
     for service in queued {
@@ -38,17 +38,17 @@
 
 fn row<'a>(rows: &'a mut Vec<Busy>, service: &id::Service) -> &'a mut Busy {
     let found = rows.binary_search_by(|row| row.service.cmp(service));
-    let at = found.unwrap_or_else(|at| {
+    let index = found.unwrap_or_else(|index| {
         let service = service.clone();
         rows.insert(
-            at,
+            index,
             Busy {
                 service,
                 open: 0,
                 queued: 0,
             },
         );
-        at
+        index
     });
-    &mut rows[at]
+    &mut rows[index]
 }
--- a/coltsfoothall-entry/src/claim.rs
+++ b/coltsfoothall-entry/src/claim.rs
@@ -1,85 +1,87 @@
-//! Places at the gate that requests hold, and until when they have to use them.
+//! Admissions that requests hold, and the time by which each has to be used.
 
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::limit::Number;
 
-/// Time in which an admitted request asks for its endpoint. One that does not
-/// was dropped on its way, and its place would be taken for ever.
-const CLAIM: Duration = Duration::from_secs(30);
+/// Time within which an admitted request must ask for an endpoint. A request that doesn't
+/// has been dropped on the way, and its admission would otherwise be held for ever.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A place at the gate.
+/// An admission that a request holds.
 #[derive(Debug)]
-struct Held {
+struct Admission {
     number: Number,
-    /// Until when its request has to ask for an endpoint, if it did not yet.
-    claim: Option<Time>,
+    /// When the admission expires; `None` once its request has asked for an endpoint.
+    expires: Option<Time>,
 }
 
-/// The places that are held.
+/// The admissions that requests hold.
 #[derive(Debug, Default)]
 pub struct Claims {
     /// Sorted by number.
-    held: Vec<Held>,
-    /// Admitted and not yet picked for, or queued; sorted.
+    admissions: Vec<Admission>,
+    /// Admissions that have been granted by the gate, sorted.
     ready: Vec<Number>,
 }
 
 impl Claims {
-    /// A request got a place, which it has to claim.
-    pub fn hold(&mut self, now: Time, number: Number) {
-        if let Err(at) = self.find(number) {
-            self.held.insert(
-                at,
-                Held {
+    /// Adds an admission that its request has to claim within [`CLAIM_TIMEOUT`].
+    pub fn add(&mut self, now: Time, number: Number) {
+        if let Err(index) = self.find(number) {
+            self.admissions.insert(
+                index,
+                Admission {
                     number,
-                    claim: Some(now + CLAIM),
+                    expires: Some(now + CLAIM_TIMEOUT),
                 },
             );
         }
     }
 
-    /// A request's turn has come.
+    /// Marks an admission as granted by the gate.
     pub fn set_ready(&mut self, number: Number) {
-        if let Err(at) = self.ready.binary_search(&number) {
-            self.ready.insert(at, number);
+        if let Err(index) = self.ready.binary_search(&number) {
+            self.ready.insert(index, number);
         }
     }
 
-    /// Whether a request's turn has come.
+    /// Whether the gate has granted the admission.
     pub fn is_ready(&self, number: Number) -> bool {
         self.ready.binary_search(&number).is_ok()
     }
 
-    /// A request asks for its endpoint; false if it has no place any more.
+    /// Marks an admission as used. Returns false if it is no longer held.
     pub fn claim(&mut self, number: Number) -> bool {
         self.find(number)
-            .map(|at| self.held[at].claim = None)
+            .map(|index| self.admissions[index].expires = None)
             .is_ok()
     }
 
-    /// A request is over, or was refused before its turn came.
-    pub fn drop(&mut self, number: Number) {
-        if let Ok(at) = self.ready.binary_search(&number) {
-            self.ready.remove(at);
+    /// Removes an admission, because its request is over or was refused while it waited.
+    pub fn remove(&mut self, number: Number) {
+        if let Ok(index) = self.ready.binary_search(&number) {
+            self.ready.remove(index);
         }
-        if let Ok(at) = self.find(number) {
-            self.held.remove(at);
+        if let Ok(index) = self.find(number) {
+            self.admissions.remove(index);
         }
     }
 
-    /// Places that were not claimed in time.
-    pub fn late(&self, now: Time) -> Vec<Number> {
-        let late = |held: &&Held| held.claim.is_some_and(|claim| claim <= now);
-        self.held
+    /// Admissions that were not claimed in time.
+    pub fn expired(&self, now: Time) -> Vec<Number> {
+        let expired =
+            |admission: &&Admission| admission.expires.is_some_and(|expires| expires <= now);
+        self.admissions
             .iter()
-            .filter(late)
-            .map(|held| held.number)
+            .filter(expired)
+            .map(|admission| admission.number)
             .collect()
     }
 
     fn find(&self, number: Number) -> Result<usize, usize> {
-        self.held.binary_search_by_key(&number, |held| held.number)
+        self.admissions
+            .binary_search_by_key(&number, |admission| admission.number)
     }
 }
--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -1,7 +1,7 @@
-//! The control thread: it alone owns the state that decisions rest on.
+//! The control thread, which alone owns the state that decisions are based on.
 //!
-//! Traffic sends messages and never waits for the thread while it holds
-//! anything; what all of traffic reads is published as a [`View`].
+//! Tasks that serve requests send it messages, and never wait for it while they hold a
+//! lock. What all of them read is published as a [`View`].
 
 use std::sync::Arc;
 use std::thread;
@@ -29,30 +29,31 @@
 use crate::fetch;
 use crate::inventory::Inventory;
 use crate::members::Members;
-use crate::message::{Held, Inbox, Message};
+use crate::message::{Configs, Inbox, Message};
 use crate::node::Node;
 use crate::resend::Resend;
 use crate::round::Round;
 use crate::slots::Slots;
 use crate::view::View;
 
-/// Between two looks at what waits.
+/// Interval at which waiting requests are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Between two looks at members and slots; the lag of this timer tells an own stall.
+/// Interval of the checks of members and slots. The lag of this timer shows that this
+/// process itself stalled.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Looks between two repeats of evidence to a peer.
-const REPEAT: u64 = 25;
-/// Looks between two repeats of notices to some peers.
-const TELL: u64 = 5;
-/// Peers that an instance asks for evidence after its start.
-const ASKED: u32 = 3;
+/// Ticks between two repeats of evidence to a peer.
+const TICKS_PER_EVIDENCE_REPEAT: u64 = 25;
+/// Ticks between two repeats of notices to some peers.
+const TICKS_PER_NOTICE_REPEAT: u64 = 5;
+/// Number of times that an instance asks a peer for all evidence after its start.
+const MAX_EVIDENCE_REQUESTS: u32 = 3;
 
-/// Open requests that make an instance fully loaded.
-const OPEN: usize = 2000;
+/// Number of open requests at which an instance counts as fully loaded.
+const FULL_LOAD_REQUESTS: usize = 2000;
 
-/// The state that decisions rest on.
+/// The state that decisions are based on.
 pub(crate) struct Control {
     pub(crate) node: Arc<Node>,
     pub(crate) views: watch::Sender<Arc<View>>,
@@ -62,14 +63,14 @@
     pub(crate) slots: Slots,
     resend: Resend,
     pub(crate) inventory: Inventory,
-    /// Looks so far; it spaces what is done less often.
-    looks: u64,
-    /// Times that peers were asked for all evidence.
-    asked: u32,
+    /// Number of ticks so far; some work is done only every few ticks.
+    ticks: u64,
+    /// Number of times that a peer was asked for all evidence.
+    evidence_requests: u32,
     pub(crate) leaving: bool,
 }
 
-/// Starts the control thread; it ends when the process does.
+/// Starts the control thread, which runs until the process ends.
 ///
 /// # Errors
 /// The thread cannot be started.
@@ -98,18 +99,18 @@
             slots: Slots::new(Arc::clone(&node)),
             resend: Resend::default(),
             inventory: Inventory::default(),
-            looks: 0,
-            asked: 0,
+            ticks: 0,
+            evidence_requests: 0,
             leaving: false,
             node,
         }
     }
 
     async fn run(mut self, mut inbox: Inbox) {
-        let mut tick = interval(POLL_INTERVAL);
-        let mut look = interval(TICK_INTERVAL);
-        let mut beat = interval(self.node.settings.times.heartbeat.duration());
-        for timer in [&mut tick, &mut look, &mut beat] {
+        let mut poll = interval(POLL_INTERVAL);
+        let mut tick = interval(TICK_INTERVAL);
+        let mut heartbeat = interval(self.node.settings.times.heartbeat.duration());
+        for timer in [&mut poll, &mut tick, &mut heartbeat] {
             timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
         }
         loop {
@@ -118,48 +119,48 @@
                     Some(message) => self.handle(message),
                     None => return,
                 },
-                _at = tick.tick() => self.dispatch.poll(self.node.now()),
-                _at = look.tick() => self.look(),
-                _at = beat.tick() => self.beat(),
+                _at = poll.tick() => self.dispatch.poll(self.node.now()),
+                _at = tick.tick() => self.tick(),
+                _at = heartbeat.tick() => self.send_heartbeats(),
             }
         }
     }
 
-    /// Looks after members and slots.
-    fn look(&mut self) {
+    /// Checks members, slots and endpoints.
+    fn tick(&mut self) {
         let now = self.node.now();
         if self.members.expire(now) {
             self.publish();
         }
-        self.resend.look(&self.node);
-        self.slots.look(now, &self.members, self.leaving);
-        let taken = self.slots.take_back(now);
-        self.node.requests.adopt(&self.node, taken);
+        self.resend.tick(&self.node);
+        self.slots.tick(now, &self.members, self.leaving);
+        let events = self.slots.retract_unconfirmed(now);
+        self.node.requests.apply(&self.node, events);
         self.node.requests.with_ledger(|ledger| ledger.retire(now));
         self.node.requests.flush_all();
-        self.look_at_endpoints(now);
-        self.gauge();
+        self.check_endpoints(now);
+        self.update_gauges();
     }
 
-    fn beat(&mut self) {
+    fn send_heartbeats(&mut self) {
         let load = self.load();
         let revision = self.config.revision();
         self.members
-            .beat(self.leaving, load, revision.0, self.slots.version());
+            .send_heartbeats(self.leaving, load, revision.0, self.slots.version());
         let (rank, count) = self.members.rank();
         self.dispatch.set_rank(rank, count);
         // Weights and ages of members change with each heartbeat.
         self.publish();
     }
 
-    /// How busy this instance is, in per cent of what it can have open.
+    /// The load of this instance, in per cent of [`FULL_LOAD_REQUESTS`].
     fn load(&self) -> u32 {
-        u32::try_from(self.node.requests.count() * 100 / OPEN)
+        u32::try_from(self.node.requests.count() * 100 / FULL_LOAD_REQUESTS)
             .unwrap_or(100)
             .min(100)
     }
 
-    fn gauge(&self) {
+    fn update_gauges(&self) {
         let board = &self.node.board;
         board.members(self.members.count() as u64);
         board.queued(self.dispatch.queued() as u64);
@@ -170,16 +171,16 @@
         );
     }
 
-    /// Takes in what a peer said of itself and others.
-    fn hear(&mut self, heartbeat: Heartbeat) {
+    /// Merges a heartbeat of a peer, and fetches from it what is newer there.
+    fn merge_heartbeat(&mut self, heartbeat: Heartbeat) {
         let now = self.node.now();
         let Some(sender) = heartbeat.digests.first().cloned() else {
             return;
         };
-        if self.members.hear(now, heartbeat) {
+        if self.members.merge_heartbeat(now, heartbeat) {
             self.publish();
         }
-        for instance in self.members.restarted() {
+        for instance in self.members.take_restarted() {
             self.slots.restarted(&instance);
         }
         let source = Source::Peer {
@@ -190,7 +191,7 @@
             fetch::config(Arc::clone(&self.node), sender.instance.clone());
         }
         if sender.slots > self.slots.version() {
-            fetch::table(Arc::clone(&self.node), sender.instance);
+            fetch::slot_table(Arc::clone(&self.node), sender.instance);
         }
     }
 
@@ -200,7 +201,7 @@
             Message::Admit { ticket, reply } => {
                 let admitted = self.dispatch.admit(now, &ticket);
                 if let Err(Ok(number)) = reply.send(admitted) {
-                    // The caller left meanwhile.
+                    // The requester has gone away meanwhile.
                     self.dispatch.release(now, number);
                 }
             }
@@ -219,16 +220,16 @@
                 }
             }
             Message::ProbeEnded(endpoint, found) => self.record_probe(now, &endpoint, found),
-            Message::Evidence { told, reply } => {
-                let answer = self.evidence(&told);
+            Message::Evidence { evidence, reply } => {
+                let answer = self.evidence(&evidence);
                 let _gone = reply.send(answer);
             }
-            Message::Over(number) => self.dispatch.release(now, number),
+            Message::Release(number) => self.dispatch.release(now, number),
             Message::Machines(machines) => self.set_machines(machines),
-            Message::Notice(instance) => self.notice(&instance),
+            Message::Notice(instance) => self.handle_notice(&instance),
             Message::Load(endpoint, report, boot) => {
                 if let Some(boot) = boot {
-                    self.dispatch.detector().saw(&endpoint, boot);
+                    self.dispatch.detector().record_boot(&endpoint, boot);
                 }
                 self.dispatch.report(now, &endpoint, &report);
             }
@@ -236,66 +237,66 @@
                 let _lost = self.dispatch.router().cache_events(&endpoint, &events);
             }
             Message::Catalog(source, catalog) => self.adopt(&source, catalog),
-            Message::Held { base, reply } => {
-                let held = self.config.held().cloned().unwrap_or_default();
+            Message::Configs { base, reply } => {
+                let current = self.config.held().cloned().unwrap_or_default();
                 let base = self.config.at(base).cloned();
-                let _gone = reply.send(Held { held, base });
+                let _gone = reply.send(Configs { current, base });
             }
             Message::Table(table) => self.observe(&table, None),
-            Message::ReadTable => self.slots.read_soon(),
-            Message::Round(round) => self.round(round),
-            Message::Beat { heartbeat, reply } => {
+            Message::ReadTable => self.slots.request_read(),
+            Message::RoundEnded(round) => self.end_round(round),
+            Message::Heartbeat { heartbeat, reply } => {
                 let sender = heartbeat.digests.first().cloned();
-                self.hear(heartbeat);
+                self.merge_heartbeat(heartbeat);
                 let _gone = reply.send(self.members.answer(sender.as_ref()));
             }
-            Message::Heard(heartbeat) => self.hear(heartbeat),
+            Message::HeartbeatAnswer(heartbeat) => self.merge_heartbeat(heartbeat),
             Message::Config(reply) => {
                 let _gone = reply.send(self.own_config());
             }
             Message::Handoff { handoff, reply } => {
-                let taken = self
+                let accepted = self
                     .node
                     .requests
                     .with_ledger(|ledger| ledger.accept(now, handoff));
-                if taken {
-                    self.node.requests.carry_on(&self.node, handoff.slot);
+                if accepted {
+                    self.node.requests.resume_open(&self.node, handoff.slot);
                 }
-                let _gone = reply.send(taken);
+                let _gone = reply.send(accepted);
             }
             Message::CopyLost { slot, at } => self.slots.copy_lost(slot, at),
-            Message::Unreached(peer) => self.members.unreached(&peer),
+            Message::Unreachable(peer) => self.members.log_unreachable(&peer),
             Message::Status(reply) => {
                 let _gone = reply.send(self.status());
             }
             Message::Leave => {
                 self.leaving = true;
                 self.dispatch.leave();
-                self.beat();
+                self.send_heartbeats();
             }
         }
     }
 
-    /// Repeats what peers may have missed, and tries dead endpoints again.
-    fn look_at_endpoints(&mut self, now: Time) {
-        self.looks += 1;
-        for endpoint in self.dispatch.detector().due(now) {
+    /// Repeats what peers may have missed, and probes dead endpoints again.
+    fn check_endpoints(&mut self, now: Time) {
+        self.ticks += 1;
+        for endpoint in self.dispatch.detector().due_probes(now) {
             self.probe_endpoint(endpoint);
         }
-        if self.looks.is_multiple_of(TELL) {
+        if self.ticks.is_multiple_of(TICKS_PER_NOTICE_REPEAT) {
             for instance in self.inventory.recent(now) {
-                self.members.pass_on(instance);
+                self.members.forward_notice(instance);
             }
         }
-        if self.asked < ASKED && self.members.count() > 1 {
-            self.asked += 1;
-            self.members.tell(&[], 1);
+        if self.evidence_requests < MAX_EVIDENCE_REQUESTS && self.members.count() > 1 {
+            self.evidence_requests += 1;
+            self.members.send_evidence(&[], 1);
         }
-        if self.looks.is_multiple_of(REPEAT) {
+        if self.ticks.is_multiple_of(TICKS_PER_EVIDENCE_REPEAT) {
             self.dispatch.detector().expire(now);
-            let newest = self.dispatch.detector().newest(now);
+            let newest = self.dispatch.detector().newest_evidence(now);
             if !newest.is_empty() {
-                self.members.tell(&newest, 1);
+                self.members.send_evidence(&newest, 1);
             }
         }
     }
@@ -331,7 +332,7 @@
             }
             Outcome::Fork { revision } => {
                 self.node
-                    .broken("config_fork", &format_args!("revision {revision}"));
+                    .report_violation("config_fork", &format_args!("revision {revision}"));
             }
             Outcome::Bad(error) => {
                 event::BAD_CATALOG.emit(format_args!("error=\"{error}\""));
@@ -340,31 +341,32 @@
     }
 
     fn set_machines(&mut self, machines: Vec<Machine>) {
-        let gone = self.inventory.set(self.node.now(), machines);
-        self.probe_removed(&gone);
+        let removed = self.inventory.set(self.node.now(), machines);
+        self.probe_removed(&removed);
         self.dispatch.set_endpoints(self.inventory.choices());
         self.members.set_seeds(self.inventory.machines());
         for instance in self.inventory.leaving() {
-            self.leave(&instance);
+            self.drain(&instance);
         }
         self.dispatch.poll(self.node.now());
         self.publish();
     }
 
-    fn notice(&mut self, instance: &id::Instance) {
+    fn handle_notice(&mut self, instance: &id::Instance) {
         if *instance == self.node.settings.instance {
             self.node.stop.cancel();
             return;
         }
-        if self.inventory.note(self.node.now(), instance) {
-            self.members.pass_on(instance);
+        if self.inventory.add_notice(self.node.now(), instance) {
+            self.members.forward_notice(instance);
         }
-        self.leave(instance);
+        self.drain(instance);
         self.publish();
     }
 
-    /// An instance was given notice: no new work, and what runs goes on elsewhere.
-    fn leave(&mut self, instance: &id::Instance) {
+    /// Handles the notice of an instance: it gets no new work, and its requests continue
+    /// elsewhere.
+    fn drain(&mut self, instance: &id::Instance) {
         let Ok(endpoint) = instance.as_str().parse::<id::Endpoint>() else {
             return;
         };
@@ -373,31 +375,33 @@
             endpoint,
             finishes: false,
         };
-        self.node.requests.tell_all(&input);
+        self.node.requests.notify_all(&input);
     }
 
-    /// Takes in a slot table, from the service or from a peer.
+    /// Applies a slot table that was read from the service or received from a peer. `asked` is
+    /// when the service was asked for it.
     fn observe(&mut self, table: &Arc<Table>, asked: Option<Time>) {
         let events = self.slots.observe(self.node.now(), table, asked);
         if let Some(events) = events {
             self.publish();
-            self.node.requests.adopt(&self.node, events);
+            self.node.requests.apply(&self.node, events);
         }
         if asked.is_some() {
-            // What the read confirmed leaves at once, while the read is young.
+            // Changes that the read confirmed can be released now, while the read is recent.
             self.node.requests.flush_all();
         }
     }
 
-    fn round(&mut self, round: Round) {
-        self.slots.ended(self.node.now(), &round);
+    fn end_round(&mut self, round: Round) {
+        self.slots.record_round(self.node.now(), &round);
         if let Some(table) = &round.table {
             self.observe(table, Some(round.asked));
         }
-        // Those named fetch the table. Without that a slot whose owner dies before
-        // the next heartbeat has nobody who knows that it may go on, if the
-        // service fails as well.
-        self.members.beat_to(&round.named, self.slots.version());
+        // The instances that got a slot fetch the table. Without that, if the owner of a slot dies
+        // before the next heartbeat and the service fails as well, no instance would know that it
+        // may take the slot over.
+        self.members
+            .send_heartbeats_to(&round.assigned, self.slots.version());
     }
 
     fn own_config(&self) -> Option<peer::Config> {
--- a/coltsfoothall-entry/src/death.rs
+++ b/coltsfoothall-entry/src/death.rs
@@ -1,12 +1,12 @@
-//! Deaths of endpoints, and the evidence that they are against requests.
+//! Detects dead endpoints, and collects the evidence that their deaths are against
+//! requests.
 //!
-//! An attempt that breaks may mean a cut connection or a dead endpoint. Its
-//! endpoint is put on trial: a connection to it is tried. Refused means dead, as
-//! its host answers and nobody listens. A connection that comes up means alive,
-//! unless another process answers there than the attempt ran in, or all attempts
-//! there broke together, as after a quick restart. No
-//! answer at all decides nothing: this instance may be the one that is cut off.
-//! Until then a request that ran there is started nowhere else.
+//! An attempt that breaks may mean a cut connection or a dead endpoint, so its endpoint is
+//! probed with a new connection. A refused connection means dead, as the host answers and
+//! nobody listens. An accepted connection means alive, unless another process answers there
+//! than the one the attempt ran in, or all attempts there broke together, as after a quick
+//! restart. No answer at all decides nothing, as it may be this instance that is cut off.
+//! Until the probe ends, a request that ran there is not started anywhere else.
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
@@ -21,52 +21,53 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Time in which a connection has to come up or be refused.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Tries of a connection; a dying process may close its listener last.
-const TRIES: u32 = 3;
-/// Between two tries.
-const PAUSE: Duration = Duration::from_millis(40);
-/// Attempts that break together and so show a restart.
-const TOGETHER: usize = 2;
-/// Others of a failure domain that have to be lost with an endpoint before the
-/// domain counts as lost; it keeps a request that runs at several endpoints of
-/// a small domain from passing for a lost domain.
-const DOMAIN: usize = 2;
-/// Most others of a failure domain that are tried; it bounds the connections.
-pub const MATES: usize = 16;
-/// Most evidence in a repeat to a peer; with the time between two it bounds
-/// what evidence costs at rest.
-const REPEAT: usize = 64;
-/// Time after new evidence in which no suspect runs alone: until all instances
-/// have the evidence, the request that is to blame may join it elsewhere.
-const SETTLE: Duration = Duration::from_millis(500);
-/// Between two tries of an endpoint that is dead.
-const AGAIN: Duration = Duration::from_secs(1);
-
-/// What a trial found.
+/// Time within which a connection has to be accepted or refused.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Number of connection attempts in a probe. A dying process may close its listener last.
+const MAX_CONNECTS: u32 = 3;
+/// Delay between two connection attempts.
+const CONNECT_DELAY: Duration = Duration::from_millis(40);
+/// Attempts that have to break together to count as a restart of the endpoint.
+const RESTART_THRESHOLD: usize = 2;
+/// Other instances of a failure domain that have to be lost with an endpoint before the
+/// domain counts as lost. With fewer, a request that runs at several endpoints of a small
+/// domain could pass for a lost domain.
+const DOMAIN_LOSS_THRESHOLD: usize = 2;
+/// Maximum number of other instances of a failure domain that are probed; it bounds the
+/// connections.
+pub const MAX_PEERS_PROBED: usize = 16;
+/// Maximum number of pieces of evidence in a repeat to a peer. Together with the repeat
+/// interval it bounds the traffic of evidence while nothing happens.
+const MAX_REPEATED: usize = 64;
+/// How long after new evidence no suspect request runs isolated. Until all instances have
+/// the evidence, the request that is to blame may run beside it on another instance.
+const SETTLE_DELAY: Duration = Duration::from_millis(500);
+/// Delay between two probes of a dead endpoint.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The result of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Finding {
-    /// It takes connections.
+    /// The endpoint accepts connections.
     Alive,
-    /// It takes connections, and this process answers, not the one that is known.
+    /// The endpoint accepts connections, and this process answers instead of the expected one.
     Restarted(Boot),
-    /// Its host refuses connections.
+    /// The host refuses connections.
     Dead {
-        /// Whether all others of its failure domain refuse them too.
+        /// Whether the other instances of its failure domain are lost too.
         domain: bool,
     },
     /// Nothing answers.
     Silent,
 }
 
-/// An endpoint that may be dead.
+/// An endpoint that is being probed.
 #[derive(Debug)]
 struct Probe {
     endpoint: id::Endpoint,
-    /// Attempts that broke there and wait for the finding.
+    /// Attempts that broke there and wait for the result.
     broken: Vec<u64>,
-    /// The process that the first of them ran in.
+    /// The process that the first of them ran in, if known.
     boot: Option<Boot>,
 }
 
@@ -74,49 +75,49 @@
 #[derive(Debug)]
 struct Dead {
     endpoint: id::Endpoint,
-    /// When it is tried next.
+    /// When it is probed next.
     next: Time,
 }
 
-/// A request that runs.
+/// A running attempt.
 #[derive(Debug)]
 struct Run {
     attempt: u64,
     endpoint: id::Endpoint,
-    print: Print,
-    /// The process of the endpoint as it was known when the attempt began.
+    fingerprint: Print,
+    /// The process of the endpoint, as known when the attempt started.
     boot: Option<Boot>,
 }
 
-/// What follows from a finding.
+/// What follows from the result of a probe.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Conclusion {
-    /// It lives; these attempts broke by themselves.
+    /// The endpoint is alive; these attempts broke for another reason.
     Alive(Vec<u64>),
-    /// It is dead.
+    /// The endpoint is dead.
     Dead,
 }
 
-/// Trials of endpoints, and the docket of requests.
+/// The probes of endpoints, and the evidence against requests.
 #[derive(Debug)]
 pub struct Detector {
-    docket: Docket,
+    suspicions: Docket,
     /// Sorted by endpoint.
     probes: Vec<Probe>,
     /// Sorted by endpoint.
     dead: Vec<Dead>,
     /// Sorted by attempt.
     runs: Vec<Run>,
-    /// The process of each endpoint that tells it; sorted by endpoint.
+    /// The process of each endpoint that reports one; sorted by endpoint.
     boots: Vec<(id::Endpoint, Boot)>,
-    /// When the last evidence has reached all instances.
+    /// When the latest evidence will have reached all instances.
     settled: Time,
 }
 
 impl Default for Detector {
     fn default() -> Self {
         Self {
-            docket: Docket::new(Settings::default()),
+            suspicions: Docket::new(Settings::default()),
             probes: Vec::new(),
             dead: Vec::new(),
             runs: Vec::new(),
@@ -127,29 +128,31 @@
 }
 
 impl Detector {
-    /// How a request may run now.
+    /// Decides how a request may run now.
     #[must_use]
-    pub fn verdict(&self, now: Time, print: Print) -> Verdict {
-        let verdict = self.docket.verdict(now, print);
-        let tried = |run: &Run| run.print.content == print.content && self.is_probed(&run.endpoint);
+    pub fn verdict(&self, now: Time, fingerprint: Print) -> Verdict {
+        let verdict = self.suspicions.verdict(now, fingerprint);
+        let being_probed = |run: &Run| {
+            run.fingerprint.content == fingerprint.content && self.is_probed(&run.endpoint)
+        };
         let early = verdict == Verdict::Alone && now < self.settled;
-        if early || (verdict < Verdict::Later && self.runs.iter().any(tried)) {
+        if early || (verdict < Verdict::Later && self.runs.iter().any(being_probed)) {
             return Verdict::Later;
         }
         verdict
     }
 
-    /// An attempt starts.
-    pub fn started(
+    /// Records the start of an attempt.
+    pub fn record_start(
         &mut self,
         now: Time,
         attempt: u64,
         endpoint: &id::Endpoint,
-        print: Print,
-        alone: bool,
+        fingerprint: Print,
+        isolated: bool,
     ) {
-        self.docket
-            .started(now, attempt, endpoint.clone(), print, alone);
+        self.suspicions
+            .started(now, attempt, endpoint.clone(), fingerprint, isolated);
         if let Err(at) = self.find(attempt) {
             let boot = self.boot(endpoint);
             self.runs.insert(
@@ -157,23 +160,24 @@
                 Run {
                     attempt,
                     endpoint: endpoint.clone(),
-                    print,
+                    fingerprint,
                     boot,
                 },
             );
         }
     }
 
-    /// An attempt ended by itself, `whole` if with its whole answer.
-    pub fn ended(&mut self, now: Time, attempt: u64, whole: bool) {
-        self.docket.ended(now, attempt, whole);
+    /// Records the end of an attempt for another reason than the death of its endpoint.
+    /// `complete` tells whether its answer is complete.
+    pub fn record_end(&mut self, now: Time, attempt: u64, complete: bool) {
+        self.suspicions.ended(now, attempt, complete);
         if let Ok(at) = self.find(attempt) {
             self.runs.remove(at);
         }
     }
 
-    /// Puts an endpoint on trial, for the attempt that broke there if one did.
-    /// True if it was not on trial.
+    /// Starts a probe of an endpoint, for the attempt that broke there if one did. Returns
+    /// false if the endpoint is being probed already.
     pub fn start_probe(&mut self, endpoint: &id::Endpoint, broken: Option<u64>) -> bool {
         match self
             .probes
@@ -184,8 +188,8 @@
                 false
             }
             Err(at) => {
-                let ran = broken.and_then(|attempt| self.find(attempt).ok());
-                let boot = ran.map_or_else(|| self.boot(endpoint), |ran| self.runs[ran].boot);
+                let run = broken.and_then(|attempt| self.find(attempt).ok());
+                let boot = run.map_or_else(|| self.boot(endpoint), |run| self.runs[run].boot);
                 self.probes.insert(
                     at,
                     Probe {
@@ -199,32 +203,33 @@
         }
     }
 
-    /// Takes in what a trial found; `open` attempts still run there.
-    pub fn rule(
+    /// Records the result of a probe. `open` is the number of attempts that still run at the
+    /// endpoint.
+    pub fn record_finding(
         &mut self,
         now: Time,
         endpoint: &id::Endpoint,
         found: Finding,
         open: usize,
     ) -> Conclusion {
-        let place = self
+        let index = self
             .probes
             .binary_search_by(|probe| probe.endpoint.cmp(endpoint));
-        let broken = place
+        let broken = index
             .map(|at| self.probes.remove(at).broken)
             .unwrap_or_default();
-        let together = broken.len() >= TOGETHER && open == 0;
+        let together = broken.len() >= RESTART_THRESHOLD && open == 0;
         match found {
             Finding::Dead { .. } => return Conclusion::Dead,
             Finding::Restarted(boot) => {
-                self.saw(endpoint, boot);
+                self.record_boot(endpoint, boot);
                 return Conclusion::Dead;
             }
             Finding::Alive if together => return Conclusion::Dead,
             Finding::Alive | Finding::Silent => {}
         }
         for attempt in &broken {
-            self.ended(now, *attempt, false);
+            self.record_end(now, *attempt, false);
         }
         if found == Finding::Alive {
             self.revive(endpoint);
@@ -232,15 +237,15 @@
         Conclusion::Alive(broken)
     }
 
-    /// An endpoint tells which process it is.
-    pub fn saw(&mut self, endpoint: &id::Endpoint, boot: Boot) {
+    /// Records the process that an endpoint reports.
+    pub fn record_boot(&mut self, endpoint: &id::Endpoint, boot: Boot) {
         match self.boots.binary_search_by(|(have, _)| have.cmp(endpoint)) {
             Ok(at) => self.boots[at].1 = boot,
             Err(at) => self.boots.insert(at, (endpoint.clone(), boot)),
         }
     }
 
-    /// The process that attempts ran in at an endpoint on trial, if it told.
+    /// The process that the broken attempts at a probed endpoint ran in, if known.
     #[must_use]
     pub fn probed_boot(&self, endpoint: &id::Endpoint) -> Option<Boot> {
         let found = self
@@ -249,8 +254,13 @@
         found.ok().and_then(|at| self.probes[at].boot)
     }
 
-    /// An endpoint is dead. Returns the marks to tell peers of.
-    pub fn died(&mut self, now: Time, endpoint: &id::Endpoint, announced: bool) -> Vec<Mark> {
+    /// Records the death of an endpoint. Returns the marks to report to peers.
+    pub fn record_death(
+        &mut self,
+        now: Time,
+        endpoint: &id::Endpoint,
+        announced: bool,
+    ) -> Vec<Mark> {
         if let Err(at) = self
             .dead
             .binary_search_by(|dead| dead.endpoint.cmp(endpoint))
@@ -259,14 +269,14 @@
                 at,
                 Dead {
                     endpoint: endpoint.clone(),
-                    next: now + AGAIN,
+                    next: now + PROBE_INTERVAL,
                 },
             );
         }
         self.runs.retain(|run| run.endpoint != *endpoint);
-        let marks = self.docket.died(now, endpoint, announced);
+        let marks = self.suspicions.died(now, endpoint, announced);
         if !marks.is_empty() {
-            self.settled = now + SETTLE;
+            self.settled = now + SETTLE_DELAY;
         }
         marks
     }
@@ -284,69 +294,69 @@
         self.dead.iter().map(|dead| &dead.endpoint)
     }
 
-    /// Endpoints on trial, sorted.
+    /// Endpoints that are being probed, sorted.
     pub fn probed(&self) -> impl Iterator<Item = &id::Endpoint> {
         self.probes.iter().map(|probe| &probe.endpoint)
     }
 
-    /// Forgets dead endpoints that are no longer listed.
+    /// Removes dead endpoints that are no longer listed.
     pub fn retain(&mut self, listed: impl Fn(&id::Endpoint) -> bool) {
         self.dead.retain(|dead| listed(&dead.endpoint));
         self.boots.retain(|(endpoint, _)| listed(endpoint));
     }
 
-    /// Dead endpoints that are to be tried again now; they are on trial from here.
-    pub fn due(&mut self, now: Time) -> Vec<id::Endpoint> {
+    /// Starts the probes of dead endpoints that are due, and returns these endpoints.
+    pub fn due_probes(&mut self, now: Time) -> Vec<id::Endpoint> {
         let mut due = Vec::new();
         for dead in self.dead.iter_mut().filter(|dead| dead.next <= now) {
-            dead.next = now + AGAIN;
+            dead.next = now + PROBE_INTERVAL;
             due.push(dead.endpoint.clone());
         }
         due.retain(|endpoint| self.start_probe(endpoint, None));
         due
     }
 
-    /// The evidence against some marks.
+    /// The evidence against the given marks.
     #[must_use]
-    pub fn about(&self, now: Time, marks: &[Mark]) -> Vec<Evidence> {
-        self.docket.about(now, marks)
+    pub fn evidence_about(&self, now: Time, marks: &[Mark]) -> Vec<Evidence> {
+        self.suspicions.about(now, marks)
     }
 
     /// All evidence, for an instance that has none.
     #[must_use]
     pub fn evidence(&self, now: Time) -> Vec<Evidence> {
-        self.docket.evidence(now)
+        self.suspicions.evidence(now)
     }
 
-    /// The newest evidence, to be repeated to a peer in case it missed some.
+    /// The newest evidence, to be repeated to a peer that may have missed some.
     #[must_use]
-    pub fn newest(&self, now: Time) -> Vec<Evidence> {
-        let mut evidence = self.docket.evidence(now);
-        evidence.sort_by_key(|told| told.deaths.iter().map(|death| death.age.0).min());
-        evidence.truncate(REPEAT);
+    pub fn newest_evidence(&self, now: Time) -> Vec<Evidence> {
+        let mut evidence = self.suspicions.evidence(now);
+        evidence.sort_by_key(|evidence| evidence.deaths.iter().map(|death| death.age.0).min());
+        evidence.truncate(MAX_REPEATED);
         evidence
     }
 
-    /// Takes in what a peer told. Returns what was new, to be told on.
-    pub fn merge(&mut self, now: Time, told: &[Evidence]) -> Vec<Evidence> {
-        let marks: Vec<Mark> = told.iter().map(|told| told.mark).collect();
-        let before = self.docket.about(now, &marks);
-        self.docket.merge(now, told);
-        let after = self.docket.about(now, &marks);
-        let new = |after: &Evidence| !before.iter().any(|before| same(before, after));
-        let news: Vec<Evidence> = after.into_iter().filter(new).collect();
-        if !news.is_empty() {
-            self.settled = now + SETTLE;
+    /// Merges the evidence reported by a peer. Returns what was new, to be forwarded.
+    pub fn merge(&mut self, now: Time, reported: &[Evidence]) -> Vec<Evidence> {
+        let marks: Vec<Mark> = reported.iter().map(|evidence| evidence.mark).collect();
+        let before = self.suspicions.about(now, &marks);
+        self.suspicions.merge(now, reported);
+        let after = self.suspicions.about(now, &marks);
+        let is_new = |after: &Evidence| !before.iter().any(|before| same_deaths(before, after));
+        let added: Vec<Evidence> = after.into_iter().filter(is_new).collect();
+        if !added.is_empty() {
+            self.settled = now + SETTLE_DELAY;
         }
-        news
+        added
     }
 
-    /// Drops evidence that has expired.
+    /// Removes expired evidence.
     pub fn expire(&mut self, now: Time) {
-        self.docket.expire(now);
+        self.suspicions.expire(now);
     }
 
-    /// Attempts that run or wait for a finding.
+    /// Number of attempts that run or wait for the result of a probe.
     #[must_use]
     pub fn running(&self) -> usize {
         self.runs.len()
@@ -373,9 +383,9 @@
 }
 
 /// Whether two pieces of evidence name the same deaths.
-fn same(one: &Evidence, other: &Evidence) -> bool {
-    let attempts = |told: &Evidence| -> Vec<u64> {
-        let mut attempts: Vec<u64> = told.deaths.iter().map(|death| death.attempt).collect();
+fn same_deaths(one: &Evidence, other: &Evidence) -> bool {
+    let attempts = |evidence: &Evidence| -> Vec<u64> {
+        let mut attempts: Vec<u64> = evidence.deaths.iter().map(|death| death.attempt).collect();
         attempts.sort_unstable();
         attempts
     };
@@ -384,24 +394,24 @@
         && one.cleared.is_some() == other.cleared.is_some()
 }
 
-/// Tries an endpoint, and if it is dead the others of its failure domain. `boot` is the
-/// process that attempts there ran in, if it is known.
+/// Probes an endpoint, and if it is dead also other instances of its failure domain. `boot`
+/// is the process that attempts there ran in, if known.
 pub async fn probe(
     client: &Client,
     address: &str,
     boot: Option<Boot>,
-    mates: &[String],
+    peers: &[String],
 ) -> Finding {
     let mut found = connect(address).await;
-    for _ in 1..TRIES {
+    for _ in 1..MAX_CONNECTS {
         if found != Finding::Alive {
             break;
         }
-        sleep(PAUSE).await;
+        sleep(CONNECT_DELAY).await;
         found = connect(address).await;
     }
     if found == Finding::Alive && boot.is_some() {
-        return match answers(client, address).await {
+        return match answering_process(client, address).await {
             Some(now) if Some(now) != boot => Finding::Restarted(now),
             Some(_) | None => Finding::Alive,
         };
@@ -409,19 +419,25 @@
     if found != (Finding::Dead { domain: false }) {
         return found;
     }
-    let mates = join_all(mates.iter().take(MATES).map(|mate| connect(mate))).await;
-    let lost = mates.iter().filter(|mate| **mate != Finding::Alive).count();
+    let peers = join_all(
+        peers
+            .iter()
+            .take(MAX_PEERS_PROBED)
+            .map(|peer| connect(peer)),
+    )
+    .await;
+    let lost = peers.iter().filter(|peer| **peer != Finding::Alive).count();
     Finding::Dead {
-        domain: lost == mates.len() && lost >= DOMAIN,
+        domain: lost == peers.len() && lost >= DOMAIN_LOSS_THRESHOLD,
     }
 }
 
-/// The process that answers at an address, if it tells.
-async fn answers(client: &Client, address: &str) -> Option<Boot> {
-    for _ in 0..TRIES {
-        // A kept connection may have ended with the process before.
+/// The process that answers at an address, if it reports one.
+async fn answering_process(client: &Client, address: &str) -> Option<Boot> {
+    for _ in 0..MAX_CONNECTS {
+        // A pooled connection may have ended with the previous process.
         if let Ok(load) = client
-            .get::<Load>("boot", address, "/v1/load", CONNECT)
+            .get::<Load>("boot", address, "/v1/load", CONNECT_TIMEOUT)
             .await
         {
             return load.boot;
@@ -434,7 +450,7 @@
     let Ok(address) = address.parse::<SocketAddr>() else {
         return Finding::Silent;
     };
-    match timeout(CONNECT, TcpStream::connect(address)).await {
+    match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(_stream)) => Finding::Alive,
         Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
             Finding::Dead { domain: false }
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Admission and choice of endpoints, on the control thread.
+//! Admission of requests and choice of their endpoints. Runs on the control thread.
 
 use std::time::Duration;
 
@@ -28,19 +28,20 @@
 use crate::isolation;
 pub use crate::pick::{Pick, ticket};
 use crate::queue::{Queue, Waiting};
-use crate::refusal::COME_BACK;
+use crate::refusal::RETRY_AFTER;
 use crate::retries::Retries;
 
-/// Wait before the next choice when no endpoint can be chosen.
-const NONE: Duration = Duration::from_millis(100);
+/// Delay before the next choice when no endpoint can be chosen.
+const NO_ENDPOINT_DELAY: Duration = Duration::from_millis(100);
 
-/// Wait before the next choice while evidence against the request is awaited.
-const LATER: Duration = Duration::from_millis(50);
+/// Delay before the next choice while the request must wait for more evidence or for an
+/// isolated endpoint.
+const EVIDENCE_DELAY: Duration = Duration::from_millis(50);
 
 /// How long an endpoint that broke an attempt is avoided.
-const AVOID: Duration = Duration::from_secs(2);
+const AVOID_PERIOD: Duration = Duration::from_secs(2);
 
-/// Admission and choice of endpoints.
+/// Admits requests and chooses their endpoints.
 #[derive(Debug)]
 pub struct Dispatch {
     router: Router,
@@ -58,7 +59,7 @@
 }
 
 impl Dispatch {
-    /// A dispatch without endpoints, in a failure domain.
+    /// Creates a dispatch without endpoints, for an instance in `domain`.
     #[must_use]
     pub fn new(domain: id::Domain, seed: u64) -> Self {
         let settings = choice::Settings {
@@ -80,42 +81,43 @@
         }
     }
 
-    /// The router, for news of endpoints.
+    /// The router, to update it about endpoints.
     pub fn router(&mut self) -> &mut Router {
         &mut self.router
     }
 
-    /// The judge of endpoints' deaths.
+    /// The detector of dead endpoints.
     pub fn detector(&mut self) -> &mut Detector {
         &mut self.detector
     }
 
-    /// This instance is leaving: from now on no non-idempotent request begins.
+    /// Marks this instance as leaving: from now on no non-idempotent request is started.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Takes the list of endpoints.
+    /// Replaces the list of endpoints.
     pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>) {
-        self.isolation.set(&endpoints);
+        self.isolation.set_endpoints(&endpoints);
         let isolation = &self.isolation;
-        self.detector.retain(|endpoint| isolation.has(endpoint));
+        self.detector
+            .retain(|endpoint| isolation.contains(endpoint));
         self.router.set_endpoints(endpoints);
     }
 
-    /// Sets this instance's place among all entry instances, and their number.
+    /// Sets the rank of this instance among all live entry instances, and their number.
     pub fn set_rank(&mut self, rank: usize, count: usize) {
         self.isolation.set_rank(rank, count);
         self.router
             .set_entries(u32::try_from(count).unwrap_or(u32::MAX));
     }
 
-    /// An endpoint reported its load.
+    /// Records the load that an endpoint reported.
     pub fn report(&mut self, now: Time, endpoint: &id::Endpoint, report: &Report) {
         self.router.report(now, endpoint, report);
-        let all = report.running.saturating_add(report.waiting) as usize;
-        let others = all.saturating_sub(self.open_at(endpoint));
-        self.isolation.note(now, endpoint, others);
+        let total = report.running.saturating_add(report.waiting) as usize;
+        let others = total.saturating_sub(self.open_at(endpoint));
+        self.isolation.set_others(now, endpoint, others);
     }
 
     /// Sets the workspaces.
@@ -123,37 +125,37 @@
         self.gate.set_workspaces(workspaces);
     }
 
-    /// Requests that wait for an endpoint.
+    /// Number of requests that wait at the gate.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.gate.waiting()
     }
 
-    /// Places taken at the gate.
+    /// Number of admitted requests.
     #[must_use]
     pub fn admitted(&self) -> usize {
         self.gate.open()
     }
 
-    /// Attempts under way.
+    /// Number of running attempts.
     #[must_use]
     pub fn running(&self) -> usize {
         self.attempts.count()
     }
 
-    /// Picks that wait.
+    /// Number of waiting picks.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queue.count()
     }
 
-    /// Own attempts at an endpoint.
+    /// Number of this instance's attempts at an endpoint.
     #[must_use]
     pub fn open_at(&self, endpoint: &id::Endpoint) -> usize {
-        self.attempts.at(endpoint)
+        self.attempts.count_at(endpoint)
     }
 
-    /// Requests by service, sorted. `machines` is sorted by name.
+    /// Counts this instance's requests by service, sorted. `machines` must be sorted by name.
     #[must_use]
     pub fn busy(&self, machines: &[Machine]) -> Vec<Busy> {
         busy::count(self.attempts.endpoints(), self.queue.services(), machines)
@@ -162,46 +164,46 @@
     /// Admits a request, lets it wait, or refuses it.
     ///
     /// # Errors
-    /// It is given up on; the refusal says when to come back.
+    /// The request is refused; the refusal says when to retry.
     pub fn admit(&mut self, now: Time, ticket: &Ticket) -> Result<Number, Refusal> {
-        self.update_room(now, &ticket.service);
+        self.update_capacity(now, &ticket.service);
         match self.gate.offer(now, ticket) {
             Decision::Admit(number) => {
                 self.claims.set_ready(number);
-                self.claims.hold(now, number);
+                self.claims.add(now, number);
                 Ok(number)
             }
             Decision::Queue(number) => {
-                self.claims.hold(now, number);
+                self.claims.add(now, number);
                 Ok(number)
             }
             Decision::Refuse(refusal) => Err(refusal),
         }
     }
 
-    /// Chooses an endpoint, at once or when the request's turn comes.
+    /// Chooses an endpoint, at once or when the gate grants the admission.
     pub fn pick(&mut self, now: Time, pick: Pick, reply: UnboundedSender<Input>) {
-        if self.detector.verdict(now, pick.print) == suspicion::Verdict::Poisonous {
-            tell(&reply, Input::Poisoned);
+        if self.detector.verdict(now, pick.fingerprint) == suspicion::Verdict::Poisonous {
+            send(&reply, Input::Poisoned);
             return;
         }
-        // A request that was carried on here has no place at the gate yet, and
-        // one that was given up before it asked has none any more.
-        let had = pick.number.filter(|number| self.claims.claim(*number));
-        let own = had.is_none();
-        let admitted = had.map_or_else(|| self.admit(now, &pick.ticket), Ok);
+        // A request that was taken over has no admission here yet, and one that was given up
+        // before it asked has lost it.
+        let claimed = pick.number.filter(|number| self.claims.claim(*number));
+        let ends_with_attempt = claimed.is_none();
+        let admitted = claimed.map_or_else(|| self.admit(now, &pick.ticket), Ok);
         let number = match admitted {
             Ok(number) => number,
-            Err(refusal) => return tell(&reply, refused(refusal)),
+            Err(refusal) => return send(&reply, given_up(refusal)),
         };
         self.claims.claim(number);
         let waiting = Waiting {
             number,
-            own,
+            ends_with_attempt,
             pick,
             reply,
         };
-        // A second pick of the same request keeps its place.
+        // A second pick of the same request keeps its admission.
         if self.claims.is_ready(number) {
             self.choose(now, waiting);
         } else {
@@ -209,67 +211,69 @@
         }
     }
 
-    /// The first piece of an attempt's answer came.
+    /// Records that the first piece of an attempt's answer arrived.
     pub fn record_first_piece(&mut self, now: Time, attempt: u64, cached: Tokens) {
-        if let Some(open) = self.attempts.get(attempt) {
-            self.router.first(now, &mut open.run, Some(cached));
-            self.gate.read(now, open.number);
+        if let Some(running) = self.attempts.get(attempt) {
+            self.router.first(now, &mut running.run, Some(cached));
+            self.gate.read(now, running.number);
         }
     }
 
-    /// An attempt ended. Returns its endpoint if that is to be tried for it.
+    /// Records the end of an attempt. Returns its endpoint if that has to be probed now.
     pub fn record_end(&mut self, now: Time, attempt: u64, ended: Ended) -> Option<id::Endpoint> {
-        if let Some(waiting) = self.queue.take_attempt(attempt) {
-            if waiting.own {
+        if let Some(waiting) = self.queue.remove_attempt(attempt) {
+            if waiting.ends_with_attempt {
                 self.release(now, waiting.number);
             }
             return None;
         }
-        let open = self.attempts.end(attempt)?;
-        let endpoint = open.run.endpoint.clone();
-        self.router.ended(now, open.run);
-        if open.own {
-            self.release(now, open.number);
+        let running = self.attempts.end(attempt)?;
+        let endpoint = running.run.endpoint.clone();
+        self.router.ended(now, running.run);
+        if running.ends_with_attempt {
+            self.release(now, running.number);
         }
         match ended {
             Ended::Complete | Ended::Refused | Ended::Abandoned => {
-                self.detector.ended(now, attempt, ended == Ended::Complete);
+                self.detector
+                    .record_end(now, attempt, ended == Ended::Complete);
                 None
             }
             Ended::Unsent => {
-                // Nothing of it ran there, so it is no evidence.
-                self.detector.ended(now, attempt, false);
+                // Nothing ran there, so this is no evidence against the request.
+                self.detector.record_end(now, attempt, false);
                 self.start_probe(now, endpoint, None)
             }
             Ended::Broke => {
-                self.attempts.broke(attempt, &endpoint, open.reply);
+                self.attempts.add_broken(attempt, &endpoint, running.reply);
                 self.start_probe(now, endpoint, Some(attempt))
             }
         }
     }
 
-    /// An endpoint may be dead. Returns it if it is to be tried.
+    /// Starts a probe of an endpoint that may be dead. Returns the endpoint unless it is being
+    /// probed already.
     fn start_probe(
         &mut self,
         now: Time,
         endpoint: id::Endpoint,
         broken: Option<u64>,
     ) -> Option<id::Endpoint> {
-        self.router.suspect(&endpoint, now + AVOID);
+        self.router.suspect(&endpoint, now + AVOID_PERIOD);
         self.detector
             .start_probe(&endpoint, broken)
             .then_some(endpoint)
     }
 
-    /// A trial of an endpoint ended; true if it is dead.
+    /// Records the result of a probe. Returns whether the endpoint is dead.
     pub fn record_probe(&mut self, now: Time, endpoint: &id::Endpoint, found: Finding) -> bool {
         let open = self.open_at(endpoint);
-        match self.detector.rule(now, endpoint, found, open) {
+        match self.detector.record_finding(now, endpoint, found, open) {
             Conclusion::Dead => true,
             Conclusion::Alive(broken) => {
                 for attempt in broken {
-                    if let Some(reply) = self.attempts.lives(attempt) {
-                        tell(&reply, Input::Broke { attempt });
+                    if let Some(reply) = self.attempts.remove_broken(attempt) {
+                        send(&reply, Input::Broke { attempt });
                     }
                 }
                 false
@@ -277,54 +281,55 @@
         }
     }
 
-    /// An endpoint died. Returns the marks to tell peers of.
+    /// Records the death of an endpoint. Returns the marks to report to peers.
     pub fn record_death(
         &mut self,
         now: Time,
         endpoint: &id::Endpoint,
         announced: bool,
     ) -> Vec<Mark> {
-        self.router.suspect(endpoint, now + AVOID);
-        let owed = self.attempts.dead(endpoint) + self.open_at(endpoint);
+        self.router.suspect(endpoint, now + AVOID_PERIOD);
+        let lost = self.attempts.remove_broken_at(endpoint) + self.open_at(endpoint);
         if let Some(service) = self.isolation.service(endpoint).cloned() {
-            self.retries.owe(now, &service, owed);
+            self.retries.grant(now, &service, lost);
         }
-        self.detector.died(now, endpoint, announced)
+        self.detector.record_death(now, endpoint, announced)
     }
 
-    /// A request is over; its place at the gate is free.
+    /// Releases the admission of a request that is over.
     pub fn release(&mut self, now: Time, number: Number) {
-        self.claims.drop(number);
+        self.claims.remove(number);
         self.gate.ended(now, number);
         self.poll(now);
     }
 
-    /// Whether a retry may be made.
+    /// Decides whether a retry may be made.
     pub fn retry(&mut self, now: Time, service: &id::Service, attempts: u32) -> Verdict {
-        self.retries.ask(now, service, attempts, &mut self.random)
+        self.retries
+            .request(now, service, attempts, &mut self.random)
     }
 
-    /// Lets waiting requests go on, or gives them up.
+    /// Starts waiting requests that the gate now grants, and refuses those that it gives up.
     pub fn poll(&mut self, now: Time) {
         for service in self.retries.services() {
-            self.update_room(now, &service);
+            self.update_capacity(now, &service);
         }
-        for number in self.claims.late(now) {
-            self.claims.drop(number);
+        for number in self.claims.expired(now) {
+            self.claims.remove(number);
             self.gate.ended(now, number);
         }
         for outcome in self.gate.poll(now) {
             match outcome {
                 Outcome::Ready(number) => {
                     self.claims.set_ready(number);
-                    if let Some(waiting) = self.queue.take(number) {
+                    if let Some(waiting) = self.queue.remove(number) {
                         self.choose(now, waiting);
                     }
                 }
                 Outcome::Refused(number, refusal) => {
-                    self.claims.drop(number);
-                    if let Some(waiting) = self.queue.take(number) {
-                        tell(&waiting.reply, refused(refusal));
+                    self.claims.remove(number);
+                    if let Some(waiting) = self.queue.remove(number) {
+                        send(&waiting.reply, given_up(refusal));
                     }
                 }
             }
@@ -332,31 +337,42 @@
     }
 
     fn choose(&mut self, now: Time, waiting: Waiting) {
-        // Its slot could not be handed over while it runs, and it would be cut off
-        // with an unknown outcome. The desk refuses only what comes after the stop began;
-        // this was taken in before and waited at the gate.
+        // Its slot could not be handed over while it runs, and it would be cut off with an unknown
+        // outcome. New requests are refused from the start of a stop; this one was accepted
+        // earlier and waited at the gate.
         if self.leaving && !waiting.pick.idempotent {
-            return self.stop(now, &waiting, not_safe());
+            return self.reject(now, &waiting, not_safe());
         }
-        let alone = match self.detector.verdict(now, waiting.pick.print) {
-            suspicion::Verdict::Poisonous => return self.stop(now, &waiting, Input::Poisoned),
-            suspicion::Verdict::Later => return self.stop(now, &waiting, no_pick(LATER)),
+        let isolated = match self.detector.verdict(now, waiting.pick.fingerprint) {
+            suspicion::Verdict::Poisonous => return self.reject(now, &waiting, Input::Poisoned),
+            suspicion::Verdict::Later => {
+                return self.reject(now, &waiting, no_pick(EVIDENCE_DELAY));
+            }
             suspicion::Verdict::Alone => true,
             suspicion::Verdict::Free => false,
         };
-        let exclude = self.unfit(now, &waiting.pick, alone);
-        let ask = waiting.pick.ask(&self.domain, &exclude, alone);
-        let Some(chosen) = self.router.choose(now, &ask) else {
-            let wait = if alone { LATER } else { NONE };
-            return self.stop(now, &waiting, no_pick(wait));
+        let exclude = self.excluded(now, &waiting.pick, isolated);
+        let query = waiting.pick.query(&self.domain, &exclude, isolated);
+        let Some(chosen) = self.router.choose(now, &query) else {
+            let wait = if isolated {
+                EVIDENCE_DELAY
+            } else {
+                NO_ENDPOINT_DELAY
+            };
+            return self.reject(now, &waiting, no_pick(wait));
         };
-        let run = self.router.began(now, &chosen.endpoint, &ask);
+        let run = self.router.began(now, &chosen.endpoint, &query);
         let (attempt, reply) = (waiting.pick.attempt, waiting.reply.clone());
-        self.detector
-            .started(now, attempt, &chosen.endpoint, waiting.pick.print, alone);
-        self.retries.sent(now, &waiting.pick.ticket.service);
-        self.attempts.begin(waiting.open(run));
-        tell(
+        self.detector.record_start(
+            now,
+            attempt,
+            &chosen.endpoint,
+            waiting.pick.fingerprint,
+            isolated,
+        );
+        self.retries.record_sent(now, &waiting.pick.ticket.service);
+        self.attempts.begin(waiting.start(run));
+        send(
             &reply,
             Input::Picked {
                 endpoint: chosen.endpoint,
@@ -365,34 +381,35 @@
         );
     }
 
-    /// Tells a request why it gets no endpoint now, and gives its own place back.
-    fn stop(&mut self, now: Time, waiting: &Waiting, input: Input) {
-        tell(&waiting.reply, input);
-        if waiting.own {
+    /// Tells a request why it gets no endpoint now, and releases an admission that ends with
+    /// its attempt.
+    fn reject(&mut self, now: Time, waiting: &Waiting, input: Input) {
+        send(&waiting.reply, input);
+        if waiting.ends_with_attempt {
             self.release(now, waiting.number);
         }
     }
 
-    /// Endpoints that a request is not to run at.
-    fn unfit(&mut self, now: Time, pick: &Pick, alone: bool) -> Vec<id::Endpoint> {
-        let mut unfit = pick.exclude.clone();
-        unfit.extend(self.detector.dead().cloned());
-        if alone {
-            // If one of them is dead already, that would count against this request.
-            unfit.extend(self.detector.probed().cloned());
-            let at = |endpoint: &id::Endpoint| self.attempts.at(endpoint);
+    /// Endpoints that a request must not run at.
+    fn excluded(&mut self, now: Time, pick: &Pick, isolated: bool) -> Vec<id::Endpoint> {
+        let mut excluded = pick.exclude.clone();
+        excluded.extend(self.detector.dead().cloned());
+        if isolated {
+            // If one of them turns out to be dead, its death would count against this request.
+            excluded.extend(self.detector.probed().cloned());
+            let own = |endpoint: &id::Endpoint| self.attempts.count_at(endpoint);
             self.isolation
-                .unfit(now, &pick.ticket.service, &at, &mut unfit);
+                .exclude_unfit(now, &pick.ticket.service, &own, &mut excluded);
         } else {
-            unfit.extend(self.isolation.reserved(now).cloned());
+            excluded.extend(self.isolation.reserved(now).cloned());
         }
-        unfit
+        excluded
     }
 
-    fn update_room(&mut self, now: Time, service: &id::Service) {
-        self.retries.note(service);
-        let room = self.router.room(now, service);
-        self.gate.set_room(service, room);
+    fn update_capacity(&mut self, now: Time, service: &id::Service) {
+        self.retries.add_service(service);
+        let capacity = self.router.room(now, service);
+        self.gate.set_room(service, capacity);
     }
 }
 
@@ -403,22 +420,22 @@
     }
 }
 
-/// For a request that may run once and has not begun.
+/// The input for a request that may run only once and has not started.
 fn not_safe() -> Input {
     Input::GivenUp {
         cause: Cause::NotSafe,
-        retry_after: COME_BACK.duration(),
+        retry_after: RETRY_AFTER.duration(),
     }
 }
 
-fn refused(refusal: Refusal) -> Input {
+fn given_up(refusal: Refusal) -> Input {
     Input::GivenUp {
         cause: refusal.cause,
         retry_after: refusal.retry_after,
     }
 }
 
-fn tell(reply: &UnboundedSender<Input>, input: Input) {
-    // The request may have ended meanwhile; its attempt is then given back by it.
+fn send(reply: &UnboundedSender<Input>, input: Input) {
+    // The request may have ended meanwhile; it then ends its attempt itself.
     let _over = reply.send(input);
 }
--- a/coltsfoothall-entry/src/ending.rs
+++ b/coltsfoothall-entry/src/ending.rs
@@ -1,4 +1,4 @@
-//! What callers are told when an answer ends without being whole.
+//! The faults that callers get when an answer ends incomplete.
 
 use coltsfoothall::key::Key;
 use coltsfoothall::record::{Cause, End};
@@ -6,21 +6,21 @@
 use coltsfoothall_wire::fault::{Code, Fault, Outcome};
 use coltsfoothall_wire::peer::Piece;
 
-/// When to come back after a request was given up on.
-const COME_BACK: Millis = Millis(1000);
+/// Retry delay given after a request ended without an answer.
+const RETRY_AFTER: Millis = Millis(1000);
 
-/// The fault that a piece comes to when it stands where none of the answer can follow.
+/// The fault for a piece that stands where no more of the answer can follow.
 pub fn fault(piece: Piece, key: &Key) -> Fault {
     let fault = match piece {
         Piece::Fault(fault) => *fault,
         Piece::End {
             end: End::NotRun(cause),
             retry_after_ms,
-        } => ended(cause, Outcome::NotRun, retry_after_ms),
+        } => incomplete(cause, Outcome::NotRun, retry_after_ms),
         Piece::End {
             end: End::Unknown(cause),
             retry_after_ms,
-        } => ended(cause, Outcome::Unknown, retry_after_ms),
+        } => incomplete(cause, Outcome::Unknown, retry_after_ms),
         Piece::End { end: End::Done, .. }
         | Piece::Text { .. }
         | Piece::Answer(_)
@@ -32,9 +32,9 @@
     }
 }
 
-/// `after` is when the caller may come back, if the gate said so.
-fn ended(cause: Cause, outcome: Outcome, after: Option<Millis>) -> Fault {
-    let (code, message, again) = match cause {
+/// `after` is the retry delay, if the gate gave one.
+fn incomplete(cause: Cause, outcome: Outcome, after: Option<Millis>) -> Fault {
+    let (code, message, retryable) = match cause {
         Cause::Cancelled => (Code::Cancelled, "the request was cancelled", false),
         Cause::Deadline => (Code::Deadline, "the deadline passed", true),
         Cause::NoEndpoint => (
@@ -60,7 +60,7 @@
         ),
         Cause::NotSafe => (Code::NotSafe, "at most once cannot be promised now", true),
     };
-    let retry_after_ms = after.or_else(|| again.then_some(COME_BACK));
+    let retry_after_ms = after.or_else(|| retryable.then_some(RETRY_AFTER));
     Fault {
         outcome,
         retry_after_ms,
--- a/coltsfoothall-entry/src/endpoint.rs
+++ b/coltsfoothall-entry/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Attempts at endpoints: model engines and plain services over HTTP.
+//! Runs attempts at endpoints, which are model engines or plain services, over HTTP.
 
 use std::fmt;
 use std::time::Duration;
@@ -20,67 +20,68 @@
 use coltsfoothall_wire::sse::Decoder;
 use coltsfoothall_wire::{header, http, limit};
 
-use crate::intake::passed_on;
+use crate::intake::forwarded_headers;
 
-/// Wait for an engine to take a cancellation, which is only a courtesy.
-const CANCEL: Duration = Duration::from_millis(500);
+/// Timeout of a cancellation at an engine. A cancellation is best effort.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Place in an engine's queue of those somebody waits for.
-const INTERACTIVE: u8 = 0;
-/// Place in an engine's queue of the others.
-const BATCH: u8 = 1;
+/// Priority at an engine of interactive requests.
+const INTERACTIVE_PRIORITY: u8 = 0;
+/// Priority at an engine of batch requests.
+const BATCH_PRIORITY: u8 = 1;
 
-/// An attempt to make.
+/// An attempt to run.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Its number.
+    /// The attempt's number.
     pub attempt: u64,
-    /// IP number and port of the endpoint.
+    /// IP address and port of the endpoint.
     pub address: String,
     /// The request.
     pub intake: Intake,
-    /// Text that callers may have.
+    /// Text that callers may already have, from which the attempt resumes.
     pub resume: String,
-    /// Tokens in `resume`.
+    /// Number of tokens in `resume`.
     pub offset: u64,
-    /// The slot's epoch, as a fencing number for non-idempotent calls.
+    /// The slot's epoch, as a fencing token for non-idempotent calls.
     pub fence: u64,
 }
 
-/// What runs attempts.
+/// Runs attempts at endpoints.
 pub trait Runner: Send + Sync + fmt::Debug {
-    /// Runs an attempt and reports on it, but for [`Ended::Broke`], which is told
-    /// once it is known whether its endpoint died. Dropping it stops reading.
+    /// Runs an attempt and sends its progress and its end to `inputs`, except for
+    /// [`Ended::Broke`]: that is reported once it is known whether the endpoint died. Dropping
+    /// the future stops reading.
     fn run(&self, job: Job, inputs: Sender<Input>) -> BoxFuture<'_, Ended>;
-    /// Tells an endpoint to stop an attempt.
+    /// Asks an endpoint to stop an attempt.
     fn cancel(&self, address: String, attempt: u64) -> BoxFuture<'_, ()>;
 }
 
-/// Endpoints over HTTP.
+/// Runs attempts over HTTP.
 #[derive(Debug, Clone)]
 pub struct Remote {
     client: Client,
-    /// Longest wait for a sign of life.
+    /// Maximum time without data from the endpoint.
     silence: Duration,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
-    /// With its whole answer.
+    /// With a complete answer.
     Complete,
-    /// Its endpoint refused it before it began.
+    /// The endpoint refused it before it began.
     Refused,
-    /// No connection came up.
+    /// No connection could be opened.
     Unsent,
-    /// Its connection broke, or its answer makes no sense.
+    /// The connection broke, or the answer is invalid.
     Broke,
-    /// Nobody listens any more, or it was aborted.
+    /// It was cancelled, or nobody receives its progress any more.
     Abandoned,
 }
 
 impl Remote {
-    /// Endpoints that may be silent for at most `silence`.
+    /// Creates a runner. An endpoint may send nothing for at most `silence`.
     #[must_use]
     pub fn new(client: Client, silence: Duration) -> Self {
         Self { client, silence }
@@ -101,7 +102,7 @@
         };
         match self.client.send("attempt", request, self.silence).await {
             Err(Error::Connect(..)) => Ended::Unsent,
-            Err(sent) => broke(job, &sent.to_string()),
+            Err(error) => log_broke(job, &error.to_string()),
             Ok(answer) => match &job.intake.work {
                 Work::Completion { .. } => self.stream(job, answer, inputs).await,
                 Work::Call { .. } => self.answer(job, answer, inputs).await,
@@ -122,14 +123,14 @@
                 }
                 let chunk = match http::parse::<Chunk>(event.data.as_bytes()) {
                     Ok(chunk) => chunk,
-                    Err(error) => return broke(job, &error.to_string()),
+                    Err(error) => return log_broke(job, &error.to_string()),
                 };
                 if inputs.send(input(chunk)).await.is_err() {
                     return Ended::Abandoned;
                 }
             }
             if events.overflown() {
-                return broke(job, "an event is too long");
+                return log_broke(job, "an event exceeds the size limit");
             }
             match timeout(self.silence, body.frame()).await {
                 Ok(Some(Ok(frame))) => {
@@ -137,25 +138,25 @@
                         events.push(bytes);
                     }
                 }
-                Ok(None) => return broke(job, "the stream ended without its end marker"),
-                Ok(Some(Err(error))) => return broke(job, &error.to_string()),
-                Err(_elapsed) => return broke(job, "no sign of life"),
+                Ok(None) => return log_broke(job, "the stream ended without its end marker"),
+                Ok(Some(Err(error))) => return log_broke(job, &error.to_string()),
+                Err(_elapsed) => return log_broke(job, "no data within the time limit"),
             }
         }
     }
 
     async fn answer(&self, job: &Job, answer: Response<Incoming>, inputs: &Sender<Input>) -> Ended {
-        if declined(&answer) {
+        if not_started(&answer) {
             return Ended::Refused;
         }
-        let echo = echo(&answer).unwrap_or(job.attempt);
+        let named = attempt_number(&answer).unwrap_or(job.attempt);
         let status = answer.status().as_u16();
-        let headers = passed_on(answer.headers());
+        let headers = forwarded_headers(answer.headers());
         let body = http::read(answer.into_body(), limit::ANSWER);
         let body = match timeout(self.silence, body).await {
             Ok(Ok(body)) => body,
-            Ok(Err(error)) => return broke(job, &error.to_string()),
-            Err(_elapsed) => return broke(job, "no sign of life"),
+            Ok(Err(error)) => return log_broke(job, &error.to_string()),
+            Err(_elapsed) => return log_broke(job, "no data within the time limit"),
         };
         let answer = Box::new(Answer {
             status,
@@ -164,7 +165,7 @@
         });
         match inputs
             .send(Input::Answer {
-                attempt: echo,
+                attempt: named,
                 answer,
             })
             .await
@@ -186,7 +187,7 @@
                 Ended::Unsent => Input::Unsent { attempt },
                 Ended::Broke | Ended::Abandoned => return ended,
             };
-            // A request that has ended meanwhile needs to hear nothing more.
+            // A request that has ended meanwhile needs no input.
             let _heard = inputs.send(input).await;
             ended
         })
@@ -201,9 +202,9 @@
                 &address,
                 &path,
                 Bytes::new(),
-                CANCEL,
+                CANCEL_TIMEOUT,
             );
-            // The attempt's answer is dropped whether or not the engine hears this.
+            // The attempt's answer is discarded whether or not the engine receives this.
             let _courtesy = call.await;
         })
     }
@@ -242,8 +243,8 @@
         offset: job.offset,
         max_tokens: *max_tokens,
         priority: match job.intake.class {
-            Class::Interactive => INTERACTIVE,
-            Class::Batch => BATCH,
+            Class::Interactive => INTERACTIVE_PRIORITY,
+            Class::Batch => BATCH_PRIORITY,
         },
     };
     let request = Request::builder()
@@ -272,14 +273,14 @@
     request.body(Full::new(body)).ok()
 }
 
-/// Whether an endpoint says that it began nothing.
-fn declined<B>(answer: &Response<B>) -> bool {
-    let said = answer.headers().get(header::STARTED);
-    answer.status().as_u16() == 503 && said.is_some_and(|value| value == "false")
+/// Whether an endpoint reports that it began nothing.
+fn not_started<B>(answer: &Response<B>) -> bool {
+    let started = answer.headers().get(header::STARTED);
+    answer.status().as_u16() == 503 && started.is_some_and(|value| value == "false")
 }
 
-/// The number of the attempt that the answer names, if it names one.
-fn echo<B>(answer: &Response<B>) -> Option<u64> {
+/// The attempt number that the answer names, if it names one.
+fn attempt_number<B>(answer: &Response<B>) -> Option<u64> {
     answer
         .headers()
         .get(header::ATTEMPT)?
@@ -293,16 +294,16 @@
     let status = answer.status();
     match http::read_json::<Refusal, _>(answer.into_body(), limit::EVENT).await {
         Ok(Refusal { started: false, .. }) => Ended::Refused,
-        Ok(refusal) => broke(
+        Ok(refusal) => log_broke(
             job,
-            &format!("{status} after it began: {}", refusal.message),
+            &format!("{status} after the attempt began: {}", refusal.message),
         ),
-        Err(error) => broke(job, &format!("{status}: {error}")),
+        Err(error) => log_broke(job, &format!("{status}: {error}")),
     }
 }
 
-/// An attempt broke for this reason.
-fn broke(job: &Job, reason: &str) -> Ended {
+/// Logs why an attempt broke.
+fn log_broke(job: &Job, reason: &str) -> Ended {
     event::BROKE_OFF.emit(format_args!(
         "request={} attempt={} address={} reason={reason:?}",
         job.intake.name.key, job.attempt, job.address
--- a/coltsfoothall-entry/src/feed.rs
+++ b/coltsfoothall-entry/src/feed.rs
@@ -1,4 +1,4 @@
-//! An answer as far as callers may see it, and those who follow it.
+//! The part of an answer that has been released to callers, and its followers.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,9 +11,9 @@
 use coltsfoothall::size::Millis;
 use coltsfoothall_wire::peer::Piece;
 
-/// How a feed ended.
+/// How a feed was closed.
 #[derive(Debug, Clone, Copy)]
-enum Close {
+enum Closed {
     End {
         end: End,
         retry_after_ms: Option<Millis>,
@@ -27,9 +27,9 @@
     marks: Vec<Mark>,
     finish: Option<Finish>,
     answer: Option<Box<Answer>>,
-    close: Option<Close>,
-    /// When the last follower left, or the feed began.
-    left: Instant,
+    closed: Option<Closed>,
+    /// When the last follower left, or when the feed was created.
+    last_followed: Instant,
 }
 
 impl Default for State {
@@ -39,13 +39,13 @@
             marks: Vec::new(),
             finish: None,
             answer: None,
-            close: None,
-            left: Instant::now(),
+            closed: None,
+            last_followed: Instant::now(),
         }
     }
 }
 
-/// What callers may see of one answer.
+/// The released part of one answer.
 #[derive(Debug)]
 pub struct Feed {
     state: Mutex<State>,
@@ -64,38 +64,40 @@
 }
 
 impl Feed {
-    /// The feed of a record that has ended.
+    /// Creates the feed of a record that has ended.
     #[must_use]
     pub fn ended(record: &Record, end: End) -> Arc<Self> {
         let feed = Self::default();
-        feed.end(record, end, None);
+        feed.close(record, end, None);
         Arc::new(feed)
     }
 
-    /// Shows a record's answer up to `tokens` tokens.
-    pub fn show(&self, record: &Record, tokens: u64) {
+    /// Releases a record's answer up to `tokens` tokens.
+    pub fn release(&self, record: &Record, tokens: u64) {
         let mut state = self.state();
-        let have = state.marks.len();
+        let released = state.marks.len();
         let until = record.marks.partition_point(|mark| mark.tokens <= tokens);
-        if until > have {
+        if until > released {
             let from = state.text.len();
             let end = record.marks[until - 1].bytes;
             state.text.push_str(&record.text[from..end]);
-            state.marks.extend_from_slice(&record.marks[have..until]);
+            state
+                .marks
+                .extend_from_slice(&record.marks[released..until]);
         }
         drop(state);
         self.changed.send_replace(());
     }
 
-    /// Shows the end of a record, which the backup holds; only the first end counts.
-    pub fn end(&self, record: &Record, end: End, retry_after: Option<Duration>) {
-        self.show(record, record.tokens());
+    /// Releases the end of a record, which its backup holds. Only the first end counts.
+    pub fn close(&self, record: &Record, end: End, retry_after: Option<Duration>) {
+        self.release(record, record.tokens());
         let mut state = self.state();
-        if state.close.is_none() {
+        if state.closed.is_none() {
             state.finish = record.finish;
             state.answer.clone_from(&record.answer);
             let retry_after_ms = retry_after.map(Millis::from);
-            state.close = Some(Close::End {
+            state.closed = Some(Closed::End {
                 end,
                 retry_after_ms,
             });
@@ -104,24 +106,24 @@
         self.changed.send_replace(());
     }
 
-    /// Tells followers that another entry instance owns the request now.
-    pub fn moved(&self) {
-        self.state().close.get_or_insert(Close::Moved);
+    /// Closes the feed, because another entry instance owns the request now.
+    pub fn close_moved(&self) {
+        self.state().closed.get_or_insert(Closed::Moved);
         self.changed.send_replace(());
     }
 
-    /// Whether the feed has ended.
+    /// Whether the feed is closed.
     #[must_use]
-    pub fn closed(&self) -> bool {
-        self.state().close.is_some()
+    pub fn is_closed(&self) -> bool {
+        self.state().closed.is_some()
     }
 
-    /// For how long nobody has followed; none while somebody does.
+    /// How long the feed has had no follower; `None` while it has one.
     #[must_use]
-    pub fn unfollowed(&self) -> Option<Duration> {
+    pub fn unfollowed_for(&self) -> Option<Duration> {
         let state = self.state();
         let followed = self.followers.load(Ordering::Relaxed) > 0;
-        (!followed).then(|| state.left.elapsed())
+        (!followed).then(|| state.last_followed.elapsed())
     }
 
     /// Whether a piece ends at this offset, so that a caller can resume there.
@@ -141,18 +143,18 @@
     }
 }
 
-/// One who follows a feed from an offset.
+/// Reads a feed from an offset on.
 #[derive(Debug)]
 pub struct Follower {
     feed: Arc<Feed>,
     changed: watch::Receiver<()>,
     tokens: u64,
-    answered: bool,
-    finished: bool,
+    answer_sent: bool,
+    finish_sent: bool,
 }
 
 impl Follower {
-    /// Follows a feed after `tokens` tokens.
+    /// Creates a follower that has the first `tokens` tokens already.
     #[must_use]
     pub fn new(feed: Arc<Feed>, tokens: u64) -> Self {
         feed.followers.fetch_add(1, Ordering::Relaxed);
@@ -161,16 +163,16 @@
             feed,
             changed,
             tokens,
-            answered: false,
-            finished: false,
+            answer_sent: false,
+            finish_sent: false,
         }
     }
 
-    /// The next piece, as soon as there is one.
+    /// Waits for the next piece.
     pub async fn next(&mut self) -> Piece {
         loop {
             self.changed.mark_unchanged();
-            if let Some(piece) = self.ready() {
+            if let Some(piece) = self.try_next() {
                 return piece;
             }
             if self.changed.changed().await.is_err() {
@@ -179,38 +181,38 @@
         }
     }
 
-    fn ready(&mut self) -> Option<Piece> {
+    fn try_next(&mut self) -> Option<Piece> {
         let feed = Arc::clone(&self.feed);
         let state = feed.state();
         let seen = state
             .marks
             .partition_point(|mark| mark.tokens <= self.tokens);
-        let news = state.marks.len() > seen;
-        if news || (state.finish.is_some() && !self.finished) {
+        let has_text = state.marks.len() > seen;
+        if has_text || (state.finish.is_some() && !self.finish_sent) {
             let from = seen
                 .checked_sub(1)
                 .map_or(0, |last| state.marks[last].bytes);
             self.tokens = state.marks.last().map_or(self.tokens, |mark| mark.tokens);
-            self.finished = state.finish.is_some();
+            self.finish_sent = state.finish.is_some();
             return Some(Piece::Text {
                 tokens: self.tokens,
                 text: state.text[from..].to_owned(),
                 finish: state.finish,
             });
         }
-        if let (Some(answer), false) = (&state.answer, self.answered) {
-            self.answered = true;
+        if let (Some(answer), false) = (&state.answer, self.answer_sent) {
+            self.answer_sent = true;
             return Some(Piece::Answer(answer.clone()));
         }
-        match state.close {
-            Some(Close::End {
+        match state.closed {
+            Some(Closed::End {
                 end,
                 retry_after_ms,
             }) => Some(Piece::End {
                 end,
                 retry_after_ms,
             }),
-            Some(Close::Moved) => Some(Piece::Moved),
+            Some(Closed::Moved) => Some(Piece::Moved),
             None => None,
         }
     }
@@ -218,7 +220,7 @@
 
 impl Drop for Follower {
     fn drop(&mut self) {
-        self.feed.state().left = Instant::now();
+        self.feed.state().last_followed = Instant::now();
         self.feed.followers.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/coltsfoothall-entry/src/fetch.rs
+++ b/coltsfoothall-entry/src/fetch.rs
@@ -1,4 +1,4 @@
-//! What the control thread fetches from peers that have something newer.
+//! Fetches from peers what they have in a newer version, for the control thread.
 
 use std::sync::Arc;
 
@@ -10,13 +10,13 @@
 use crate::message::Message;
 use crate::node::Node;
 
-/// Fetches a peer's configuration and hands it to the control thread.
+/// Fetches a peer's configuration and sends it to the control thread.
 pub fn config(node: Arc<Node>, from: id::Instance) {
     tokio::spawn(async move {
         let Ok(client) = node.links.client(&from).await else {
             return;
         };
-        if let Ok(Some(config)) = client.config(link::context(link::CALL)).await {
+        if let Ok(Some(config)) = client.config(link::context(link::CALL_TIMEOUT)).await {
             let age = config.age.map(Millis::duration);
             let source = Source::Peer { id: from, age };
             node.control
@@ -25,13 +25,13 @@
     });
 }
 
-/// Fetches a peer's slot table and hands it to the control thread.
-pub fn table(node: Arc<Node>, from: id::Instance) {
+/// Fetches a peer's slot table and sends it to the control thread.
+pub fn slot_table(node: Arc<Node>, from: id::Instance) {
     tokio::spawn(async move {
         let Ok(client) = node.links.client(&from).await else {
             return;
         };
-        if let Ok(table) = client.table(link::context(link::CALL)).await {
+        if let Ok(table) = client.table(link::context(link::CALL_TIMEOUT)).await {
             node.control.send(Message::Table(Arc::new(table)));
         }
     });
--- a/coltsfoothall-entry/src/front.rs
+++ b/coltsfoothall-entry/src/front.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: paths, checks, answers.
+//! The HTTP interface for callers and operators: routing, checks and answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,17 +22,18 @@
 use crate::source::Source;
 use crate::{answer, intake, operator};
 
-/// When to come back to another address while this instance is leaving.
-const ELSEWHERE: Millis = Millis(100);
+/// Retry delay given while this instance is leaving. It is short, as the caller retries at
+/// another address.
+const RETRY_ELSEWHERE_AFTER: Millis = Millis(100);
 
-/// Answers callers and operators.
+/// The HTTP handler for callers and operators.
 #[derive(Debug)]
 pub struct Front {
     node: Arc<Node>,
 }
 
 impl Front {
-    /// The callers' side of an entry instance.
+    /// Creates the handler of an entry instance.
     #[must_use]
     pub fn new(node: Arc<Node>) -> Self {
         Self { node }
@@ -76,7 +77,7 @@
 
 fn addresses(node: &Node) -> Result<Response<Body>, Fault> {
     let view = node.view();
-    let none = || come_back(Code::Unavailable, "no address is known yet");
+    let none = || retry_later(Code::Unavailable, "no address is known yet");
     let addresses = view.addresses.as_ref().ok_or_else(none)?;
     Ok(serve::json(200, addresses))
 }
@@ -99,13 +100,13 @@
     let head = intake::head(&parts.headers, &node.view(), deadline(node))?;
     let fresh = head.key.is_none();
     let key = key(node, head.key.clone())?;
-    let body = read(body).await?;
+    let body = read_body(body).await?;
     let view = node.view();
     let stream = intake::prompt(&body)?.stream;
     let intake = intake::completion(&head, key, &body, &view)?;
-    let model = answer::Shape::completion(&intake, stream);
-    let source = open(node, intake, head.offset, fresh);
-    answer::write(node, source, model).await
+    let format = answer::Format::completion(&intake, stream);
+    let source = source(node, intake, head.offset, fresh);
+    answer::write(node, source, format).await
 }
 
 async fn call(
@@ -118,23 +119,23 @@
     let head = intake::head(&parts.headers, &node.view(), deadline(node))?;
     let fresh = head.key.is_none();
     let key = key(node, head.key.clone())?;
-    let body = read(body).await?;
+    let body = read_body(body).await?;
     let intake = intake::call(&head, key, service, path, parts, body, &node.view())?;
-    let shape = answer::Shape::call(&intake);
-    let source = open(node, intake, 0, fresh);
-    answer::write(node, source, shape).await
+    let format = answer::Format::call(&intake);
+    let source = source(node, intake, 0, fresh);
+    answer::write(node, source, format).await
 }
 
 async fn resume(node: &Arc<Node>, parts: &Parts, key: &str) -> Result<Response<Body>, Fault> {
     let head = intake::head(&parts.headers, &node.view(), deadline(node))?;
     let name = name(head.workspace, key)?;
-    let shape = answer::Shape::resumed(&name);
+    let format = answer::Format::resume(&name);
     let follow = Follow {
         name,
         intake: None,
         offset: head.offset,
     };
-    answer::write(node, Source::new(Arc::clone(node), follow, false), shape).await
+    answer::write(node, Source::new(Arc::clone(node), follow, false), format).await
 }
 
 async fn cancel(node: &Arc<Node>, parts: &Parts, key: &str) -> Result<Response<Body>, Fault> {
@@ -144,7 +145,7 @@
     Ok(serve::empty(204))
 }
 
-fn open(node: &Arc<Node>, intake: Intake, offset: u64, fresh: bool) -> Source {
+fn source(node: &Arc<Node>, intake: Intake, offset: u64, fresh: bool) -> Source {
     let name = intake.name.clone();
     let follow = Follow {
         name,
@@ -161,11 +162,12 @@
     Ok(Name { workspace, key })
 }
 
-/// The caller's key, or one minted here, so that this instance owns the request if it can.
-fn key(node: &Node, brought: Option<Key>) -> Result<Key, Fault> {
-    match brought {
+/// The caller's key, or a new one that, where possible, falls into a slot owned by this
+/// instance.
+fn key(node: &Node, given: Option<Key>) -> Result<Key, Fault> {
+    match given {
         Some(key) => Ok(key),
-        None if node.view().leaving => Err(come_back(
+        None if node.view().leaving => Err(retry_later(
             Code::Unavailable,
             "this entry instance is leaving; use another",
         )),
@@ -173,8 +175,8 @@
     }
 }
 
-async fn read(body: Incoming) -> Result<Bytes, Fault> {
-    // A length that is over the limit is refused before the body is read.
+async fn read_body(body: Incoming) -> Result<Bytes, Fault> {
+    // A declared length over the limit is refused before the body is read.
     if body.size_hint().lower() > limit::REQUEST as u64 {
         return Err(too_large());
     }
@@ -194,9 +196,9 @@
     }
 }
 
-fn come_back(code: Code, message: &str) -> Fault {
+fn retry_later(code: Code, message: &str) -> Fault {
     Fault {
-        retry_after_ms: Some(ELSEWHERE),
+        retry_after_ms: Some(RETRY_ELSEWHERE_AFTER),
         ..Fault::new(code, message)
     }
 }
--- a/coltsfoothall-entry/src/intake.rs
+++ b/coltsfoothall-entry/src/intake.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP requests, checked and made into accepted requests.
+//! Checks callers' HTTP requests and converts them into accepted requests.
 
 use std::str::FromStr;
 
@@ -18,8 +18,9 @@
 
 use crate::view::View;
 
-/// Headers of a plain call that end at this hop or belong to the system.
-const KEPT_BACK: [&str; 11] = [
+/// Headers of a plain call that are not forwarded, as they belong to this hop or to the
+/// system.
+const HOP_HEADERS: [&str; 11] = [
     "authorization",
     "connection",
     "content-length",
@@ -33,26 +34,26 @@
     header::KEY,
 ];
 
-/// When to come back while this instance knows no configuration yet.
-const NOT_READY: Millis = Millis(500);
+/// Retry delay given while this instance has no configuration yet.
+const RETRY_NOT_READY_AFTER: Millis = Millis(500);
 
 /// Prefix of the system's own headers.
-const OWN: &str = "coltsfoothall-";
+const SYSTEM_PREFIX: &str = "coltsfoothall-";
 
-/// What a caller's headers say.
+/// The contents of a caller's headers.
 #[derive(Debug, Clone)]
 pub struct Head {
     /// The caller's workspace.
     pub workspace: id::Workspace,
-    /// The key it brought.
+    /// The key that the caller chose.
     pub key: Option<Key>,
-    /// Whether it marked the request idempotent or not.
+    /// Whether the caller marked the request as idempotent or not.
     pub idempotent: Option<bool>,
-    /// How urgent it is.
+    /// The request's class.
     pub class: Class,
-    /// How long it will wait.
+    /// How long the caller waits for the answer.
     pub deadline: Millis,
-    /// Tokens that it has already.
+    /// Number of tokens that the caller already has.
     pub offset: u64,
 }
 
@@ -81,12 +82,12 @@
 }
 
 fn workspace(headers: &HeaderMap, view: &View) -> Result<id::Workspace, Fault> {
-    // Without a configuration no token is known, so none can be called wrong.
+    // Without a configuration no token is known, so none can be rejected as wrong.
     if view.catalog.revision == Revision::default() {
-        let message = "this entry instance knows no configuration yet; use another";
+        let message = "this entry instance has no configuration yet; use another";
         let fault = Fault::new(Code::Unavailable, message);
         return Err(Fault {
-            retry_after_ms: Some(NOT_READY),
+            retry_after_ms: Some(RETRY_NOT_READY_AFTER),
             ..fault
         });
     }
@@ -139,7 +140,7 @@
         .map_err(|error: T::Err| Fault::field(name, error))
 }
 
-/// A completion as it will be accepted, and whether to stream it.
+/// Converts a completion into an accepted request.
 ///
 /// # Errors
 /// The body cannot be read, or names a model that no service runs.
@@ -170,10 +171,10 @@
     })
 }
 
-/// Reads and checks a completion's body.
+/// Parses and checks a completion's body.
 ///
 /// # Errors
-/// The fault names the field that is wrong.
+/// A field is invalid; the fault names it.
 pub fn prompt(body: &[u8]) -> Result<Prompt, Fault> {
     let prompt: Prompt = http::parse(body).map_err(|error| Fault::field("body", error))?;
     if prompt.prompt.is_empty() {
@@ -186,9 +187,9 @@
     Ok(prompt)
 }
 
-/// A call of a plain service as it will be accepted.
+/// Converts a call of a plain service into an accepted request.
 ///
-/// `path` is what stands behind the service's prefix, with its query.
+/// `path` is what follows the service's prefix, with the query.
 ///
 /// # Errors
 /// There is no such plain service.
@@ -211,10 +212,11 @@
     let Kind::Plain { non_idempotent } = &service.kind else {
         return Err(unknown());
     };
-    let marked = non_idempotent
+    let marked_non_idempotent = non_idempotent
         .iter()
         .any(|prefix| path.starts_with(prefix.as_str()));
-    let idempotent = !marked && head.idempotent.unwrap_or(parts.method.is_idempotent());
+    let idempotent =
+        !marked_non_idempotent && head.idempotent.unwrap_or(parts.method.is_idempotent());
     Ok(Intake {
         name: Name {
             workspace: head.workspace.clone(),
@@ -224,7 +226,7 @@
         work: Work::Call {
             method: parts.method.to_string(),
             path: path.into(),
-            headers: passed_on(&parts.headers),
+            headers: forwarded_headers(&parts.headers),
             body,
         },
         idempotent,
@@ -233,17 +235,20 @@
     })
 }
 
-/// Headers that go on to the other side of this hop.
+/// Headers that are forwarded to the other side of this hop.
 #[must_use]
-pub fn passed_on(headers: &HeaderMap) -> Vec<Header> {
-    let keep = |name: &str| !KEPT_BACK.contains(&name) && !name.starts_with(OWN);
-    let kept = headers.iter().filter(|(name, _)| keep(name.as_str()));
-    let text = kept.filter_map(|(name, value)| {
+pub fn forwarded_headers(headers: &HeaderMap) -> Vec<Header> {
+    let is_forwarded =
+        |name: &str| !HOP_HEADERS.contains(&name) && !name.starts_with(SYSTEM_PREFIX);
+    let forwarded = headers
+        .iter()
+        .filter(|(name, _)| is_forwarded(name.as_str()));
+    let headers = forwarded.filter_map(|(name, value)| {
         let value = value.to_str().ok()?;
         Some(Header {
             name: name.as_str().into(),
             value: value.into(),
         })
     });
-    text.collect()
+    headers.collect()
 }
--- a/coltsfoothall-entry/src/inventory.rs
+++ b/coltsfoothall-entry/src/inventory.rs
@@ -1,5 +1,5 @@
-//! The instances of the platform as the control thread knows them: the list as
-//! it was last read, and the notices that came beside it.
+//! The platform's instances as the control thread knows them: the latest instance list and
+//! the reclaim notices received since.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,40 +11,41 @@
 use coltsfoothall::weight::Risk;
 use coltsfoothall_wire::cloud::{Machine, Phase};
 
-use crate::death::MATES;
+use crate::death::MAX_PEERS_PROBED;
 use crate::members::ENTRY;
 use crate::view::Location;
 
-/// How long notices are repeated to peers.
-const RETELL: Duration = Duration::from_secs(10);
-/// How long a notice is kept for an instance that is not listed; lists lag less.
-const UNLISTED: Duration = Duration::from_secs(120);
+/// How long a notice is repeated to peers.
+const NOTICE_REPEAT_PERIOD: Duration = Duration::from_secs(10);
+/// How long a notice is kept for an instance that is not listed. The instance list lags by
+/// less than this.
+const UNLISTED_NOTICE_RETENTION: Duration = Duration::from_secs(120);
 
-/// An instance that was given notice.
+/// An instance that received a reclaim notice.
 #[derive(Debug)]
-struct Noticed {
+struct Notice {
     instance: id::Instance,
     at: Time,
 }
 
-/// The instances and the notices.
+/// The latest instance list and the reclaim notices.
 #[derive(Debug, Default)]
 pub struct Inventory {
     /// Sorted by name.
     machines: Arc<Vec<Machine>>,
     /// Sorted by name.
-    noticed: Vec<Noticed>,
+    noticed: Vec<Notice>,
 }
 
 impl Inventory {
-    /// Takes a list that was read; gives those that it no longer names.
+    /// Replaces the instance list. Returns the instances that are no longer listed.
     pub fn set(&mut self, now: Time, mut machines: Vec<Machine>) -> Vec<Machine> {
         machines.sort_by(|a, b| a.id.cmp(&b.id));
         let old = std::mem::replace(&mut self.machines, Arc::new(machines));
         let machines = &self.machines;
-        // A notice may come before its instance is listed.
-        self.noticed.retain(|noticed| {
-            now.since(noticed.at) < UNLISTED || listed(machines, &noticed.instance)
+        // A notice may arrive before its instance is listed.
+        self.noticed.retain(|notice| {
+            now.since(notice.at) < UNLISTED_NOTICE_RETENTION || listed(machines, &notice.instance)
         });
         let gone = old.iter().filter(|machine| !listed(machines, &machine.id));
         gone.cloned().collect()
@@ -55,7 +56,7 @@
         &self.machines
     }
 
-    /// The instance that an endpoint is.
+    /// The instance that runs an endpoint.
     pub fn find(&self, endpoint: &id::Endpoint) -> Option<&Machine> {
         let name = endpoint.as_str();
         self.machines
@@ -63,64 +64,68 @@
             .find(|machine| machine.id.as_str() == name)
     }
 
-    /// Instances that are endpoints.
+    /// The instances that run endpoints.
     pub fn endpoints(&self) -> impl Iterator<Item = &Machine> {
         self.machines
             .iter()
             .filter(|machine| machine.service.as_str() != ENTRY)
     }
 
-    /// Endpoints that requests can go to.
+    /// Endpoints that requests can be routed to.
     pub fn choices(&self) -> Vec<choice::Endpoint> {
         self.endpoints().filter_map(choice).collect()
     }
 
-    /// Where endpoints listen, sorted by name.
+    /// The locations of all endpoints, sorted by name.
     pub fn locations(&self, catalog: &Catalog) -> Vec<Location> {
         self.endpoints()
             .filter_map(|machine| location(machine, catalog))
             .collect()
     }
 
-    /// Addresses of the others in a machine's failure domain.
-    pub fn mates(&self, machine: &Machine) -> Vec<String> {
-        let mates = self.machines.iter().filter(|mate| {
-            mate.domain == machine.domain && mate.id != machine.id && mate.phase == Phase::Live
+    /// Addresses of up to [`MAX_PEERS_PROBED`] other live instances in a machine's failure
+    /// domain.
+    pub fn domain_peers(&self, machine: &Machine) -> Vec<String> {
+        let domain_peers = self.machines.iter().filter(|peer| {
+            peer.domain == machine.domain && peer.id != machine.id && peer.phase == Phase::Live
         });
-        mates.map(|mate| mate.address.clone()).take(MATES).collect()
+        domain_peers
+            .map(|peer| peer.address.clone())
+            .take(MAX_PEERS_PROBED)
+            .collect()
     }
 
-    /// Notes a notice; true if it is new.
-    pub fn note(&mut self, now: Time, instance: &id::Instance) -> bool {
+    /// Records a reclaim notice. Returns whether it is new.
+    pub fn add_notice(&mut self, now: Time, instance: &id::Instance) -> bool {
         let Err(index) = self.find_notice(instance) else {
             return false;
         };
-        let noticed = Noticed {
+        let notice = Notice {
             instance: instance.clone(),
             at: now,
         };
-        self.noticed.insert(index, noticed);
+        self.noticed.insert(index, notice);
         true
     }
 
-    /// Instances that were given notice, sorted.
+    /// Instances that received a reclaim notice, sorted.
     pub fn noticed(&self) -> Vec<id::Instance> {
         self.noticed
             .iter()
-            .map(|noticed| noticed.instance.clone())
+            .map(|notice| notice.instance.clone())
             .collect()
     }
 
-    /// Notices that peers are still told of.
+    /// Instances whose notice is still repeated to peers.
     pub fn recent(&self, now: Time) -> impl Iterator<Item = &id::Instance> {
         let recent = self
             .noticed
             .iter()
-            .filter(move |noticed| now.since(noticed.at) < RETELL);
-        recent.map(|noticed| &noticed.instance)
+            .filter(move |notice| now.since(notice.at) < NOTICE_REPEAT_PERIOD);
+        recent.map(|notice| &notice.instance)
     }
 
-    /// Instances that leave, by the list and then by notices.
+    /// Instances that are leaving: first those listed as leaving, then those with a notice.
     pub fn leaving(&self) -> Vec<id::Instance> {
         let leaving = self
             .machines
@@ -131,20 +136,20 @@
         leaving
     }
 
-    /// Whether an endpoint's end was announced.
-    pub fn announced(&self, endpoint: &id::Endpoint) -> bool {
+    /// Whether an endpoint's end was announced, by the list or by a notice.
+    pub fn end_announced(&self, endpoint: &id::Endpoint) -> bool {
         let name = endpoint.as_str();
         let noticed = self
             .noticed
             .iter()
-            .any(|noticed| noticed.instance.as_str() == name);
+            .any(|notice| notice.instance.as_str() == name);
         noticed
             || self
                 .find(endpoint)
                 .is_some_and(|machine| machine.phase == Phase::Leaving)
     }
 
-    /// The state of an instance as operators read it.
+    /// The state of an instance, for the operators' status.
     pub fn state(&self, machine: &Machine) -> &'static str {
         match machine.phase {
             Phase::Starting => "starting",
@@ -156,7 +161,7 @@
 
     fn find_notice(&self, instance: &id::Instance) -> Result<usize, usize> {
         self.noticed
-            .binary_search_by(|noticed| noticed.instance.cmp(instance))
+            .binary_search_by(|notice| notice.instance.cmp(instance))
     }
 }
 
@@ -166,7 +171,7 @@
         .is_ok()
 }
 
-/// An instance as an endpoint that requests can go to.
+/// The routing candidate for an instance, if requests can be routed to it.
 fn choice(machine: &Machine) -> Option<choice::Endpoint> {
     if machine.phase == Phase::Starting || machine.address.is_empty() {
         return None;
--- a/coltsfoothall-entry/src/isolation.rs
+++ b/coltsfoothall-entry/src/isolation.rs
@@ -1,9 +1,10 @@
-//! Endpoints for requests that run alone, because an endpoint died of one of them.
+//! Endpoints for requests that run isolated, because an endpoint died while one of them
+//! ran.
 //!
-//! Each entry instance has its own part of a service's endpoints for this, so
-//! that two instances do not run suspects beside each other. There it takes
-//! those without work of its own or, as far as their reports tell, of others;
-//! if none is free it keeps its own new work away from one.
+//! Each entry instance has its own share of a service's endpoints for this, so that two
+//! instances do not run suspect requests beside each other. Within its share it uses
+//! endpoints without requests of its own or, as far as reports tell, of other instances. If
+//! there is none, it reserves one: it keeps its own new requests away from it.
 
 use std::time::Duration;
 
@@ -11,25 +12,25 @@
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 
-/// How long an endpoint is kept free after the last request that asked for it.
-const KEEP: Duration = Duration::from_secs(1);
-/// How long others' work, as reports tell, keeps an endpoint from being taken;
-/// it keeps a busy fleet from holding a suspect until its deadline.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long an endpoint stays reserved after the last request that asked for it.
+const RESERVE_TTL: Duration = Duration::from_secs(1);
+/// How long reported requests of other instances keep an endpoint from being used. Without
+/// this limit, a suspect request in a busy fleet would wait until its deadline.
+const OTHERS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time after which a request that finds nothing in this instance's part counts anew.
-const FORGET: Duration = Duration::from_secs(10);
+/// Time after which the wait for an endpoint in this instance's share starts anew.
+const STRANDED_TTL: Duration = Duration::from_secs(10);
 
-/// An endpoint.
+/// An endpoint of a service.
 #[derive(Debug, Clone)]
 struct Candidate {
     service: id::Service,
     endpoint: id::Endpoint,
-    /// Others' requests there, as last reported.
+    /// Requests of other instances there, as last reported.
     others: usize,
 }
 
-/// An endpoint that is kept free.
+/// An endpoint that is reserved for isolated requests.
 #[derive(Debug)]
 struct Reserve {
     endpoint: id::Endpoint,
@@ -37,7 +38,7 @@
     until: Time,
 }
 
-/// The endpoints of all services, and this instance's part of them.
+/// The endpoints of all services, and this instance's share of them.
 #[derive(Debug, Default)]
 pub struct Endpoints {
     /// Sorted by service, then endpoint.
@@ -45,29 +46,29 @@
     rank: usize,
     count: usize,
     reserve: Option<Reserve>,
-    /// Since when a request finds nothing in this instance's part.
-    none: Option<Time>,
+    /// Since when this instance's share has had no endpoint for a request.
+    stranded_since: Option<Time>,
 }
 
 impl Endpoints {
-    /// Takes the list of endpoints.
-    pub fn set(&mut self, endpoints: &[Endpoint]) {
+    /// Replaces the list of endpoints.
+    pub fn set_endpoints(&mut self, endpoints: &[Endpoint]) {
         let old = std::mem::take(&mut self.candidates);
         for endpoint in endpoints {
-            let had = old
+            let known = old
                 .iter()
                 .find(|candidate| candidate.endpoint == endpoint.id);
             self.candidates.push(Candidate {
                 service: endpoint.service.clone(),
                 endpoint: endpoint.id.clone(),
-                others: had.map_or(0, |candidate| candidate.others),
+                others: known.map_or(0, |candidate| candidate.others),
             });
         }
         self.candidates
             .sort_by(|a, b| (&a.service, &a.endpoint).cmp(&(&b.service, &b.endpoint)));
     }
 
-    /// Sets this instance's place among all entry instances, and their number.
+    /// Sets the rank of this instance among all live entry instances, and their number.
     pub fn set_rank(&mut self, rank: usize, count: usize) {
         self.rank = rank;
         self.count = count;
@@ -75,7 +76,7 @@
 
     /// Whether an endpoint is listed.
     #[must_use]
-    pub fn has(&self, endpoint: &id::Endpoint) -> bool {
+    pub fn contains(&self, endpoint: &id::Endpoint) -> bool {
         self.service(endpoint).is_some()
     }
 
@@ -89,8 +90,8 @@
         candidate.map(|candidate| &candidate.service)
     }
 
-    /// Others have so many requests at an endpoint.
-    pub fn note(&mut self, _now: Time, endpoint: &id::Endpoint, others: usize) {
+    /// Sets the number of requests that other instances have at an endpoint.
+    pub fn set_others(&mut self, _now: Time, endpoint: &id::Endpoint, others: usize) {
         let candidate = self
             .candidates
             .iter_mut()
@@ -100,82 +101,83 @@
         }
     }
 
-    /// The endpoint that is kept free.
+    /// The reserved endpoint.
     #[must_use]
     pub fn reserved(&self, now: Time) -> Option<&id::Endpoint> {
         let reserve = self.reserve.as_ref().filter(|reserve| now < reserve.until);
         reserve.map(|reserve| &reserve.endpoint)
     }
 
-    /// Adds the endpoints of a service where a request cannot run alone, and
-    /// keeps one free if there is no other; `open` tells own requests.
-    pub fn unfit(
+    /// Adds to `exclude` the endpoints of a service where a request cannot run isolated, and
+    /// reserves one if no endpoint is left. `open` gives the number of this instance's requests
+    /// at an endpoint.
+    pub fn exclude_unfit(
         &mut self,
         now: Time,
         service: &id::Service,
         open: &dyn Fn(&id::Endpoint) -> usize,
         exclude: &mut Vec<id::Endpoint>,
     ) {
-        let kept = self.reserved(now).cloned();
-        let waited = self.reserve.as_ref().filter(|reserve| now < reserve.until);
-        let urgent = waited.filter(|reserve| now.since(reserve.since) >= PATIENCE);
-        let urgent = urgent.map(|reserve| reserve.endpoint.clone());
+        let reserved = self.reserved(now).cloned();
+        let reserve = self.reserve.as_ref().filter(|reserve| now < reserve.until);
+        let overdue = reserve.filter(|reserve| now.since(reserve.since) >= OTHERS_TIMEOUT);
+        let overdue = overdue.map(|reserve| reserve.endpoint.clone());
         let mut spare: Option<(usize, id::Endpoint)> = None;
         let mut free = false;
         let candidates = self
             .candidates
             .iter()
             .filter(|candidate| candidate.service == *service);
-        // Numbered before any is left out, so that instances agree on the parts.
+        // Enumerated before any is excluded, so that all instances agree on the shares.
         let candidates = candidates
             .enumerate()
             .filter(|(_, candidate)| !exclude.contains(&candidate.endpoint));
         let candidates: Vec<(usize, Candidate)> = candidates
-            .map(|(at, candidate)| (at, candidate.clone()))
+            .map(|(index, candidate)| (index, candidate.clone()))
             .collect();
         let (rank, count) = (self.rank, self.count.max(1));
-        let mine = |at: usize| at % count == rank;
-        let none = !candidates.iter().any(|(at, _)| mine(*at)) && self.stranded(now);
-        for (at, candidate) in candidates {
-            let mine = none || mine(at);
+        let in_share = |index: usize| index % count == rank;
+        let any_share = !candidates.iter().any(|(index, _)| in_share(*index)) && self.stranded(now);
+        for (index, candidate) in candidates {
+            let in_share = any_share || in_share(index);
             let own = open(&candidate.endpoint);
-            let empty =
-                own == 0 && (candidate.others == 0 || urgent.as_ref() == Some(&candidate.endpoint));
-            if mine && empty {
+            let empty = own == 0
+                && (candidate.others == 0 || overdue.as_ref() == Some(&candidate.endpoint));
+            if in_share && empty {
                 free = true;
                 continue;
             }
-            // The one that is kept free already comes first.
-            let rank = if kept.as_ref() == Some(&candidate.endpoint) {
+            // The endpoint that is reserved already comes first.
+            let rank = if reserved.as_ref() == Some(&candidate.endpoint) {
                 0
             } else {
                 own + 1
             };
-            if mine && spare.as_ref().is_none_or(|(least, _)| rank < *least) {
+            if in_share && spare.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
                 spare = Some((rank, candidate.endpoint.clone()));
             }
             exclude.push(candidate.endpoint.clone());
         }
         match (free, spare) {
-            (false, Some((_, endpoint))) => self.keep_free(now, endpoint),
+            (false, Some((_, endpoint))) => self.reserve(now, endpoint),
             _ => self.reserve = None,
         }
     }
 
-    /// Whether a request has waited long enough for this instance's part. Until
-    /// then the others' parts may run the request that is to blame.
+    /// Whether a request has waited long enough for an endpoint in this instance's share. Until
+    /// then another instance may run the request that is to blame in its own share.
     fn stranded(&mut self, now: Time) -> bool {
         let since = self
-            .none
-            .filter(|since| now.since(*since) < FORGET)
+            .stranded_since
+            .filter(|since| now.since(*since) < STRANDED_TTL)
             .unwrap_or(now);
-        self.none = Some(since);
-        now.since(since) >= PATIENCE
+        self.stranded_since = Some(since);
+        now.since(since) >= OTHERS_TIMEOUT
     }
 
-    /// Keeps an endpoint free, the same one as before while that lasts.
-    fn keep_free(&mut self, now: Time, endpoint: id::Endpoint) {
-        let until = now + KEEP;
+    /// Reserves an endpoint, or extends the reservation that it has.
+    fn reserve(&mut self, now: Time, endpoint: id::Endpoint) {
+        let until = now + RESERVE_TTL;
         match &mut self.reserve {
             Some(reserve) if now < reserve.until && reserve.endpoint == endpoint => {
                 reserve.until = until;
--- a/coltsfoothall-entry/src/lease.rs
+++ b/coltsfoothall-entry/src/lease.rs
@@ -1,4 +1,4 @@
-//! The lease of a service's steward: taken, renewed and given back at the
+//! The lease of a service's steward, which is acquired, renewed and released at the
 //! key-value service.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,32 +19,32 @@
 use crate::node::Node;
 use crate::store::Error as Call;
 
-/// Between two looks at a lease.
-const TURN: Duration = Duration::from_millis(100);
-/// Version of a key that is absent.
+/// Interval at which the state of a lease is checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Version of an absent key.
 const ABSENT: u64 = 0;
 
-/// What stands in the key that stewards hold.
+/// The value of the key that a steward holds.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
 struct Claim {
-    /// Who holds it.
+    /// The holder.
     instance: id::Instance,
-    /// The lease that it was taken under.
+    /// The lease that the key is attached to.
     lease: u64,
 }
 
 quick_error! {
-    /// A key that cannot be understood.
+    /// An invalid key.
     #[derive(Debug)]
     enum Error {
-        /// Its value is not a claim.
+        /// The value is not a claim.
         Claim(key: String, message: String) {
             display("reading {key}: {message}")
         }
     }
 }
 
-/// Lease and fencing number of one service.
+/// The lease and the fencing token of one service's steward.
 #[derive(Debug)]
 pub struct Lease {
     node: Arc<Node>,
@@ -54,9 +54,9 @@
 }
 
 impl Lease {
-    /// A lease that is not held yet.
+    /// Creates a lease that is not held yet.
     pub fn new(node: Arc<Node>, service: id::Service, fencing: Fencing) -> Self {
-        let steward = Steward::new(node.settings.stewards.times(), fencing);
+        let steward = Steward::new(node.settings.stewards.lease_settings(), fencing);
         let key = format!("steward.{service}");
         Self {
             node,
@@ -70,37 +70,38 @@
         self.steward.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Leave to order now; to be asked for again right before each write.
+    /// The permit to send orders now. It has to be checked again right before each write.
     #[must_use]
     pub fn permit(&self) -> Option<Permit> {
         self.lock().permit(self.node.now())
     }
 
-    /// Whether orders may be sent under this number now.
+    /// Whether orders may be sent under this fencing token now.
     #[must_use]
     pub fn allows(&self, fence: Fence) -> bool {
         self.permit().is_some_and(|permit| permit.fence == fence)
     }
 
-    /// Keeps the lease, as far as this instance is a candidate, until `stop`.
-    pub async fn keep(&self, stop: &CancellationToken) {
-        let mut turn = interval(TURN);
-        turn.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut shown = None;
+    /// Acquires and renews the lease while this instance is a candidate, until `stop` is
+    /// cancelled.
+    pub async fn run(&self, stop: &CancellationToken) {
+        let mut ticks = interval(TICK_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut logged = None;
         loop {
             tokio::select! {
                 () = stop.cancelled() => break,
-                _at = turn.tick() => {}
+                _at = ticks.tick() => {}
             }
             let _nothing = self.handle(Input::Rank(self.rank()));
             self.step(Input::Tick).await;
-            self.show(&mut shown);
+            self.log_change(&mut logged);
         }
         self.step(Input::Stop).await;
-        self.show(&mut shown);
+        self.log_change(&mut logged);
     }
 
-    /// This instance's rank among the live members; none while it leaves.
+    /// This instance's rank among the live members, or `None` while it is leaving.
     fn rank(&self) -> Option<usize> {
         let view = self.node.view();
         if view.leaving {
@@ -118,32 +119,32 @@
 
     fn handle(&self, input: Input) -> Option<Action> {
         let mut steward = self.lock();
-        let sound = steward.broken().is_none();
+        let consistent = steward.broken().is_none();
         let action = steward.handle(self.node.now(), input);
-        if let (true, Some(broken)) = (sound, steward.broken()) {
-            self.node.broken("steward_fence", broken);
+        if let (true, Some(broken)) = (consistent, steward.broken()) {
+            self.node.report_violation("steward_fence", broken);
         }
         action
     }
 
-    /// Takes one input and does all that follows from it.
+    /// Handles one input and carries out all actions that follow from it.
     async fn step(&self, input: Input) {
         let mut next = self.handle(input);
         while let Some(action) = next {
-            next = match self.act(action).await {
+            next = match self.run_action(action).await {
                 Some(input) => self.handle(input),
                 None => None,
             };
         }
     }
 
-    async fn act(&self, action: Action) -> Option<Input> {
+    async fn run_action(&self, action: Action) -> Option<Input> {
         match action {
             Action::Read => Some(self.read().await),
             Action::Acquire => Some(self.acquire().await),
             Action::Renew(lease) => Some(self.renew(lease).await),
             Action::Release(lease) => {
-                // A lease that can't be given back lapses by itself.
+                // A lease that can't be released expires by itself.
                 let _left = self.node.store.revoke(lease).await;
                 None
             }
@@ -174,7 +175,7 @@
         };
         let lease = match store.grant(grant).await {
             Ok(lease) => lease,
-            // A lease whose answer was lost holds no key and lapses.
+            // A lease whose grant was lost holds no key and expires.
             Err(error) => return self.failed("grant", &error),
         };
         let claim = Claim {
@@ -194,7 +195,7 @@
                 ttl: lease.ttl_ms.duration(),
                 asked_at,
             },
-            Err(Call::Conflict(_) | Call::Lapsed) => {
+            Err(Call::Conflict(_) | Call::Expired) => {
                 let _left = store.revoke(lease.id).await;
                 Input::Lost
             }
@@ -209,12 +210,12 @@
         }
     }
 
-    /// Renews the lease; a lost answer is asked for again at once, since a
-    /// renewal that isn't known of doesn't count.
+    /// Renews the lease. A failed renewal is retried at once, since only a confirmed renewal
+    /// counts.
     async fn renew(&self, lease: u64) -> Input {
         match self.renew_once(lease).await {
             Input::StoreDown => self.renew_once(lease).await,
-            settled => settled,
+            input => input,
         }
     }
 
@@ -226,7 +227,7 @@
                 ttl: renewed.ttl_ms.duration(),
                 asked_at,
             },
-            Err(Call::Lapsed) => Input::Lost,
+            Err(Call::Expired) => Input::Lost,
             Err(error) => self.failed("renew", &error),
         }
     }
@@ -239,10 +240,10 @@
         Input::StoreDown
     }
 
-    /// Logs a change of whether this instance orders.
-    fn show(&self, shown: &mut Option<Fence>) {
+    /// Logs when this instance starts or stops sending orders.
+    fn log_change(&self, logged: &mut Option<Fence>) {
         let fence = self.permit().map(|permit| permit.fence);
-        if fence == *shown {
+        if fence == *logged {
             return;
         }
         let service = &self.service;
@@ -252,6 +253,6 @@
             }
             None => event::STEWARD.emit(format_args!("service={service} orders=false")),
         }
-        *shown = fence;
+        *logged = fence;
     }
 }
--- a/coltsfoothall-entry/src/lib.rs
+++ b/coltsfoothall-entry/src/lib.rs
@@ -1,5 +1,5 @@
-//! One entry instance: it takes callers' requests, passes them to endpoints and
-//! brings the answers back.
+//! An entry instance: it accepts callers' requests, forwards them to endpoints and returns
+//! the answers.
 //!
 //! [`run::run`] starts one from its settings:
 //!
--- a/coltsfoothall-entry/src/link.rs
+++ b/coltsfoothall-entry/src/link.rs
@@ -1,8 +1,8 @@
 //! Connections to other entry instances.
 //!
-//! One connection a peer, opened when it is first needed. Changes of records go
-//! out in order, those that have piled up in one call; after a failure the
-//! ledger says what is still to be sent.
+//! There is one connection for each peer, opened when it is first needed. Changes of
+//! records are sent in order, and those that have queued up go out in one call. After a
+//! failure the ledger determines what is still to be sent.
 
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError, Weak};
 use std::time::Duration;
@@ -30,33 +30,33 @@
 use crate::message::Message;
 use crate::node::Node;
 
-/// Time in which a connection has to come up.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Wait before the next try of a connection that failed.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for an answer to anything but changes.
-pub const CALL: Duration = Duration::from_millis(1000);
-/// Most changes in one call; it keeps a call inside the largest frame.
-const BATCH: usize = 256;
-/// Bytes of changes after which a call is full.
-const BATCH_LEN: usize = 4 << 20;
+/// Time within which a connection has to be established.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Delay before the next attempt after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Timeout of all calls except those that send changes.
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Maximum number of changes in one call; it keeps a call below the frame size limit.
+const MAX_BATCH_CHANGES: usize = 256;
+/// Size of the changes at which no more are added to a call.
+const MAX_BATCH_BYTES: usize = 4 << 20;
 
 quick_error! {
-    /// A call of another entry instance that failed.
+    /// A failed call of another entry instance.
     #[derive(Debug)]
     pub enum Error {
-        /// No connection came up.
+        /// No connection could be established.
         Connect(peer: String, message: String) {
             display("cannot connect to {peer}: {message}")
         }
-        /// No answer came.
+        /// There was no answer.
         Call(step: &'static str, peer: String, message: String) {
             display("{step}: no answer from {peer}: {message}")
         }
     }
 }
 
-/// One peer.
+/// The connection to one peer.
 #[derive(Debug)]
 struct Link {
     instance: id::Instance,
@@ -73,7 +73,7 @@
 }
 
 impl Links {
-    /// Names the node that the links belong to; called once, at the start.
+    /// Sets the node that the links belong to. Called once, at the start.
     pub fn attach(&self, node: &Arc<Node>) {
         let first = self.node.set(Arc::downgrade(node));
         debug_assert!(first.is_ok(), "links belong to one node");
@@ -82,8 +82,8 @@
     /// Sends a change to the copies that need it.
     pub fn send(&self, step: &Step) {
         for to in &step.to {
-            self.with(to, |link| {
-                // The task ends only with the process.
+            self.with_link(to, |link| {
+                // The receiving task ends only with the process.
                 let _stopping = link.changes.send(step.update.clone());
             });
         }
@@ -91,89 +91,89 @@
 
     /// Sends changes to one copy.
     pub fn send_all(&self, to: &id::Instance, updates: Vec<Update>) {
-        self.with(to, |link| {
+        self.with_link(to, |link| {
             for update in updates {
                 let _stopping = link.changes.send(update);
             }
         });
     }
 
-    /// Cancels a request at its owner; false if that does not work.
+    /// Cancels a request at its owner. Returns false if that fails.
     pub async fn cancel(&self, owner: &id::Instance, name: &Name) -> bool {
         match self.client(owner).await {
             Ok(client) => client
-                .cancel(context(CALL), name.clone())
+                .cancel(context(CALL_TIMEOUT), name.clone())
                 .await
                 .unwrap_or(false),
             Err(_unreached) => false,
         }
     }
 
-    /// The connection to a peer, opened if there is none.
+    /// The client of a peer; opens a connection if there is none.
     ///
     /// # Errors
     /// The peer is unknown or cannot be reached.
     pub async fn client(&self, to: &id::Instance) -> Result<PeerClient, Error> {
-        let unknown = || Error::Connect(to.to_string(), "it is no member".into());
+        let unknown = || Error::Connect(to.to_string(), "it is not a live member".into());
         let node = self
             .node
             .get()
             .and_then(Weak::upgrade)
             .ok_or_else(unknown)?;
-        let slot = self.with(to, |link| Arc::clone(&link.client));
+        let slot = self.with_link(to, |link| Arc::clone(&link.client));
         open(&node, to, &slot).await
     }
 
     /// Exchanges heartbeats with the instance that listens at `address`.
     ///
     /// # Errors
-    /// It cannot be reached or does not answer.
-    pub async fn beat(
+    /// The instance cannot be reached or does not answer.
+    pub async fn exchange_heartbeats(
         &self,
         node: &Node,
         address: &str,
         heartbeat: Heartbeat,
     ) -> Result<Heartbeat, Error> {
         let view = node.view();
-        let known = view.peers.iter().find(|peer| peer.address == address);
-        let client = match known {
+        let member = view.peers.iter().find(|peer| peer.address == address);
+        let client = match member {
             Some(peer) => self.client(&peer.instance).await?,
             None => connect(node, address).await?,
         };
         let answer = client
-            .beat(context(CALL), heartbeat)
+            .beat(context(CALL_TIMEOUT), heartbeat)
             .await
             .map_err(|error| Error::Call("beat", address.into(), error.to_string()));
-        if let (Some(peer), Err(_)) = (known, &answer) {
-            self.with(&peer.instance, |link| *lock(&link.client) = None);
+        if let (Some(peer), Err(_)) = (member, &answer) {
+            self.with_link(&peer.instance, |link| *lock(&link.client) = None);
         }
         answer
     }
 
-    fn with<T>(&self, to: &id::Instance, f: impl FnOnce(&Link) -> T) -> T {
+    fn with_link<T>(&self, to: &id::Instance, f: impl FnOnce(&Link) -> T) -> T {
         let mut links = lock(&self.links);
         let at = match links.binary_search_by(|link| link.instance.cmp(to)) {
             Ok(at) => at,
             Err(at) => {
-                links.insert(at, self.start(to));
+                links.insert(at, self.start_link(to));
                 at
             }
         };
         f(&links[at])
     }
 
-    fn start(&self, to: &id::Instance) -> Link {
+    fn start_link(&self, to: &id::Instance) -> Link {
         let (changes, queue) = mpsc::unbounded_channel();
         let client = Arc::new(Mutex::new(None));
         if let Some(node) = self.node.get().and_then(Weak::upgrade) {
             let traffic = node.traffic.clone();
-            let pump = Pump {
+            let sender = Sender {
                 node,
                 to: to.clone(),
                 client: Arc::clone(&client),
-                since: None,
+                failing_since: None,
             };
-            traffic.spawn(pump.run(queue));
+            traffic.spawn(sender.run(queue));
         }
         Link {
             instance: to.clone(),
@@ -188,11 +188,11 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Context of a call that takes at most `within`.
+/// The context of a call with this timeout.
 #[must_use]
-pub fn context(within: Duration) -> context::Context {
+pub fn context(limit: Duration) -> context::Context {
     let mut context = context::current();
-    context.deadline = (Instant::now() + within).into_std();
+    context.deadline = (Instant::now() + limit).into_std();
     context
 }
 
@@ -205,7 +205,7 @@
         return Ok(client);
     }
     let view = node.view();
-    let unknown = || Error::Connect(to.to_string(), "it is no member".into());
+    let unknown = || Error::Connect(to.to_string(), "it is not a live member".into());
     let address = view
         .peer(to)
         .map(|peer| peer.address.clone())
@@ -218,12 +218,15 @@
 /// Opens a connection to the entry instance that listens at `address`.
 ///
 /// # Errors
-/// It cannot be reached, or does not speak this protocol.
+/// The instance cannot be reached, or does not speak this protocol.
 pub async fn connect(node: &Node, address: &str) -> Result<PeerClient, Error> {
-    match timeout(CONNECT, handshake(node, address)).await {
+    match timeout(CONNECT_TIMEOUT, handshake(node, address)).await {
         Ok(Ok(client)) => Ok(client),
         Ok(Err(message)) => Err(Error::Connect(address.into(), message)),
-        Err(_elapsed) => Err(Error::Connect(address.into(), "it does not answer".into())),
+        Err(_elapsed) => Err(Error::Connect(
+            address.into(),
+            "no answer within the time limit".into(),
+        )),
     }
 }
 
@@ -261,15 +264,15 @@
 }
 
 /// Sends changes to one peer, in order.
-struct Pump {
+struct Sender {
     node: Arc<Node>,
     to: id::Instance,
     client: Arc<Mutex<Option<PeerClient>>>,
-    /// Since when changes cannot be sent.
-    since: Option<Instant>,
+    /// When sending first failed; `None` while it succeeds.
+    failing_since: Option<Instant>,
 }
 
-impl Pump {
+impl Sender {
     async fn run(mut self, mut queue: UnboundedReceiver<Update>) {
         let mut batch = Vec::new();
         loop {
@@ -279,20 +282,20 @@
                     None => return,
                 }
             }
-            fill(&mut batch, &mut queue);
+            fill_batch(&mut batch, &mut queue);
             match self.send(&batch).await {
                 Ok(acks) => {
-                    self.since = None;
-                    let again = self.settle(&batch, &acks);
+                    self.failing_since = None;
+                    let lacks_changes = self.record_acks(&batch, &acks);
                     batch.clear();
-                    if again {
-                        batch = self.missing(&mut queue);
+                    if lacks_changes {
+                        batch = self.missing_updates(&mut queue);
                     }
                 }
                 Err(error) => {
-                    self.fail(&error);
-                    sleep(PAUSE).await;
-                    batch = self.missing(&mut queue);
+                    self.record_failure(&error);
+                    sleep(RETRY_DELAY).await;
+                    batch = self.missing_updates(&mut queue);
                 }
             }
         }
@@ -300,24 +303,28 @@
 
     async fn send(&self, batch: &[Update]) -> Result<Vec<Ack>, Error> {
         let client = open(&self.node, &self.to, &self.client).await?;
-        let within = self.node.settings.times.backup.duration();
+        let limit = self.node.settings.times.backup.duration();
         let me = self.node.settings.instance.clone();
-        let call = client.update(context(within), me, batch.to_vec());
+        let call = client.update(context(limit), me, batch.to_vec());
         let acks = call
             .await
             .map_err(|error| Error::Call("update", self.to.to_string(), error.to_string()))?;
         if acks.len() == batch.len() {
             return Ok(acks);
         }
-        let message = format!("{} answers to {} changes", acks.len(), batch.len());
+        let message = format!(
+            "got {} acknowledgements for {} changes",
+            acks.len(),
+            batch.len()
+        );
         Err(Error::Call("update", self.to.to_string(), message))
     }
 
-    /// Hands the answers to the ledger; true if the peer lacks changes.
-    fn settle(&self, batch: &[Update], acks: &[Ack]) -> bool {
-        let mut lacks = false;
+    /// Records the acknowledgements in the ledger. Returns whether the peer lacks changes.
+    fn record_acks(&self, batch: &[Update], acks: &[Ack]) -> bool {
+        let mut lacks_changes = false;
         for (update, ack) in batch.iter().zip(acks) {
-            lacks |= matches!(ack, Ack::Gap(_));
+            lacks_changes |= matches!(ack, Ack::Gap(_));
             if *ack == Ack::Missing {
                 let message = Message::CopyLost {
                     slot: update.slot,
@@ -327,37 +334,39 @@
             }
             self.node
                 .requests
-                .acked(&self.node, &self.to, update.slot, update.epoch, *ack);
+                .record_ack(&self.node, &self.to, update.slot, update.epoch, *ack);
         }
-        lacks
+        lacks_changes
     }
 
-    fn fail(&mut self, error: &Error) {
+    fn record_failure(&mut self, error: &Error) {
         *lock(&self.client) = None;
-        let first = self.since.is_none();
-        let since = *self.since.get_or_insert_with(Instant::now);
+        let first = self.failing_since.is_none();
+        let since = *self.failing_since.get_or_insert_with(Instant::now);
         if first {
             event::LINK_FAILED.emit(format_args!("peer={} error=\"{error}\"", self.to));
         }
         if since.elapsed() >= self.node.settings.times.backup.duration() {
-            self.node.control.send(Message::Unreached(self.to.clone()));
+            self.node
+                .control
+                .send(Message::Unreachable(self.to.clone()));
         }
     }
 
-    /// What the peer lacks according to the ledger, in place of what is queued.
-    fn missing(&self, queue: &mut UnboundedReceiver<Update>) -> Vec<Update> {
+    /// The changes that the peer lacks according to the ledger; they replace what is queued.
+    fn missing_updates(&self, queue: &mut UnboundedReceiver<Update>) -> Vec<Update> {
         self.node
             .requests
-            .missing(&self.to, || while queue.try_recv().is_ok() {})
+            .missing_updates(&self.to, || while queue.try_recv().is_ok() {})
     }
 }
 
-fn fill(batch: &mut Vec<Update>, queue: &mut UnboundedReceiver<Update>) {
-    let mut bytes: usize = batch.iter().map(size).sum();
-    while batch.len() < BATCH && bytes < BATCH_LEN {
+fn fill_batch(batch: &mut Vec<Update>, queue: &mut UnboundedReceiver<Update>) {
+    let mut bytes: usize = batch.iter().map(change_size).sum();
+    while batch.len() < MAX_BATCH_CHANGES && bytes < MAX_BATCH_BYTES {
         match queue.try_recv() {
             Ok(update) => {
-                bytes += size(&update);
+                bytes += change_size(&update);
                 batch.push(update);
             }
             Err(_empty) => return,
@@ -365,8 +374,8 @@
     }
 }
 
-/// Bytes of a change, roughly.
-fn size(update: &Update) -> usize {
+/// Approximate size of a change, in bytes.
+fn change_size(update: &Update) -> usize {
     use coltsfoothall::record::{Change, Work};
     match &update.change {
         Change::Accept(intake) => match &intake.work {
--- a/coltsfoothall-entry/src/main.rs
+++ b/coltsfoothall-entry/src/main.rs
@@ -7,8 +7,8 @@
 use coltsfoothall_entry::settings::Settings;
 use coltsfoothall_shell::{journal, program};
 
-const ABOUT: &str = "One entry instance of coltsfoothall: callers connect to it, it passes \
-                     their requests to endpoints and brings the answers back.";
+const ABOUT: &str = "One entry instance of coltsfoothall: it accepts callers' requests, \
+                     forwards them to endpoints and returns the answers.";
 
 fn main() -> ExitCode {
     program::run("coltsfoothall-entry", ABOUT, start)
--- a/coltsfoothall-entry/src/members.rs
+++ b/coltsfoothall-entry/src/members.rs
@@ -1,4 +1,4 @@
-//! Heartbeats with other entry instances, on the control thread.
+//! Membership of entry instances, by heartbeats. Runs on the control thread.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,43 +24,45 @@
 use crate::node::Node;
 use crate::view::Peer;
 
-/// Service name under which the instance list shows entry instances.
+/// Service name of entry instances in the instance list.
 pub const ENTRY: &str = "entry";
 
-/// Time after the start in which an instance judges nobody: others have to be
-/// heard of first.
-const SETTLE: Duration = Duration::from_secs(5);
+/// How long after its start an instance judges no other dead, as it has to receive their
+/// heartbeats first.
+const SETTLE_DELAY: Duration = Duration::from_secs(5);
 
-/// Most starts remembered; it bounds memory where instances never keep a name.
-const STARTS: usize = 8192;
+/// Maximum number of incarnations remembered; it bounds memory where instances never reuse
+/// a name.
+const MAX_INCARNATIONS: usize = 8192;
 
-/// Peers that a notice is passed on to; with that, it reaches all in a few steps.
-const PASS_ON: usize = 3;
+/// Number of peers that a notice is forwarded to; with this number it reaches all in a few
+/// steps.
+const NOTICE_FANOUT: usize = 3;
 
-/// Entry instances as this one knows them.
+/// The entry instances, as this one knows them.
 pub struct Members {
     node: Arc<Node>,
     table: Table,
     watch: Watch,
-    /// Addresses for peers from the instance list, sorted.
+    /// Peer addresses of entry instances from the instance list, sorted.
     seeds: Vec<String>,
-    /// When it last could not be told whether others or this instance stalled.
-    doubted: Option<Time>,
+    /// When it was last unclear whether others or this instance had stalled.
+    doubted_at: Option<Time>,
     /// The last known incarnation of each instance, sorted by name.
-    starts: Vec<Start>,
-    /// Instances that began anew since last asked for.
+    incarnations: Vec<Incarnation>,
+    /// Instances that restarted since they were last taken from here.
     restarted: Vec<id::Instance>,
 }
 
-/// A start of an instance's process.
+/// The incarnation of an instance's process.
 #[derive(Debug)]
-struct Start {
+struct Incarnation {
     instance: id::Instance,
     incarnation: u64,
 }
 
 impl Members {
-    /// This instance alone.
+    /// Creates a membership of this instance only.
     #[must_use]
     pub fn new(node: Arc<Node>) -> Self {
         let settings = &node.settings;
@@ -92,38 +94,38 @@
             table: Table::new(me, limits),
             watch: Watch::new(node.now(), stall),
             seeds: Vec::new(),
-            doubted: None,
-            starts: Vec::new(),
+            doubted_at: None,
+            incarnations: Vec::new(),
             restarted: Vec::new(),
             node,
         }
     }
 
-    /// Sets where entry instances may listen, from the instance list.
+    /// Sets the addresses of entry instances from the instance list.
     pub fn set_seeds(&mut self, machines: &[Machine]) {
         let entries = machines
             .iter()
             .filter(|machine| machine.service.as_str() == ENTRY);
-        let up = entries.filter(|machine| machine.phase == Phase::Live);
-        self.seeds = up.map(|machine| machine.address.clone()).collect();
+        let live = entries.filter(|machine| machine.phase == Phase::Live);
+        self.seeds = live.map(|machine| machine.address.clone()).collect();
         self.seeds.sort();
     }
 
-    /// Sends heartbeats, also to instances of the list that are no members yet.
-    pub fn beat(&mut self, leaving: bool, load: u32, revision: u64, slots: u64) {
+    /// Sends heartbeats, also to listed instances that are not members yet.
+    pub fn send_heartbeats(&mut self, leaving: bool, load: u32, revision: u64, slots: u64) {
         self.table.update(leaving, load, revision, slots);
         let (to, heartbeat) = self.table.heartbeat(self.node.now());
         for digest in to {
             self.send(digest.peers, heartbeat.clone());
         }
-        for address in self.strangers() {
+        for address in self.unknown_seeds() {
             self.send(address, heartbeat.clone());
         }
     }
 
-    /// Sends heartbeats to these instances at once, with the slot table's new version.
-    pub fn beat_to(&mut self, named: &[id::Instance], slots: u64) {
-        if named.is_empty() {
+    /// Sends heartbeats with the slot table's new version to these instances at once.
+    pub fn send_heartbeats_to(&mut self, to: &[id::Instance], slots: u64) {
+        if to.is_empty() {
             return;
         }
         let me = self.table.me();
@@ -131,13 +133,14 @@
         self.table.update(leaving, load, revision, slots);
         let (_ring, heartbeat) = self.table.heartbeat(self.node.now());
         let members = self.table.live().map(|member| &member.digest);
-        let to = members.filter(|digest| named.binary_search(&digest.instance).is_ok());
-        let to: Vec<String> = to.map(|digest| digest.peers.clone()).collect();
-        to.into_iter()
+        let recipients = members.filter(|digest| to.binary_search(&digest.instance).is_ok());
+        let addresses: Vec<String> = recipients.map(|digest| digest.peers.clone()).collect();
+        addresses
+            .into_iter()
             .for_each(|address| self.send(address, heartbeat.clone()));
     }
 
-    /// This instance's heartbeat as an answer to `sender`.
+    /// This instance's heartbeat, as the answer to one of `sender`.
     #[must_use]
     pub fn answer(&self, sender: Option<&Digest>) -> Heartbeat {
         let former = sender.and_then(|sender| self.table.former(sender));
@@ -147,61 +150,62 @@
         }
     }
 
-    /// Takes in a heartbeat; true if somebody joined or is leaving.
-    pub fn hear(&mut self, now: Time, heartbeat: Heartbeat) -> bool {
+    /// Merges a heartbeat. Returns whether an instance joined or is leaving.
+    pub fn merge_heartbeat(&mut self, now: Time, heartbeat: Heartbeat) -> bool {
         self.watch.heard(now);
         let events = self.table.merge(now, heartbeat);
         for event in &events {
             if let Event::Joined(instance) = event {
-                self.note_start(instance);
+                self.record_incarnation(instance);
             }
         }
         self.log(&events);
         !events.is_empty()
     }
 
-    /// Instances that began anew since the last call: their records are lost.
-    pub fn restarted(&mut self) -> Vec<id::Instance> {
+    /// Takes the instances that restarted since the last call; their records are lost.
+    pub fn take_restarted(&mut self) -> Vec<id::Instance> {
         std::mem::take(&mut self.restarted)
     }
 
-    fn note_start(&mut self, instance: &id::Instance) {
+    fn record_incarnation(&mut self, instance: &id::Instance) {
         let Some(member) = self.table.get(instance) else {
             return;
         };
         let incarnation = member.digest.incarnation;
         match self
-            .starts
-            .binary_search_by(|start| start.instance.cmp(instance))
+            .incarnations
+            .binary_search_by(|known| known.instance.cmp(instance))
         {
-            Ok(at) if self.starts[at].incarnation == incarnation => {}
-            Ok(at) => {
-                self.starts[at].incarnation = incarnation;
+            Ok(index) if self.incarnations[index].incarnation == incarnation => {}
+            Ok(index) => {
+                self.incarnations[index].incarnation = incarnation;
                 self.restarted.push(instance.clone());
             }
-            Err(at) => {
-                let start = Start {
+            Err(index) => {
+                let incarnation = Incarnation {
                     instance: instance.clone(),
                     incarnation,
                 };
-                self.starts.insert(at, start);
-                self.starts.truncate(STARTS);
+                self.incarnations.insert(index, incarnation);
+                self.incarnations.truncate(MAX_INCARNATIONS);
             }
         }
     }
 
-    /// Notes deaths; true if somebody died. One's own stall is not a death of others.
+    /// Detects dead instances. Returns whether one died. A stall of this instance is not taken
+    /// for the death of others.
     pub fn expire(&mut self, now: Time) -> bool {
         if self.watch.tick(now) {
             event::STALLED.emit(format_args!("at={now}"));
-            self.doubted = Some(now);
+            self.doubted_at = Some(now);
         }
         let events = self.table.expire(now, &self.watch);
         if events
             .iter()
             .any(|event| matches!(event, Event::Doubted(_)))
         {
-            self.doubted = Some(now);
+            self.doubted_at = Some(now);
         }
         let died: Vec<Event> = events
             .into_iter()
@@ -211,25 +215,27 @@
         !died.is_empty()
     }
 
-    /// A connection to a peer fails; heartbeats will tell whether it died.
-    pub fn unreached(&self, peer: &id::Instance) {
-        log::debug!("peer {peer} is out of reach");
+    /// Logs that a peer cannot be reached. Heartbeats determine whether it died.
+    pub fn log_unreachable(&self, peer: &id::Instance) {
+        log::debug!("peer {peer} cannot be reached");
     }
 
-    /// Whether this instance can tell who is dead.
+    /// Whether this instance can determine which others are dead.
     #[must_use]
     pub fn settled(&self, now: Time) -> bool {
-        let calm = self.doubted.is_none_or(|at| now.since(at) >= SETTLE);
-        calm && now.since(Time::START) >= SETTLE
+        let undoubted = self
+            .doubted_at
+            .is_none_or(|at| now.since(at) >= SETTLE_DELAY);
+        undoubted && now.since(Time::START) >= SETTLE_DELAY
     }
 
-    /// All that are alive, this one included, sorted by name.
+    /// All live instances, this one included, sorted by name.
     #[must_use]
     pub fn candidates(&self) -> Vec<Candidate> {
         self.table.candidates()
     }
 
-    /// Members, this one included.
+    /// Number of live members, this one included.
     #[must_use]
     pub fn count(&self) -> usize {
         self.table.live().count() + 1
@@ -241,7 +247,7 @@
         self.table.watches()
     }
 
-    /// Others that can be reached, sorted by name.
+    /// The other live instances, sorted by name.
     #[must_use]
     pub fn peers(&self) -> Vec<Peer> {
         let peers = self.table.live().map(|member| Peer {
@@ -252,7 +258,7 @@
         peers.collect()
     }
 
-    /// Addresses for callers.
+    /// The addresses for callers.
     #[must_use]
     pub fn addresses(&self, now: Time) -> Addresses {
         let known = self.table.addresses(now);
@@ -267,7 +273,7 @@
         }
     }
 
-    /// Members for operators, this one included, sorted by name.
+    /// The members for the operators' status, this one included, sorted by name.
     #[must_use]
     pub fn status(&self, now: Time, revision: Revision) -> Vec<Member> {
         let own = self.table.me();
@@ -281,28 +287,30 @@
         members
     }
 
-    /// Tells evidence to some peers, which tell it on; with none to tell, asks
-    /// a peer for all.
-    pub fn tell(&self, evidence: &[Evidence], peers: usize) {
-        for peer in self.some(peers) {
-            let (node, told) = (Arc::clone(&self.node), evidence.to_vec());
+    /// Sends evidence to some random peers, which forward it. An empty list asks one of them
+    /// for all evidence.
+    pub fn send_evidence(&self, evidence: &[Evidence], peers: usize) {
+        for peer in self.random_peers(peers) {
+            let (node, evidence) = (Arc::clone(&self.node), evidence.to_vec());
             tokio::spawn(async move {
                 let Ok(client) = node.links.client(&peer).await else {
                     return;
                 };
-                // What gets lost is repeated.
-                let answer = client.evidence(link::context(link::CALL), told).await;
-                if let Ok(told) = answer
-                    && !told.is_empty()
+                // Lost evidence is repeated later.
+                let answer = client
+                    .evidence(link::context(link::CALL_TIMEOUT), evidence)
+                    .await;
+                if let Ok(evidence) = answer
+                    && !evidence.is_empty()
                 {
-                    let ask = |reply| Message::Evidence { told, reply };
-                    let _taken = node.control.ask(ask).await;
+                    let message = |reply| Message::Evidence { evidence, reply };
+                    let _taken = node.control.ask(message).await;
                 }
             });
         }
     }
 
-    /// This instance's place among all that live, by name, and how many live.
+    /// This instance's rank by name among the live members, and their number.
     #[must_use]
     pub fn rank(&self) -> (usize, usize) {
         let me = &self.node.settings.instance;
@@ -314,8 +322,8 @@
         (before, self.count())
     }
 
-    /// Some of the peers that live, at random.
-    fn some(&self, count: usize) -> Vec<id::Instance> {
+    /// Up to `count` live peers, from a random position in the order of names.
+    fn random_peers(&self, count: usize) -> Vec<id::Instance> {
         let live = self.table.live();
         let mut live: Vec<_> = live.map(|m| m.digest.instance.clone()).collect();
         if !live.is_empty() {
@@ -326,21 +334,23 @@
         live
     }
 
-    /// Passes a notice on to some peers.
-    pub fn pass_on(&self, instance: &id::Instance) {
-        for peer in self.some(PASS_ON) {
+    /// Forwards a notice to some random peers.
+    pub fn forward_notice(&self, instance: &id::Instance) {
+        for peer in self.random_peers(NOTICE_FANOUT) {
             let (node, instance) = (Arc::clone(&self.node), instance.clone());
             tokio::spawn(async move {
                 if let Ok(client) = node.links.client(&peer).await {
-                    // The platform tells the others as well; this is only faster.
-                    let _told = client.notice(link::context(link::CALL), instance).await;
+                    // The platform notifies the others as well; this is only faster.
+                    let _told = client
+                        .notice(link::context(link::CALL_TIMEOUT), instance)
+                        .await;
                 }
             });
         }
     }
 
-    /// Addresses of the instance list where no member listens.
-    fn strangers(&self) -> Vec<String> {
+    /// Addresses of the instance list that belong to no member.
+    fn unknown_seeds(&self) -> Vec<String> {
         let own = &self.table.me().peers;
         let known = |address: &String| {
             address == own
@@ -361,13 +371,17 @@
         tokio::spawn(async move {
             let bytes = peer::encode(&heartbeat).len() as u64;
             node.board.peer_bytes(Flow::Out, bytes);
-            match node.links.beat(&node, &address, heartbeat).await {
+            match node
+                .links
+                .exchange_heartbeats(&node, &address, heartbeat)
+                .await
+            {
                 Ok(answer) => {
                     node.board
                         .peer_bytes(Flow::In, peer::encode(&answer).len() as u64);
-                    node.control.send(Message::Heard(answer));
+                    node.control.send(Message::HeartbeatAnswer(answer));
                 }
-                Err(error) => log::debug!("heartbeat: {error}"),
+                Err(error) => log::debug!("heartbeat exchange failed: {error}"),
             }
         });
     }
--- a/coltsfoothall-entry/src/message.rs
+++ b/coltsfoothall-entry/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages to the control thread, and the way to it.
+//! Messages to the control thread, and the handle that sends them.
 
 use std::sync::Arc;
 
@@ -31,142 +31,142 @@
 /// A message to the control thread.
 #[derive(Debug)]
 pub enum Message {
-    /// May a new request be taken in?
+    /// Asks whether a new request is admitted.
     Admit {
-        /// What it asks for.
+        /// The request's demand.
         ticket: Ticket,
-        /// Its place at the gate, or the refusal.
+        /// Receives the admission or the refusal.
         reply: oneshot::Sender<Result<Number, Refusal>>,
     },
-    /// Choose an endpoint.
+    /// Asks for an endpoint.
     Pick {
-        /// For whom.
+        /// The requested pick.
         pick: Pick,
-        /// Gets the choice.
+        /// Receives the chosen endpoint.
         reply: UnboundedSender<Input>,
     },
-    /// May a failed request be tried again?
+    /// Asks whether a failed request may be retried.
     Retry {
-        /// Its service.
+        /// The request's service.
         service: id::Service,
-        /// Attempts so far.
+        /// Number of attempts so far.
         attempts: u32,
-        /// Gets the answer.
+        /// Receives the decision.
         reply: UnboundedSender<Input>,
     },
-    /// The first piece of an attempt's answer came.
+    /// The first piece of an attempt's answer arrived.
     First {
         /// The attempt.
         attempt: u64,
-        /// Tokens that came from the endpoint's cache.
+        /// Prompt tokens that the endpoint had in its cache.
         cached: Tokens,
     },
     /// An attempt ended.
     Ended {
         /// The attempt.
         attempt: u64,
-        /// How.
+        /// How it ended.
         ended: Ended,
     },
-    /// A trial of an endpoint ended.
+    /// The probe of an endpoint ended.
     ProbeEnded(id::Endpoint, Finding),
-    /// A peer tells evidence against requests, or asks for all.
+    /// A peer sends evidence against requests, or asks for all evidence.
     Evidence {
-        /// What it tells.
-        told: Vec<Evidence>,
-        /// Gets all evidence if nothing is told.
+        /// The evidence; empty to ask for all.
+        evidence: Vec<Evidence>,
+        /// Receives all evidence if it was asked for.
         reply: oneshot::Sender<Vec<Evidence>>,
     },
-    /// A request is over.
-    Over(Number),
+    /// A request is over; its admission is released.
+    Release(Number),
     /// The instance list was read.
     Machines(Vec<Machine>),
-    /// An instance was given notice.
+    /// An instance received a reclaim notice.
     Notice(id::Instance),
-    /// An endpoint reported its load, and which process it is if it tells.
+    /// An endpoint reported its load, and its process if it reports one.
     Load(id::Endpoint, Report, Option<Boot>),
-    /// An endpoint's cache events came.
+    /// An endpoint reported cache events.
     Cache(id::Endpoint, Vec<index::Event>),
     /// A configuration was read.
     Catalog(Source, Arc<Catalog>),
-    /// The configuration that is in force, and the one of a revision.
-    Held {
-        /// The revision that is asked for.
+    /// Asks for the configuration in force and for the one of an earlier revision.
+    Configs {
+        /// The earlier revision.
         base: Revision,
-        /// Gets both.
-        reply: oneshot::Sender<Held>,
+        /// Receives both.
+        reply: oneshot::Sender<Configs>,
     },
     /// The slot table was read or written.
     Table(Arc<Table>),
     /// The slot table should be read.
     ReadTable,
-    /// What a round of duties for the slots came to.
-    Round(Round),
-    /// A heartbeat of a peer came.
-    Beat {
+    /// A round of duties for the slots ended.
+    RoundEnded(Round),
+    /// A peer sent a heartbeat.
+    Heartbeat {
         /// The heartbeat.
         heartbeat: Heartbeat,
-        /// Gets this instance's own.
+        /// Receives this instance's own heartbeat.
         reply: oneshot::Sender<Heartbeat>,
     },
     /// A peer answered a heartbeat.
-    Heard(Heartbeat),
-    /// The configuration in force, for a peer.
+    HeartbeatAnswer(Heartbeat),
+    /// A peer asks for the configuration in force.
     Config(oneshot::Sender<Option<peer::Config>>),
-    /// An owner lets this instance act as owner of a slot.
+    /// The owner of a slot hands the slot over to this instance.
     Handoff {
-        /// Its word.
+        /// The handoff.
         handoff: Handoff,
-        /// Gets whether it was taken.
+        /// Receives whether the handoff was accepted.
         reply: oneshot::Sender<bool>,
     },
-    /// A peer has no copy of a slot that it should keep.
+    /// A peer has no copy of a slot although it is the slot's backup.
     CopyLost {
         /// The slot.
         slot: Slot,
         /// The peer.
         at: id::Instance,
     },
-    /// A peer cannot be reached for longer than changes may wait.
-    Unreached(id::Instance),
-    /// What this instance knows.
+    /// A peer has been unreachable for longer than changes may wait for an acknowledgement.
+    Unreachable(id::Instance),
+    /// Asks for the status for operators.
     Status(oneshot::Sender<Status>),
     /// This instance is leaving.
     Leave,
 }
 
-/// The configuration that is in force, and an earlier one.
+/// The configuration in force, and an earlier one.
 #[derive(Debug)]
-pub struct Held {
-    /// The one in force.
-    pub held: Arc<Catalog>,
-    /// The one that was asked for, if it is still kept.
+pub struct Configs {
+    /// The configuration in force.
+    pub current: Arc<Catalog>,
+    /// The earlier configuration, if it is still kept.
     pub base: Option<Arc<Catalog>>,
 }
 
-/// Way to the control thread.
+/// A handle to the control thread.
 #[derive(Debug, Clone)]
 pub struct Handle {
     sender: UnboundedSender<Message>,
 }
 
-/// What the control thread will receive from its handles.
+/// The receiving end of the handles.
 pub type Inbox = UnboundedReceiver<Message>;
 
 impl Handle {
-    /// A handle and the inbox that it fills.
+    /// Creates a handle and the inbox that it sends to.
     #[must_use]
     pub fn new() -> (Self, Inbox) {
         let (sender, inbox) = mpsc::unbounded_channel();
         (Self { sender }, inbox)
     }
 
-    /// Sends a message; nothing is done with it once the program is stopping.
+    /// Sends a message. It is discarded once the program is stopping.
     pub fn send(&self, message: Message) {
         let _stopped = self.sender.send(message);
     }
 
-    /// Sends a message and waits for its answer; none once the program is stopping.
+    /// Sends a message and waits for its answer. Returns `None` once the program is stopping.
     pub async fn ask<T>(&self, message: impl FnOnce(oneshot::Sender<T>) -> Message) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.send(message(reply));
--- a/coltsfoothall-entry/src/meter.rs
+++ b/coltsfoothall-entry/src/meter.rs
@@ -1,4 +1,4 @@
-//! Measures of one answer: its first token, the gaps between tokens, its end.
+//! Measures one answer: the time to its first token, the gaps between tokens, and its end.
 
 use std::sync::Arc;
 
@@ -14,46 +14,49 @@
 pub struct Meter {
     node: Arc<Node>,
     labels: Labels,
-    began: Instant,
-    last: Option<Instant>,
-    have: u64,
+    started: Instant,
+    last_token: Option<Instant>,
+    tokens: u64,
 }
 
 impl Meter {
-    /// A measurement that begins now.
+    /// Creates a meter; latency is measured from now.
     pub fn new(node: Arc<Node>, labels: Labels) -> Self {
         Self {
             node,
             labels,
-            began: Instant::now(),
-            last: None,
-            have: 0,
+            started: Instant::now(),
+            last_token: None,
+            tokens: 0,
         }
     }
 
-    /// An answer has this many tokens by now.
-    pub fn tokens(&mut self, tokens: u64) {
+    /// Records that the answer has this many tokens now.
+    pub fn record_tokens(&mut self, tokens: u64) {
         let now = Instant::now();
-        match self.last {
-            None => self.node.board.first_token(&self.labels, now - self.began),
-            Some(last) if tokens > self.have => {
-                let gap = (now - last) / u32::try_from(tokens - self.have).unwrap_or(u32::MAX);
+        match self.last_token {
+            None => self
+                .node
+                .board
+                .first_token(&self.labels, now - self.started),
+            Some(last) if tokens > self.tokens => {
+                let gap = (now - last) / u32::try_from(tokens - self.tokens).unwrap_or(u32::MAX);
                 self.node.board.between_tokens(&self.labels, gap);
             }
             Some(_) => {}
         }
-        self.last = Some(now);
-        self.have = tokens;
+        self.last_token = Some(now);
+        self.tokens = tokens;
     }
 
-    /// The answer is whole.
-    pub fn end(&self) {
+    /// Records a complete answer.
+    pub fn record_end(&self) {
         self.node
-            .measure_end(&self.labels, Instant::now() - self.began);
+            .measure_end(&self.labels, Instant::now() - self.started);
     }
 
-    /// The answer ended without being whole.
-    pub fn fault(&self, fault: &Fault) {
+    /// Records an incomplete answer.
+    pub fn record_fault(&self, fault: &Fault) {
         self.node.count_end(&self.labels, Some(fault));
     }
 }
--- a/coltsfoothall-entry/src/node.rs
+++ b/coltsfoothall-entry/src/node.rs
@@ -1,4 +1,4 @@
-//! What all traffic of an entry instance shares.
+//! The state that all tasks of an entry instance share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,66 +24,66 @@
 use crate::store::Store;
 use crate::view::View;
 
-/// What all traffic of an entry instance shares.
+/// The state that all tasks of an entry instance share.
 #[derive(Debug)]
 pub struct Node {
-    /// Settings.
+    /// The settings.
     pub settings: Settings,
-    /// Client towards other entry instances.
+    /// HTTP client for other entry instances, endpoints and the platform.
     pub client: Client,
     /// The platform's key-value service.
     pub store: Box<dyn Store>,
-    /// The runtime of all traffic.
+    /// The runtime that serves requests, as opposed to the control thread's.
     pub traffic: tokio::runtime::Handle,
-    /// What runs attempts at endpoints.
+    /// Runs attempts at endpoints.
     pub runner: Box<dyn Runner>,
-    /// Requests that are owned here.
+    /// The requests that this instance owns.
     pub requests: Requests,
     /// Connections to other entry instances.
     pub links: Links,
-    /// Way to the control thread.
+    /// The handle to the control thread.
     pub control: Handle,
-    /// Metrics.
+    /// The metrics.
     pub board: Board,
-    /// Start of the process, the zero of [`Time`].
+    /// Start of the process, which is the zero of [`Time`].
     pub start: Instant,
-    /// Snapshot of the control state.
+    /// The snapshots of the control state.
     pub views: watch::Receiver<Arc<View>>,
-    /// Rules found broken.
-    pub broken: AtomicU64,
-    /// A planned stop of this instance.
+    /// Number of invariant violations found.
+    pub violations: AtomicU64,
+    /// Cancelled when a planned stop of this instance begins.
     pub stop: CancellationToken,
 }
 
 impl Node {
-    /// The newest snapshot of the control state.
+    /// The latest snapshot of the control state.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         Arc::clone(&self.views.borrow())
     }
 
-    /// The time now.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Time {
         Time::since_start(self.start.elapsed())
     }
 
-    /// Header value with which entry instances know each other.
+    /// The authorization header between entry instances.
     #[must_use]
     pub fn peer_bearer(&self) -> HeaderValue {
         let text = format!("Bearer {}", self.settings.peer_token);
-        HeaderValue::from_str(&text).expect("the settings' check refuses other characters")
+        HeaderValue::from_str(&text).expect("the settings check rejects other characters")
     }
 
     /// Cancels a request, wherever it is owned.
     ///
     /// # Errors
-    /// Its owner cannot be reached, or knows no such request.
+    /// The owner cannot be reached, or knows no such request.
     pub async fn cancel(&self, name: Name) -> Result<(), Fault> {
         let view = self.view();
         let slot = view.slot(&name.key);
-        let unknown = || Fault::new(Code::NotFound, format!("no request {} is known", name.key));
-        let entry = view.table.entry(slot).ok_or_else(unknown)?;
+        let not_found = || Fault::new(Code::NotFound, format!("no request {} is known", name.key));
+        let entry = view.table.entry(slot).ok_or_else(not_found)?;
         if self.requests.cancel(&name) {
             return Ok(());
         }
@@ -92,23 +92,23 @@
                 return Ok(());
             }
         }
-        Err(unknown())
+        Err(not_found())
     }
 
-    /// Notes that a rule of the system was found broken.
-    pub fn broken(&self, rule: &'static str, error: &dyn std::fmt::Display) {
-        self.broken.fetch_add(1, Ordering::Relaxed);
+    /// Reports a violated invariant in the count, the metrics and the log.
+    pub fn report_violation(&self, rule: &'static str, error: &dyn std::fmt::Display) {
+        self.violations.fetch_add(1, Ordering::Relaxed);
         self.board.broken(rule);
         BROKEN.emit(format_args!("rule={rule} error=\"{error}\""));
     }
 
-    /// Labels of a request's measurements.
+    /// The labels of a request's metrics.
     #[must_use]
     pub fn labels(&self, name: &Name, class: coltsfoothall::record::Class) -> Labels {
         self.board.labels(&name.workspace, class)
     }
 
-    /// Counts a request's end.
+    /// Counts the end of a request.
     pub fn count_end(&self, labels: &Labels, fault: Option<&Fault>) {
         let end = match fault {
             None => metric::End {
@@ -123,7 +123,7 @@
         self.board.ended(labels, end);
     }
 
-    /// Measures a whole answer.
+    /// Records the latency of a complete answer and counts its end.
     pub fn measure_end(&self, labels: &Labels, span: Duration) {
         self.board.latency(labels, span);
         self.count_end(labels, None);
