--- a/coltsfoothall-entry/src/open.rs
+++ b/coltsfoothall-entry/src/open.rs
@@ -1,4 +1,5 @@
-//! Requests that are open here, each with its relay, and the records of all.
+//! The open requests of this instance, each with its relay, and the ledger of all its
+//! records.
 
 use std::sync::Arc;
 
@@ -15,56 +16,56 @@
 
 use crate::feed::Feed;
 use crate::node::Node;
-use crate::refusal::{come_back, refusal};
-use crate::relay::{self, Begun};
+use crate::refusal::{not_begun, retry_later};
+use crate::relay::{self, Origin};
 
-/// A relay's change that waits for its copies.
+/// A relay's change that waits to be acknowledged by the copies of its slot.
 #[derive(Debug, Clone, Copy)]
 pub struct Pending {
-    /// Its number in the request's life.
+    /// Its sequence number in the request.
     pub request: u64,
-    /// Its number in the slot.
+    /// Its sequence number in the slot.
     pub seq: Seq,
 }
 
 /// An open request.
 #[derive(Debug)]
 pub struct Live {
-    /// Its name.
+    /// The request's name.
     pub name: Name,
-    /// Its slot.
+    /// The request's slot.
     pub slot: Slot,
-    /// Digest of what was asked.
+    /// Digest of the request's content, to detect a reused key.
     pub digest: u64,
-    /// Its answer for those who follow it.
+    /// The released part of its answer.
     pub feed: Arc<Feed>,
-    /// News for its relay.
+    /// Sends inputs to its relay.
     pub signals: UnboundedSender<Input>,
-    /// Changes that wait for the copies, in order.
+    /// Changes that wait for acknowledgements, in order.
     pub pending: Vec<Pending>,
 }
 
-/// The open requests and the ledger that records them, under one lock.
+/// The open requests and the ledger with their records, under one lock.
 #[derive(Debug)]
 pub struct State {
-    /// The records.
+    /// The ledger.
     pub ledger: Ledger,
     /// Sorted by name.
     pub live: Vec<Live>,
 }
 
 impl State {
-    /// The place of an open request.
+    /// Finds the index of an open request.
     pub fn find(&self, name: &Name) -> Result<usize, usize> {
         self.live.binary_search_by(|live| live.name.cmp(name))
     }
 
-    /// Whether no such request is known.
-    pub fn fresh(&self, slot: Slot, name: &Name) -> bool {
+    /// Whether the ledger has no record of the request.
+    pub fn is_unrecorded(&self, slot: Slot, name: &Name) -> bool {
         self.ledger.record(slot, name).is_none()
     }
 
-    /// Takes a request in, or finds that it is known.
+    /// Accepts a new request, or returns the feed of one that is known.
     pub fn begin(
         &mut self,
         node: &Arc<Node>,
@@ -75,48 +76,53 @@
         let name = &intake.name;
         match self.ledger.begin(node.now(), intake.clone(), slot) {
             Ok(Begin::New(step)) => {
-                let begun = Begun::New {
+                let origin = Origin::New {
                     intake: Box::new(intake.clone()),
                     number,
                 };
-                Ok(self.accept(node, slot, begun, &step))
+                Ok(self.accept(node, slot, origin, &step))
             }
-            Ok(Begin::Join(_)) => self.known(node, slot, name),
-            Ok(refused) => Err(refusal(&refused, name)),
+            Ok(Begin::Join(_)) => self.recorded(node, slot, name),
+            Ok(refused) => Err(not_begun(&refused, name)),
             Err(ledger::Error::Broken(broken)) => {
-                node.broken("ledger_begin", &broken);
+                node.report_violation("ledger_begin", &broken);
                 Err(Fault::new(Code::Internal, broken))
             }
-            Err(error) => Err(come_back(Code::Unavailable, &error.to_string())),
+            Err(error) => Err(retry_later(Code::Unavailable, &error.to_string())),
         }
     }
 
-    /// Makes a relay's change in the ledger. A "not run" of an idempotent request that may
-    /// not be recorded becomes "unknown": left open, the request would run after its caller
+    /// Applies a relay's change to the ledger. If an idempotent request may not be recorded as
+    /// "not run", it is recorded as "unknown" instead: left open, it would run after its caller
     /// was told that it had not.
-    pub fn change(&mut self, now: Time, at: usize, change: Change) -> Result<Step, ledger::Error> {
-        let live = &self.live[at];
-        let unknown = unknown(&change);
-        let made = self
+    pub fn change(
+        &mut self,
+        now: Time,
+        index: usize,
+        change: Change,
+    ) -> Result<Step, ledger::Error> {
+        let live = &self.live[index];
+        let unknown = unknown_end(&change);
+        let result = self
             .ledger
             .change(now, live.slot, live.name.clone(), change);
-        let (Some(end), Err(ledger::Error::NotSafe(_))) = (unknown, &made) else {
-            return made;
+        let (Some(end), Err(ledger::Error::NotSafe(_))) = (unknown, &result) else {
+            return result;
         };
         let record = self.ledger.record(live.slot, &live.name);
         if record.is_none_or(|record| !record.intake.idempotent) {
-            return made;
+            return result;
         }
         let _ended = live.signals.send(Input::Doubted);
         let end = Change::End(end);
         self.ledger.change(now, live.slot, live.name.clone(), end)
     }
 
-    fn accept(&mut self, node: &Arc<Node>, slot: Slot, begun: Begun, step: &Step) -> Arc<Feed> {
+    fn accept(&mut self, node: &Arc<Node>, slot: Slot, origin: Origin, step: &Step) -> Arc<Feed> {
         node.links.send(step);
-        let feed = self.spawn(node, slot, begun);
-        if let Ok(at) = self.find(&step.update.name) {
-            self.live[at].pending.push(Pending {
+        let feed = self.spawn(node, slot, origin);
+        if let Ok(index) = self.find(&step.update.name) {
+            self.live[index].pending.push(Pending {
                 request: 1,
                 seq: step.seq,
             });
@@ -128,11 +134,11 @@
     }
 
     /// Starts a relay for a request.
-    pub fn spawn(&mut self, node: &Arc<Node>, slot: Slot, begun: Begun) -> Arc<Feed> {
+    pub fn spawn(&mut self, node: &Arc<Node>, slot: Slot, origin: Origin) -> Arc<Feed> {
         let feed = Arc::new(Feed::default());
-        let intake = begun.intake();
+        let intake = origin.intake();
         let (name, digest) = (intake.name.clone(), intake.digest());
-        let signals = relay::spawn(Arc::clone(node), slot, begun, Arc::clone(&feed));
+        let signals = relay::spawn(Arc::clone(node), slot, origin, Arc::clone(&feed));
         let live = Live {
             name,
             slot,
@@ -142,74 +148,75 @@
             pending: Vec::new(),
         };
         match self.find(&live.name) {
-            Ok(at) => self.live[at] = live,
-            Err(at) => self.live.insert(at, live),
+            Ok(index) => self.live[index] = live,
+            Err(index) => self.live.insert(index, live),
         }
         feed
     }
 
-    /// The answer of a request that is known and has no relay.
-    pub fn known(&mut self, node: &Node, slot: Slot, name: &Name) -> Result<Arc<Feed>, Fault> {
+    /// The feed of a request that has a record but no relay.
+    pub fn recorded(&mut self, node: &Node, slot: Slot, name: &Name) -> Result<Arc<Feed>, Fault> {
         if !self.ledger.owned().any(|(owned, _)| owned == slot) {
-            return Err(come_back(
+            return Err(retry_later(
                 Code::Unavailable,
                 "the request is owned elsewhere",
             ));
         }
         self.ledger.recheck(node.now(), slot, name);
         let record = self.ledger.record(slot, name);
-        let unknown = || Fault::new(Code::NotFound, format!("no request {} is known", name.key));
-        let record = record.ok_or_else(unknown)?;
+        let not_found = || Fault::new(Code::NotFound, format!("no request {} is known", name.key));
+        let record = record.ok_or_else(not_found)?;
         let seq = self.ledger.seq(slot, name);
         match record.end {
             Some(end) if seq.is_some_and(|seq| self.ledger.may_leave(slot, name, seq)) => {
                 Ok(Feed::ended(record, end))
             }
-            _ => Err(come_back(
+            _ => Err(retry_later(
                 Code::Unavailable,
                 "the request is changing its owner",
             )),
         }
     }
 
-    /// The ledger took an idempotent request's "not run" back: a relay that waits to tell
-    /// it tells "unknown". False if the request may run once only.
-    pub fn doubt(&mut self, slot: Slot, name: &Name) -> bool {
+    /// Makes the relay of an idempotent request report "unknown", after the ledger retracted
+    /// the request's "not run" before it was reported. Returns false if the request may run
+    /// only once.
+    pub fn retract_not_run(&mut self, slot: Slot, name: &Name) -> bool {
         let record = self.ledger.record(slot, name);
         if record.is_none_or(|record| !record.intake.idempotent) {
             return false;
         }
         let seq = self.ledger.seq(slot, name);
-        if let Ok(at) = self.find(name)
-            && let (Some(pending), Some(seq)) = (self.live[at].pending.last_mut(), seq)
+        if let Ok(index) = self.find(name)
+            && let (Some(pending), Some(seq)) = (self.live[index].pending.last_mut(), seq)
         {
             pending.seq = seq;
-            let _ended = self.live[at].signals.send(Input::Doubted);
+            let _ended = self.live[index].signals.send(Input::Doubted);
         }
         true
     }
 
-    /// Tells relays of a slot what may leave.
+    /// Tells the relays of a slot which of their changes are now released.
     pub fn flush(&mut self, slot: Slot) {
         self.flush_where(|live| live.slot == slot);
     }
 
-    /// Tells some relays what may leave.
+    /// Tells the selected relays which of their changes are now released.
     pub fn flush_where(&mut self, wanted: impl Fn(&Live) -> bool) {
         let ledger = &self.ledger;
         for live in self.live.iter_mut().filter(|live| wanted(live)) {
             let (slot, name) = (live.slot, &live.name);
-            let leaves = |pending: &Pending| ledger.may_leave(slot, name, pending.seq);
-            let held = live.pending.partition_point(leaves);
-            if let Some(last) = live.pending.drain(..held).next_back() {
+            let is_released = |pending: &Pending| ledger.may_leave(slot, name, pending.seq);
+            let released = live.pending.partition_point(is_released);
+            if let Some(last) = live.pending.drain(..released).next_back() {
                 let _ended = live.signals.send(Input::Acked { seq: last.request });
             }
         }
     }
 }
 
-/// The end that says less than "not run", if the change is that.
-fn unknown(change: &Change) -> Option<End> {
+/// The "unknown" end that replaces a "not run", if the change is one.
+fn unknown_end(change: &Change) -> Option<End> {
     match change {
         Change::End(End::NotRun(cause)) => Some(End::Unknown(*cause)),
         _ => None,
--- a/coltsfoothall-entry/src/operator.rs
+++ b/coltsfoothall-entry/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: state an intent, get a plan, confirm it.
+//! The operators' HTTP interface: submit an intent, get a plan, confirm it.
 
 use std::sync::Arc;
 
@@ -20,17 +20,17 @@
 
 use crate::config::{self, KEY};
 use crate::intake;
-use crate::message::{Held, Message};
+use crate::message::{Configs, Message};
 use crate::node::Node;
 use crate::store::Error;
 
-/// When to come back while this instance knows no configuration yet.
-const NOT_READY: Millis = Millis(500);
+/// Retry delay given while this instance has no configuration yet.
+const RETRY_NOT_READY_AFTER: Millis = Millis(500);
 
-/// Answers a call behind `/v1/operator/`.
+/// Answers a call under `/v1/operator/`.
 ///
 /// # Errors
-/// The token is wrong, the call is unknown, or its body cannot be taken.
+/// The token is wrong, the call is unknown, or its body is invalid.
 pub async fn route(
     node: &Arc<Node>,
     parts: &Parts,
@@ -45,8 +45,8 @@
     }
     match (call, &parts.method) {
         ("catalog", &Method::GET) => {
-            let held = held(node, Revision::default()).await?;
-            Ok(serve::json(200, held.held.as_ref()))
+            let configs = configs(node, Revision::default()).await?;
+            Ok(serve::json(200, configs.current.as_ref()))
         }
         ("plan", &Method::POST) => plan(node, body).await,
         ("confirm", &Method::POST) => confirm(node, body).await,
@@ -68,46 +68,47 @@
 async fn plan(node: &Arc<Node>, body: Incoming) -> Result<Response<Body>, Fault> {
     let bytes = read(body, limit::INTENT).await?;
     let text = std::str::from_utf8(&bytes).map_err(|error| Fault::field("body", error))?;
-    let intent: Intent = text.parse().map_err(refused)?;
+    let intent: Intent = text.parse().map_err(invalid_intent)?;
     let base = base(node).await?;
     let id = format!("plan-{:016x}", rand::random::<u64>());
     let id: id::Plan = id
         .parse()
         .map_err(|error| Fault::new(Code::Internal, error))?;
-    let made = Plan::make(&base, intent, id).map_err(refused)?;
+    let planned = Plan::make(&base, intent, id).map_err(invalid_intent)?;
     event::PLANNED.emit(format_args!(
         "plan={} base={} steps={}",
-        made.id,
-        made.base,
-        made.steps.len()
+        planned.id,
+        planned.base,
+        planned.steps.len()
     ));
-    Ok(serve::json(200, &made))
+    Ok(serve::json(200, &planned))
 }
 
-/// The newest configuration that can be had: a plan on an old one would be stale at once.
+/// The newest configuration available: a plan based on an older one would be stale at once.
 async fn base(node: &Node) -> Result<Arc<Catalog>, Fault> {
     let read = config::read(node).await;
     let down = read.is_err();
     if let Ok(Some(newest)) = read {
         config::offer(node, newest).await;
     }
-    let base = held(node, Revision::default()).await?.held;
-    // An empty one would show as new what is there already.
+    let base = configs(node, Revision::default()).await?.current;
+    // A plan based on an empty configuration would show everything that exists as new.
     if down && base.revision == Revision::default() {
-        return Err(unknown());
+        return Err(no_config());
     }
     Ok(base)
 }
 
-fn unknown() -> Fault {
-    let message = "the key-value service does not answer, and no configuration is known here yet";
+fn no_config() -> Fault {
+    let message =
+        "the key-value service does not answer, and this instance has no configuration yet";
     Fault {
-        retry_after_ms: Some(NOT_READY),
+        retry_after_ms: Some(RETRY_NOT_READY_AFTER),
         ..Fault::new(Code::StoreDown, message)
     }
 }
 
-fn refused(error: intent::Error) -> Fault {
+fn invalid_intent(error: intent::Error) -> Fault {
     let field = error.field().unwrap_or_else(|| "body".into());
     Fault {
         field: Some(field),
@@ -126,28 +127,28 @@
         });
     }
     let id = plan.id.clone();
-    let known = held(node, plan.base).await?;
-    let mut attempt = Attempt::new(plan, known.held, known.base);
+    let configs = configs(node, plan.base).await?;
+    let mut attempt = Attempt::new(plan, configs.current, configs.base);
     let mut action = attempt.start();
     let verdict = loop {
         let event = match action {
             Action::Settle(verdict) => break verdict,
-            Action::Read => look(node).await,
+            Action::Read => read_config(node).await,
             Action::Swap { version, value } => swap(node, version, &value).await,
         };
         action = attempt.step(event);
     };
-    event::CONFIRMED.emit(format_args!("plan={id} verdict={}", name(&verdict)));
+    event::CONFIRMED.emit(format_args!("plan={id} verdict={}", verdict_name(&verdict)));
     Ok(serve::json(200, &verdict))
 }
 
-async fn look(node: &Arc<Node>) -> Event {
+async fn read_config(node: &Arc<Node>) -> Event {
     match config::read(node).await {
-        Ok(Some(found)) => {
-            config::offer(node, found.clone()).await;
+        Ok(Some(stored)) => {
+            config::offer(node, stored.clone()).await;
             Event::Found {
-                version: found.version,
-                catalog: Box::new((*found.catalog).clone()),
+                version: stored.version,
+                catalog: Box::new((*stored.catalog).clone()),
             }
         }
         Ok(None) => Event::Found {
@@ -167,22 +168,22 @@
     };
     match node.store.put(KEY, put).await {
         Ok(entry) => {
-            let found = config::Found {
+            let stored = config::Stored {
                 version: entry.version,
                 catalog: Arc::clone(value),
             };
-            config::offer(node, found).await;
+            config::offer(node, stored).await;
             Event::Swapped
         }
         Err(Error::Conflict(_)) => Event::Conflict,
         Err(Error::Unknown(_)) => Event::Lost,
-        Err(Error::Refused(_) | Error::Lapsed) => Event::Down,
+        Err(Error::Refused(_) | Error::Expired) => Event::Down,
     }
 }
 
-async fn held(node: &Node, base: Revision) -> Result<Held, Fault> {
-    let ask = |reply| Message::Held { base, reply };
-    node.control.ask(ask).await.ok_or_else(stopping)
+async fn configs(node: &Node, base: Revision) -> Result<Configs, Fault> {
+    let message = |reply| Message::Configs { base, reply };
+    node.control.ask(message).await.ok_or_else(stopping)
 }
 
 async fn read(body: Incoming, limit: usize) -> Result<bytes::Bytes, Fault> {
@@ -200,12 +201,12 @@
 
 fn stopping() -> Fault {
     Fault {
-        retry_after_ms: Some(NOT_READY),
+        retry_after_ms: Some(RETRY_NOT_READY_AFTER),
         ..Fault::new(Code::Unavailable, "this entry instance is stopping")
     }
 }
 
-fn name(verdict: &Verdict) -> &'static str {
+fn verdict_name(verdict: &Verdict) -> &'static str {
     match verdict {
         Verdict::Accepted(_) => "accepted",
         Verdict::Stale { .. } => "stale",
--- a/coltsfoothall-entry/src/order.rs
+++ b/coltsfoothall-entry/src/order.rs
@@ -1,5 +1,5 @@
-//! A steward's orders to model engines: their states are read, what is wanted
-//! is compared with them, and orders go out under the fencing number.
+//! A steward's orders to model engines: it reads the engines' states, compares them with
+//! the wanted ones, and sends orders under its fencing token.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -23,69 +23,71 @@
 use coltsfoothall_wire::http;
 use coltsfoothall_wire::store::Put;
 
-use crate::demand::{self, Estimate, Noted};
-use crate::steward::Duty;
+use crate::demand::{self, Estimate, Saved};
+use crate::steward::Context;
 use crate::view::View;
 
-/// Between two looks at the engines.
-const TURN: Duration = Duration::from_secs(1);
-/// Longest wait for an engine's state.
-const WITHIN: Duration = Duration::from_secs(1);
-/// Calls under way at once; it stops a large service from filling the connections.
-const AT_ONCE: usize = 64;
+/// Interval at which the engines are read.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of a read of an engine's state.
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of concurrent calls; it keeps a large service from using up the
+/// connections.
+const MAX_CONCURRENT_CALLS: usize = 64;
 
-/// The rollout under one fencing number.
+/// The rollout under one fencing token.
 #[derive(Debug)]
-struct Office {
+struct Term {
     fence: Fence,
     services: u64,
     rollout: Rollout,
     held_back: bool,
-    /// The load as it is noted, once that was read.
-    noted: Option<Noted>,
+    /// The load as it was saved, once it was read or written.
+    saved: Option<Saved>,
 }
 
-/// An engine and what it said of itself.
+/// An engine and the state that it reported.
 #[derive(Debug)]
-struct Seen {
+struct Observed {
     engine: Engine,
     address: String,
     load: u64,
 }
 
-/// Gives orders for a service for as long as its lease allows.
-pub async fn run(duty: &Arc<Duty>) {
-    let mut office: Option<Office> = None;
-    let mut turn = interval(TURN);
-    turn.set_missed_tick_behavior(MissedTickBehavior::Delay);
+/// Sends orders for a service for as long as its lease allows.
+pub async fn run(context: &Arc<Context>) {
+    let mut term: Option<Term> = None;
+    let mut ticks = interval(TICK_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        turn.tick().await;
-        let Some(permit) = duty.lease.permit() else {
+        ticks.tick().await;
+        let Some(permit) = context.lease.permit() else {
             continue;
         };
-        let view = duty.node.view();
-        let Some(service) = view.service(duty.service.as_str()) else {
+        let view = context.node.view();
+        let Some(service) = view.service(context.service.as_str()) else {
             continue;
         };
-        take(duty, &view, permit, &mut office);
-        if let Some(office) = &mut office {
-            office.turn(duty, &view, service).await;
+        update_term(context, &view, permit, &mut term);
+        if let Some(term) = &mut term {
+            term.tick(context, &view, service).await;
         }
     }
 }
 
-/// Begins anew under a new number, or with another part of the weight store.
-fn take(duty: &Duty, view: &View, permit: Permit, office: &mut Option<Office>) {
+/// Starts a new term if the fencing token or the service's share of the weight store
+/// changed.
+fn update_term(context: &Context, view: &View, permit: Permit, term: &mut Option<Term>) {
     let is_model = |service: &&Service| matches!(service.kind, Kind::Model { .. });
     let services = view.catalog.services.iter().filter(is_model).count() as u64;
-    let had = office.as_ref();
-    if had.is_none_or(|had| had.fence != permit.fence) {
-        duty.set_estimate(None);
+    let current = term.as_ref();
+    if current.is_none_or(|term| term.fence != permit.fence) {
+        context.set_estimate(None);
     }
-    if had.is_some_and(|had| had.fence == permit.fence && had.services == services) {
+    if current.is_some_and(|term| term.fence == permit.fence && term.services == services) {
         return;
     }
-    let settings = &duty.node.settings.stewards;
+    let settings = &context.node.settings.stewards;
     let share = share::Settings {
         rate: settings.weight_rate,
         services,
@@ -98,53 +100,57 @@
         ..rollout::Settings::default()
     };
     let rollout = Rollout::new(settings);
-    *office = Some(Office {
+    *term = Some(Term {
         fence: permit.fence,
         services,
         rollout,
         held_back: false,
-        noted: None,
+        saved: None,
     });
 }
 
-impl Office {
-    async fn turn(&mut self, duty: &Duty, view: &View, service: &Service) {
+impl Term {
+    async fn tick(&mut self, context: &Context, view: &View, service: &Service) {
         let Kind::Model { model, adapters } = &service.kind else {
-            self.measure(duty, view, service, None).await;
+            self.measure(context, view, service, None).await;
             return;
         };
-        let seen = read_all(duty, view).await;
-        let open = seen.iter().map(|seen| seen.load).sum();
-        let Some(estimate) = self.measure(duty, view, service, Some(open)).await else {
+        let observed = read_all(context, view).await;
+        let open = observed.iter().map(|observed| observed.load).sum();
+        let Some(estimate) = self.measure(context, view, service, Some(open)).await else {
             return;
         };
-        let needed = estimate.needed(&duty.node.settings.stewards);
+        let needed = estimate.needed(&context.node.settings.stewards);
         let Some(wanted) = wanted(&view.catalog, model, adapters, needed) else {
             return;
         };
-        let engines: Vec<Engine> = seen.iter().map(|seen| seen.engine.clone()).collect();
-        let orders = self.rollout.step(duty.node.now(), &wanted, &engines);
-        duty.surge
+        let engines: Vec<Engine> = observed
+            .iter()
+            .map(|observed| observed.engine.clone())
+            .collect();
+        let orders = self.rollout.step(context.node.now(), &wanted, &engines);
+        context
+            .surge
             .store(self.rollout.progress().surge, Ordering::Relaxed);
-        self.check(duty);
+        self.report_violation(context);
         let fence = self.fence;
         let mut sends = Vec::new();
         for order in orders {
-            let found = seen.binary_search_by(|s| s.engine.endpoint.cmp(&order.endpoint));
+            let found = observed.binary_search_by(|s| s.engine.endpoint.cmp(&order.endpoint));
             if let Ok(at) = found {
-                sends.push(send(duty, fence, order, &seen[at].address));
+                sends.push(send(context, fence, order, &observed[at].address));
             }
         }
         stream::iter(sends)
-            .buffer_unordered(AT_ONCE)
+            .buffer_unordered(MAX_CONCURRENT_CALLS)
             .collect::<Vec<()>>()
             .await;
     }
 
-    /// Takes a sample of the load into the estimate.
+    /// Adds a sample of the load to the estimate.
     async fn measure(
         &mut self,
-        duty: &Duty,
+        context: &Context,
         view: &View,
         service: &Service,
         open: Option<u64>,
@@ -152,69 +158,72 @@
         if view.machines.is_empty() {
             return None;
         }
-        let settings = &duty.node.settings.stewards;
-        let mut estimate = match duty.estimate() {
+        let settings = &context.node.settings.stewards;
+        let mut estimate = match context.estimate() {
             Some(estimate) => estimate,
-            None => Estimate::new(duty.node.now(), recall(duty, view).await?),
+            None => Estimate::new(context.node.now(), load_saved(context, view).await?),
         };
         let sample = demand::sample(view, service, open);
-        estimate.add(duty.node.now(), sample, settings);
-        duty.set_estimate(Some(estimate));
-        self.note(duty, estimate.load()).await;
+        estimate.add(context.node.now(), sample, settings);
+        context.set_estimate(Some(estimate));
+        self.save(context, estimate.load()).await;
         Some(estimate)
     }
 
-    /// Notes the load for the next steward if it has changed.
-    async fn note(&mut self, duty: &Duty, load: u64) {
-        if self.noted.is_some_and(|noted| !noted.is_old(load)) || !duty.lease.allows(self.fence) {
+    /// Saves the load for the next steward if it has changed enough.
+    async fn save(&mut self, context: &Context, load: u64) {
+        if self.saved.is_some_and(|saved| !saved.is_outdated_by(load))
+            || !context.lease.allows(self.fence)
+        {
             return;
         }
-        let noted = Noted { load };
-        let value = String::from_utf8_lossy(&http::json(&noted)).into_owned();
+        let saved = Saved { load };
+        let value = String::from_utf8_lossy(&http::json(&saved)).into_owned();
         let put = Put {
             value,
             version: None,
             lease: None,
         };
-        match duty.node.store.put(&key(&duty.service), put).await {
-            Ok(_entry) => self.noted = Some(noted),
-            // The next turn tries again.
-            Err(error) => failed(duty, "note", &error),
+        match context.node.store.put(&key(&context.service), put).await {
+            Ok(_entry) => self.saved = Some(saved),
+            // The next tick retries.
+            Err(error) => log_failure(context, "note", &error),
         }
     }
 
-    fn check(&mut self, duty: &Duty) {
+    fn report_violation(&mut self, context: &Context) {
         if let (Some(broken), false) = (self.rollout.broken(), self.held_back) {
             self.held_back = true;
-            duty.node.broken("order_held_back", broken);
+            context.node.report_violation("order_held_back", broken);
         }
     }
 }
 
-/// Key of the noted load.
+/// Key of the saved load.
 fn key(service: &id::Service) -> String {
     format!("load.{service}")
 }
 
-/// The load that a former steward noted; the present instances' where there is none.
-async fn recall(duty: &Duty, view: &View) -> Option<u64> {
-    match duty.node.store.get(&key(&duty.service)).await {
-        Ok(Some(entry)) => match http::parse::<Noted>(entry.value.as_bytes()) {
-            Ok(noted) => return Some(noted.load),
-            Err(error) => failed(duty, "parse", &error),
+/// The load that the previous steward saved, or what the current instances carry if none is
+/// saved.
+async fn load_saved(context: &Context, view: &View) -> Option<u64> {
+    match context.node.store.get(&key(&context.service)).await {
+        Ok(Some(entry)) => match http::parse::<Saved>(entry.value.as_bytes()) {
+            Ok(saved) => return Some(saved.load),
+            Err(error) => log_failure(context, "parse", &error),
         },
         Ok(None) => {}
         Err(error) => {
-            failed(duty, "read", &error);
+            log_failure(context, "read", &error);
             return None;
         }
     }
-    let settings = &duty.node.settings.stewards;
-    Some(demand::carried(view, &duty.service, settings))
+    let settings = &context.node.settings.stewards;
+    Some(demand::surviving_capacity(view, &context.service, settings))
 }
 
-fn failed(duty: &Duty, step: &str, error: &dyn std::error::Error) {
-    let service = &duty.service;
+fn log_failure(context: &Context, step: &str, error: &dyn std::error::Error) {
+    let service = &context.service;
     event::STORE_FAILED.emit(format_args!(
         "step=load_{step} service={service} error=\"{error}\""
     ));
@@ -233,13 +242,13 @@
         },
         size,
     };
-    let model = catalog.models.iter().find(|held| held.name == *model)?;
-    let known = catalog
+    let model = catalog.models.iter().find(|known| known.name == *model)?;
+    let wanted = catalog
         .adapters
         .iter()
-        .filter(|held| adapters.contains(&held.name));
-    let mut adapters: Vec<Weights> = known
-        .map(|held| weights(held.name.as_str(), held.version, held.weights))
+        .filter(|known| adapters.contains(&known.name));
+    let mut adapters: Vec<Weights> = wanted
+        .map(|known| weights(known.name.as_str(), known.version, known.weights))
         .collect();
     adapters.sort_by(|a, b| a.loaded.cmp(&b.loaded));
     let model = weights(model.name.as_str(), model.version, model.weights);
@@ -250,32 +259,32 @@
     })
 }
 
-/// Engines of the service that answer, sorted by name. One that doesn't answer
-/// counts as not serving.
-async fn read_all(duty: &Duty, view: &View) -> Vec<Seen> {
-    let here = |m: &&Machine| m.service == duty.service && !m.address.is_empty();
+/// The engines of the service that answer, sorted by name. One that doesn't answer counts
+/// as not serving.
+async fn read_all(context: &Context, view: &View) -> Vec<Observed> {
+    let in_service = |m: &&Machine| m.service == context.service && !m.address.is_empty();
     let mut reads = Vec::new();
-    for machine in view.machines.iter().filter(here) {
-        reads.push(read(duty, view, machine));
+    for machine in view.machines.iter().filter(in_service) {
+        reads.push(read(context, view, machine));
     }
     let reads = stream::iter(reads)
-        .buffer_unordered(AT_ONCE)
-        .collect::<Vec<Option<Seen>>>();
-    let mut seen: Vec<Seen> = reads.await.into_iter().flatten().collect();
-    seen.sort_by(|a, b| a.engine.endpoint.cmp(&b.engine.endpoint));
-    seen
+        .buffer_unordered(MAX_CONCURRENT_CALLS)
+        .collect::<Vec<Option<Observed>>>();
+    let mut observed: Vec<Observed> = reads.await.into_iter().flatten().collect();
+    observed.sort_by(|a, b| a.engine.endpoint.cmp(&b.engine.endpoint));
+    observed
 }
 
-async fn read(duty: &Duty, view: &View, machine: &Machine) -> Option<Seen> {
+async fn read(context: &Context, view: &View, machine: &Machine) -> Option<Observed> {
     let endpoint: id::Endpoint = machine.id.as_str().parse().ok()?;
-    let client = &duty.node.client;
+    let client = &context.node.client;
     let address = &machine.address;
     let state = client
-        .get::<State>("state", address, "/v1/state", WITHIN)
+        .get::<State>("state", address, "/v1/state", READ_TIMEOUT)
         .await
         .ok()?;
     let load = client
-        .get::<Load>("load", address, "/v1/load", WITHIN)
+        .get::<Load>("load", address, "/v1/load", READ_TIMEOUT)
         .await
         .ok()?;
     let open = load.running + load.waiting;
@@ -288,7 +297,7 @@
         open,
         leaving: !demand::is_live(view, machine),
     };
-    Some(Seen {
+    Some(Observed {
         engine,
         address: address.clone(),
         load: u64::from(open),
@@ -296,14 +305,14 @@
 }
 
 /// Sends an order if the lease still allows it.
-async fn send(duty: &Duty, fence: Fence, order: Order, address: &str) {
+async fn send(context: &Context, fence: Fence, order: Order, address: &str) {
     let order::Order {
         endpoint,
         model,
         adapters,
         role,
     } = order;
-    let service = &duty.service;
+    let service = &context.service;
     event::ORDER.emit(format_args!(
         "service={service} endpoint={endpoint} fence={fence} model={} version={} role={role:?}",
         model.name, model.version
@@ -314,17 +323,24 @@
         adapters,
         role,
     };
-    let within = duty.node.settings.stewards.flight.duration();
-    // Asked last, so that nothing but the write follows it.
-    if !duty.lease.allows(fence) {
+    let timeout = context.node.settings.stewards.flight.duration();
+    // Checked last, so that nothing but the write follows.
+    if !context.lease.allows(fence) {
         return;
     }
-    let client = &duty.node.client;
+    let client = &context.node.client;
     let sent: Result<State, Error> = client
-        .exchange("order", Method::POST, address, "/v1/orders", &order, within)
+        .exchange(
+            "order",
+            Method::POST,
+            address,
+            "/v1/orders",
+            &order,
+            timeout,
+        )
         .await;
     if let Err(error) = sent {
-        // The order names a state, so the next turn sends it again if need be.
+        // An order names a target state, so the next tick sends it again if it is still needed.
         event::ORDER_FAILED.emit(format_args!(
             "service={service} endpoint={endpoint} error=\"{error}\""
         ));
--- a/coltsfoothall-entry/src/path.rs
+++ b/coltsfoothall-entry/src/path.rs
@@ -1,30 +1,30 @@
-//! Paths of the callers' and operators' interface.
+//! The paths of the callers' and operators' HTTP interface.
 
 /// A path of the interface.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Path<'a> {
     /// Addresses that callers can use.
     Addresses,
-    /// Minting of keys.
+    /// Minting of a key.
     Keys,
     /// Completions.
     Completions,
-    /// A request that is known by its key.
+    /// A request, by its key.
     Request(&'a str),
     /// A plain service.
     Service {
-        /// Its name.
+        /// The service's name.
         name: &'a str,
-        /// What goes on to it: its own path, with the query.
+        /// The path that is forwarded to it, with the query.
         rest: &'a str,
     },
-    /// A call of operators.
+    /// A call for operators.
     Operator(&'a str),
-    /// Whether this instance answers at all.
+    /// The liveness check.
     Health,
 }
 
-/// Reads a path, the query included. None if nothing is there.
+/// Parses a path with its query. Returns `None` if there is nothing at this path.
 #[must_use]
 pub fn scan(path: &str) -> Option<Path<'_>> {
     let plain = path.split('?').next().unwrap_or(path);
@@ -41,9 +41,9 @@
     if let Some(call) = plain.strip_prefix("/v1/operator/") {
         return Some(Path::Operator(call));
     }
-    let behind = path.strip_prefix("/v1/services/")?;
-    let end = behind.find(['/', '?']).unwrap_or(behind.len());
-    let (name, rest) = behind.split_at(end);
+    let suffix = path.strip_prefix("/v1/services/")?;
+    let end = suffix.find(['/', '?']).unwrap_or(suffix.len());
+    let (name, rest) = suffix.split_at(end);
     Some(Path::Service {
         name,
         rest: if rest.is_empty() { "/" } else { rest },
--- a/coltsfoothall-entry/src/peer.rs
+++ b/coltsfoothall-entry/src/peer.rs
@@ -1,4 +1,4 @@
-//! The side of an entry instance that other entry instances talk to.
+//! The HTTP and RPC interface for other entry instances.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -36,21 +36,21 @@
 use crate::message::Message;
 use crate::node::Node;
 
-/// Answers other entry instances.
+/// The HTTP handler for other entry instances.
 #[derive(Debug)]
-pub struct Back {
+pub struct Server {
     node: Arc<Node>,
 }
 
-impl Back {
-    /// The side of an entry instance that others talk to.
+impl Server {
+    /// Creates the handler of an entry instance.
     #[must_use]
     pub fn new(node: Arc<Node>) -> Self {
         Self { node }
     }
 }
 
-impl Handler for Back {
+impl Handler for Server {
     fn call(self: Arc<Self>, request: Request<Incoming>, _peer: SocketAddr) -> Answer {
         let node = Arc::clone(&self.node);
         Box::pin(async move {
@@ -96,25 +96,25 @@
     Ok(Response::new(StreamBody::new(frames).boxed_unsync()))
 }
 
-/// What is still to be sent of an answer.
+/// The rest of an answer that is still to be sent.
 enum Pieces {
     Follow(Follower),
     Fault(Box<Fault>),
-    Over,
+    End,
 }
 
 impl Pieces {
     async fn next(self) -> Option<(Piece, Self)> {
         match self {
-            Self::Over => None,
-            Self::Fault(fault) => Some((Piece::Fault(fault), Self::Over)),
+            Self::End => None,
+            Self::Fault(fault) => Some((Piece::Fault(fault), Self::End)),
             Self::Follow(mut follower) => {
                 let piece = follower.next().await;
                 let last = matches!(piece, Piece::End { .. } | Piece::Moved);
                 Some((
                     piece,
                     if last {
-                        Self::Over
+                        Self::End
                     } else {
                         Self::Follow(follower)
                     },
@@ -124,7 +124,7 @@
     }
 }
 
-/// Turns the connection into one for [`Peer`] calls.
+/// Upgrades the connection to one for [`Peer`] calls.
 fn upgrade(node: &Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     let node = Arc::clone(node);
     tokio::spawn(async move {
@@ -144,14 +144,14 @@
     let framed = Framed::new(TokioIo::new(upgraded), peer::codec());
     let transport = serde_transport::new(framed, MessagePack::default());
     let channel = BaseChannel::with_defaults(transport);
-    // One call after another: changes of a record must not overtake each other.
+    // Calls run one after another: changes of a record must not overtake each other.
     channel
         .execute(Calls { node }.serve())
         .for_each(|call| call)
         .await;
 }
 
-/// Carries out calls.
+/// Handles the calls of one connection.
 #[derive(Debug, Clone)]
 struct Calls {
     node: Arc<Node>,
@@ -161,8 +161,8 @@
     async fn beat(self, _: Context, heartbeat: Heartbeat) -> Heartbeat {
         let board = &self.node.board;
         board.peer_bytes(Flow::In, peer::encode(&heartbeat).len() as u64);
-        let ask = |reply| Message::Beat { heartbeat, reply };
-        let answer = self.node.control.ask(ask).await.unwrap_or_default();
+        let message = |reply| Message::Heartbeat { heartbeat, reply };
+        let answer = self.node.control.ask(message).await.unwrap_or_default();
         board.peer_bytes(Flow::Out, peer::encode(&answer).len() as u64);
         answer
     }
@@ -187,8 +187,8 @@
     }
 
     async fn hand_over(self, _: Context, handoff: Handoff) -> bool {
-        let ask = |reply| Message::Handoff { handoff, reply };
-        self.node.control.ask(ask).await.unwrap_or(false)
+        let message = |reply| Message::Handoff { handoff, reply };
+        self.node.control.ask(message).await.unwrap_or(false)
     }
 
     async fn cede(self, _: Context, slot: Slot, epoch: Epoch) -> bool {
@@ -209,8 +209,11 @@
     }
 
     async fn evidence(self, _: Context, told: Vec<Evidence>) -> Vec<Evidence> {
-        let ask = |reply| Message::Evidence { told, reply };
-        self.node.control.ask(ask).await.unwrap_or_default()
+        let message = |reply| Message::Evidence {
+            evidence: told,
+            reply,
+        };
+        self.node.control.ask(message).await.unwrap_or_default()
     }
 
     async fn notice(self, _: Context, instance: id::Instance) {
--- a/coltsfoothall-entry/src/pick.rs
+++ b/coltsfoothall-entry/src/pick.rs
@@ -11,25 +11,26 @@
 use coltsfoothall::record::{Intake, Work};
 use coltsfoothall::size::Tokens;
 
-/// Prompt tokens that an engine under full load reads between two tokens.
-const PIECE: Tokens = Tokens(2_048);
+/// Prompt tokens that an engine under full load processes between two generated tokens.
+const PREFILL_CHUNK: Tokens = Tokens(2_048);
 
-/// Most tokens that count for how long an answer takes; more overflow nothing.
-const LONGEST: u32 = 1 << 16;
+/// Maximum number of tokens that count for the expected duration of an answer. More could
+/// overflow the multiplication.
+const MAX_EXPECTED_TOKENS: u32 = 1 << 16;
 
 /// A request that asks for an endpoint.
 #[derive(Debug)]
 pub struct Pick {
-    /// Its place at the gate, if it was admitted here.
+    /// Its admission, if it was admitted here.
     pub number: Option<Number>,
-    /// What it asks of the gate.
+    /// The demand that the gate decides on.
     pub ticket: Ticket,
-    /// Number of the attempt to be made.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// Endpoints that are not to be chosen, sorted.
+    /// Endpoints that must not be chosen, sorted.
     pub exclude: Vec<id::Endpoint>,
-    /// The marks of its content.
-    pub print: Print,
+    /// The fingerprint of its content.
+    pub fingerprint: Print,
     /// Whether it may run more than once.
     pub idempotent: bool,
     model: Option<id::Model>,
@@ -39,7 +40,7 @@
 }
 
 impl Pick {
-    /// What a request asks for. `text` is what was generated already.
+    /// Creates the pick of a request. `text` is what was generated already.
     #[must_use]
     pub fn new(
         intake: &Intake,
@@ -48,15 +49,15 @@
         exclude: Vec<id::Endpoint>,
         deadline: Time,
     ) -> Self {
-        // One that is carried on is owed its place until its deadline.
-        let ticket = demand(intake, deadline);
-        let print = Print::new(intake);
-        let bare = Self {
+        // A request that was taken over keeps its claim until its deadline.
+        let ticket = ticket_until(intake, deadline);
+        let fingerprint = Print::new(intake);
+        let plain = Self {
             number: None,
             ticket,
             attempt,
             exclude,
-            print,
+            fingerprint,
             idempotent: intake.idempotent,
             model: None,
             blocks: Vec::new(),
@@ -70,7 +71,7 @@
             max_tokens,
         } = &intake.work
         else {
-            return bare;
+            return plain;
         };
         let seed = prefix::seed(model, adapter.as_ref());
         let blocks = if text.is_empty() {
@@ -83,16 +84,16 @@
             blocks,
             prompt: prefix::tokens(prompt),
             max_tokens: Tokens(*max_tokens),
-            ..bare
+            ..plain
         }
     }
 
-    /// What the router is asked. `exclude` names the endpoints that are out of question.
-    pub(crate) fn ask<'a>(
+    /// The query for the router. `exclude` names the endpoints that must not be chosen.
+    pub(crate) fn query<'a>(
         &'a self,
         domain: &'a id::Domain,
         exclude: &'a [id::Endpoint],
-        alone: bool,
+        isolated: bool,
     ) -> Ask<'a> {
         Ask {
             service: &self.ticket.service,
@@ -103,38 +104,40 @@
             class: self.ticket.class,
             domain,
             exclude,
-            alone,
+            alone: isolated,
         }
     }
 }
 
-/// What a new request asks of the gate: to begin early enough for its answer to
-/// be whole at its deadline.
+/// What a new request asks of the gate: to start early enough for its answer to be complete
+/// at its deadline.
 #[must_use]
 pub fn ticket(intake: &Intake, deadline: Time) -> Ticket {
     let span = intake.deadline.duration();
-    demand(intake, deadline - expected(intake).min(span / 2))
+    ticket_until(intake, deadline - expected(intake).min(span / 2))
 }
 
-/// How long an answer takes once it begins, at full load: it waits behind what
-/// one endpoint reads at once, and a piece of others' prompts is read between
-/// any two of its tokens.
+/// Expected duration of an answer at full load: it waits behind the prompt tokens that one
+/// endpoint has queued, and a piece of other prompts is processed between any two of its
+/// tokens.
 fn expected(intake: &Intake) -> Duration {
     let settings = choice::Settings::default();
-    let reading = |tokens: Tokens| Duration::from_secs_f64(tokens.0 as f64 * settings.read / 1e6);
+    let read_time = |tokens: Tokens| Duration::from_secs_f64(tokens.0 as f64 * settings.read / 1e6);
     match &intake.work {
         Work::Completion {
             prompt, max_tokens, ..
         } => {
-            let tokens = u32::try_from(*max_tokens).unwrap_or(u32::MAX).min(LONGEST);
-            let each = settings.step.duration() + reading(PIECE);
-            reading(settings.depth) + reading(prefix::tokens(prompt)) + each * tokens
+            let tokens = u32::try_from(*max_tokens)
+                .unwrap_or(u32::MAX)
+                .min(MAX_EXPECTED_TOKENS);
+            let per_token = settings.step.duration() + read_time(PREFILL_CHUNK);
+            read_time(settings.depth) + read_time(prefix::tokens(prompt)) + per_token * tokens
         }
         Work::Call { .. } => Duration::ZERO,
     }
 }
 
-fn demand(intake: &Intake, deadline: Time) -> Ticket {
+fn ticket_until(intake: &Intake, deadline: Time) -> Ticket {
     let cost = match &intake.work {
         Work::Completion { prompt, .. } => prefix::tokens(prompt),
         Work::Call { .. } => Tokens(1),
--- a/coltsfoothall-entry/src/platform.rs
+++ b/coltsfoothall-entry/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's instance list and reclaim notices, and what endpoints report.
+//! Reads the platform's instance list and reclaim notices, and the reports of endpoints.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,25 +17,26 @@
 use crate::message::Message;
 use crate::node::Node;
 
-/// Longest wait for the instance list or a report.
-const WITHIN: Duration = Duration::from_secs(2);
-/// Longest wait of one call for notices.
-const WATCH: Duration = Duration::from_secs(20);
-/// Reads of reports at once; more than one, so that an engine that does not
-/// answer holds up no other, and few, so that a large fleet opens few connections.
-const READS: usize = 32;
-/// Wait after a failed call.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Timeout of a read of the instance list or of a report.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum wait of one call for notices.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum number of concurrent reads of reports. It is more than one, so that an engine
+/// that does not answer holds up no other, and small, so that a large fleet needs few
+/// connections.
+const MAX_CONCURRENT_READS: usize = 32;
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Keeps reading the instance list.
+/// Reads the instance list periodically.
 pub async fn list(node: Arc<Node>) {
-    let mut turn = interval(node.settings.times.list.duration());
+    let mut ticks = interval(node.settings.times.list.duration());
     let cloud = node.settings.cloud.to_string();
     loop {
-        turn.tick().await;
+        ticks.tick().await;
         let read = node
             .client
-            .get::<Machines>("list", &cloud, "/v1/instances", WITHIN)
+            .get::<Machines>("list", &cloud, "/v1/instances", READ_TIMEOUT)
             .await;
         match read {
             Ok(list) => node.control.send(Message::Machines(list.machines)),
@@ -44,16 +45,19 @@
     }
 }
 
-/// Keeps waiting for reclaim notices.
+/// Waits for reclaim notices in a loop.
 pub async fn notices(node: Arc<Node>) {
     let cloud = node.settings.cloud.to_string();
     let mut after = 0;
     loop {
-        let path = format!("/v1/notices?after={after}&wait_ms={}", WATCH.as_millis());
-        let within = WATCH + WITHIN;
+        let path = format!(
+            "/v1/notices?after={after}&wait_ms={}",
+            WATCH_TIMEOUT.as_millis()
+        );
+        let timeout = WATCH_TIMEOUT + READ_TIMEOUT;
         match node
             .client
-            .get::<Notices>("notices", &cloud, &path, within)
+            .get::<Notices>("notices", &cloud, &path, timeout)
             .await
         {
             Ok(notices) => {
@@ -68,13 +72,13 @@
             }
             Err(error) => {
                 event::LIST_FAILED.emit(format_args!("error=\"{error}\""));
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Where reading an engine's reports stands.
+/// The position in an engine's cache events.
 #[derive(Debug)]
 struct Reader {
     endpoint: id::Endpoint,
@@ -82,39 +86,43 @@
     after: u64,
 }
 
-/// Keeps reading load and cache events of the engines that this instance uses.
+/// Reads load and cache events of all engines periodically.
 pub async fn reports(node: Arc<Node>) {
-    let every = node.settings.times.report.duration();
+    let period = node.settings.times.report.duration();
     let mut readers: Vec<Reader> = Vec::new();
     loop {
-        let began = Instant::now();
-        renew(&node, &mut readers);
-        let reads = stream::iter(&mut readers).for_each_concurrent(READS, |reader| {
-            let node = Arc::clone(&node);
-            async move {
-                // An engine that does not report is judged by own requests alone.
-                let _silent = read(&node, reader).await;
-            }
-        });
+        let started = Instant::now();
+        update_readers(&node, &mut readers);
+        let reads =
+            stream::iter(&mut readers).for_each_concurrent(MAX_CONCURRENT_READS, |reader| {
+                let node = Arc::clone(&node);
+                async move {
+                    // For an engine that does not report, routing relies on this instance's own
+                    // requests alone.
+                    let _silent = read(&node, reader).await;
+                }
+            });
         reads.await;
-        sleep(every.saturating_sub(began.elapsed())).await;
+        sleep(period.saturating_sub(started.elapsed())).await;
     }
 }
 
-fn renew(node: &Node, readers: &mut Vec<Reader>) {
+fn update_readers(node: &Node, readers: &mut Vec<Reader>) {
     let view = node.view();
     readers.retain(|reader| {
         view.location(&reader.endpoint)
             .is_some_and(|location| location.engine)
     });
     for location in view.locations.iter().filter(|location| location.engine) {
-        if let Err(at) = readers.binary_search_by(|have| have.endpoint.cmp(&location.endpoint)) {
+        if let Err(index) =
+            readers.binary_search_by(|reader| reader.endpoint.cmp(&location.endpoint))
+        {
             let reader = Reader {
                 endpoint: location.endpoint.clone(),
                 address: location.address.clone(),
                 after: 0,
             };
-            readers.insert(at, reader);
+            readers.insert(index, reader);
         }
     }
 }
@@ -122,7 +130,7 @@
 async fn read(node: &Node, reader: &mut Reader) -> Result<(), Error> {
     let load = node
         .client
-        .get::<Load>("load", &reader.address, "/v1/load", WITHIN)
+        .get::<Load>("load", &reader.address, "/v1/load", READ_TIMEOUT)
         .await?;
     let report = Report {
         running: load.running,
@@ -136,7 +144,7 @@
     let path = format!("/v1/cache/events?after={}", reader.after);
     let events = node
         .client
-        .get::<Events>("cache", &reader.address, &path, WITHIN)
+        .get::<Events>("cache", &reader.address, &path, READ_TIMEOUT)
         .await?;
     reader.after = events.newest;
     if !events.events.is_empty() {
--- a/coltsfoothall-entry/src/probe.rs
+++ b/coltsfoothall-entry/src/probe.rs
@@ -1,4 +1,4 @@
-//! Trials of endpoints that may be dead, and what follows from a death.
+//! Probes endpoints that may be dead, and handles their deaths.
 
 use std::sync::Arc;
 
@@ -13,21 +13,21 @@
 use crate::death::{self, Finding};
 use crate::message::Message;
 
-/// Peers that new evidence is told to, which tell it on.
-const FAN: usize = 6;
+/// Number of peers that new evidence is sent to. They forward it.
+const EVIDENCE_FANOUT: usize = 6;
 
 impl Control {
-    /// A trial ended: takes in what it found.
+    /// Handles the result of a probe.
     pub fn record_probe(&mut self, now: Time, endpoint: &id::Endpoint, found: Finding) {
-        let found = self.settle(endpoint, found);
+        let found = self.resolve(endpoint, found);
         if self.dispatch.record_probe(now, endpoint, found) {
             self.endpoint_died(endpoint, found == (Finding::Dead { domain: true }));
         }
     }
 
-    /// What a trial found, where no answer of an endpoint that left the instance
+    /// The result of a probe, except that no answer from an endpoint that left the instance
     /// list means that it is dead.
-    fn settle(&self, endpoint: &id::Endpoint, found: Finding) -> Finding {
+    fn resolve(&self, endpoint: &id::Endpoint, found: Finding) -> Finding {
         let listed = self.inventory.find(endpoint).is_some();
         match found {
             Finding::Silent if !listed => Finding::Dead { domain: false },
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Tries endpoints that run something here and left the instance list.
-    pub fn probe_removed(&mut self, gone: &[Machine]) {
-        for machine in gone {
+    /// Probes endpoints that left the instance list while attempts of this instance run there.
+    pub fn probe_removed(&mut self, removed: &[Machine]) {
+        for machine in removed {
             let Ok(endpoint) = machine.id.as_str().parse::<id::Endpoint>() else {
                 continue;
             };
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Tries an endpoint, and if it is dead the others of its failure domain.
+    /// Probes an endpoint, and if it is dead also other instances of its failure domain.
     pub fn probe_endpoint(&mut self, endpoint: id::Endpoint) {
         let machine = self.inventory.find(&endpoint).cloned();
         self.probe_machine(endpoint, machine.as_ref());
@@ -62,48 +62,51 @@
         let node = Arc::clone(&self.node);
         let address = machine.map(|m| m.address.clone()).unwrap_or_default();
         let boot = self.dispatch.detector().probed_boot(&endpoint);
-        let mates = machine.map(|m| self.inventory.mates(m)).unwrap_or_default();
+        let peers = machine
+            .map(|m| self.inventory.domain_peers(m))
+            .unwrap_or_default();
         tokio::spawn(async move {
-            let found = death::probe(&node.client, &address, boot, &mates).await;
+            let found = death::probe(&node.client, &address, boot, &peers).await;
             node.control.send(Message::ProbeEnded(endpoint, found));
         });
     }
 
-    /// An endpoint died: its requests go on elsewhere at once, and what ran
-    /// there is suspected unless its death was announced.
+    /// Handles the death of an endpoint: its requests continue elsewhere at once, and what ran
+    /// there is suspected unless the death was announced.
     fn endpoint_died(&mut self, endpoint: &id::Endpoint, domain: bool) {
         let now = self.node.now();
-        let again = self.dispatch.detector().is_dead(endpoint);
-        if again && self.dispatch.open_at(endpoint) == 0 {
-            // Tried again and still dead; all know.
+        let known = self.dispatch.detector().is_dead(endpoint);
+        if known && self.dispatch.open_at(endpoint) == 0 {
+            // Probed again and still dead; this was reported before.
             self.dispatch.record_death(now, endpoint, true);
             return;
         }
-        let announced = domain || self.inventory.announced(endpoint);
+        let announced = domain || self.inventory.end_announced(endpoint);
         let marks = self.dispatch.record_death(now, endpoint, announced);
         event::ENDPOINT_DIED.emit(format_args!(
             "endpoint={endpoint} announced={announced} suspects={}",
             marks.len()
         ));
-        self.node.requests.tell_all(&Input::EndpointDied {
+        self.node.requests.notify_all(&Input::EndpointDied {
             endpoint: endpoint.clone(),
         });
         if !marks.is_empty() {
-            let evidence = self.dispatch.detector().about(now, &marks);
-            self.members.tell(&evidence, FAN);
+            let evidence = self.dispatch.detector().evidence_about(now, &marks);
+            self.members.send_evidence(&evidence, EVIDENCE_FANOUT);
         }
         self.dispatch.poll(now);
     }
 
-    /// Takes in evidence and tells on what is new; nothing told asks for all.
-    pub fn evidence(&mut self, told: &[Evidence]) -> Vec<Evidence> {
+    /// Merges evidence from a peer and forwards what is new. An empty list asks for all
+    /// evidence.
+    pub fn evidence(&mut self, reported: &[Evidence]) -> Vec<Evidence> {
         let now = self.node.now();
-        if told.is_empty() {
+        if reported.is_empty() {
             return self.dispatch.detector().evidence(now);
         }
-        let news = self.dispatch.detector().merge(now, told);
-        if !news.is_empty() {
-            self.members.tell(&news, FAN);
+        let added = self.dispatch.detector().merge(now, reported);
+        if !added.is_empty() {
+            self.members.send_evidence(&added, EVIDENCE_FANOUT);
         }
         Vec::new()
     }
--- a/coltsfoothall-entry/src/queue.rs
+++ b/coltsfoothall-entry/src/queue.rs
@@ -1,4 +1,4 @@
-//! Picks that wait at the gate until their turn comes.
+//! Picks that wait at the gate to be admitted.
 
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -7,78 +7,79 @@
 use coltsfoothall::limit::Number;
 use coltsfoothall::step::Input;
 
-use crate::attempt::Open;
+use crate::attempt::Running;
 use crate::pick::Pick;
 
-/// A pick that waits at the gate.
+/// A pick that waits to be admitted.
 #[derive(Debug)]
 pub struct Waiting {
-    /// Its place at the gate.
+    /// Its admission.
     pub number: Number,
-    /// Whether the place at the gate ends with the attempt, not the request.
-    pub own: bool,
-    /// What it asks for.
+    /// Whether the admission is released when the attempt ends rather than when the request
+    /// ends.
+    pub ends_with_attempt: bool,
+    /// The requested pick.
     pub pick: Pick,
-    /// Gets the choice.
+    /// Receives the chosen endpoint.
     pub reply: UnboundedSender<Input>,
 }
 
 impl Waiting {
-    /// Its attempt, which begins as a run at an endpoint.
-    pub fn open(self, run: Run) -> Open {
+    /// Turns the pick into a running attempt.
+    pub fn start(self, run: Run) -> Running {
         let Self {
             number,
-            own,
+            ends_with_attempt,
             pick,
             reply,
         } = self;
         let attempt = pick.attempt;
-        Open {
+        Running {
             attempt,
             run,
             number,
-            own,
+            ends_with_attempt,
             reply,
         }
     }
 }
 
-/// All picks that wait, in the order in which they came.
+/// The waiting picks, in order of arrival.
 #[derive(Debug, Default)]
 pub struct Queue {
     waiting: Vec<Waiting>,
 }
 
 impl Queue {
-    /// Picks that wait.
+    /// Number of waiting picks.
     pub fn count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Services that the picks ask for.
+    /// The services of the waiting picks, one item per pick.
     pub fn services(&self) -> impl Iterator<Item = &id::Service> {
         self.waiting
             .iter()
             .map(|waiting| &waiting.pick.ticket.service)
     }
 
-    /// Lets a pick wait.
+    /// Adds a pick.
     pub fn push(&mut self, waiting: Waiting) {
         self.waiting.push(waiting);
     }
 
-    /// Takes the pick of a place at the gate.
-    pub fn take(&mut self, number: Number) -> Option<Waiting> {
-        self.take_first(|waiting| waiting.number == number)
+    /// Removes the pick of an admission.
+    pub fn remove(&mut self, number: Number) -> Option<Waiting> {
+        self.remove_first(|waiting| waiting.number == number)
     }
 
-    /// Takes the pick of an attempt that was given up.
-    pub fn take_attempt(&mut self, attempt: u64) -> Option<Waiting> {
-        self.take_first(|waiting| waiting.pick.attempt == attempt)
+    /// Removes the pick of an abandoned attempt.
+    pub fn remove_attempt(&mut self, attempt: u64) -> Option<Waiting> {
+        self.remove_first(|waiting| waiting.pick.attempt == attempt)
     }
 
-    fn take_first(&mut self, is: impl FnMut(&Waiting) -> bool) -> Option<Waiting> {
-        let at = self.waiting.iter().position(is)?;
-        Some(self.waiting.remove(at))
+    fn remove_first(&mut self, matches: impl FnMut(&Waiting) -> bool) -> Option<Waiting> {
+        let index = self.waiting.iter().position(matches)?;
+        Some(self.waiting.remove(index))
     }
 }
--- a/coltsfoothall-entry/src/refusal.rs
+++ b/coltsfoothall-entry/src/refusal.rs
@@ -1,4 +1,4 @@
-//! What callers are told when a request is not taken in.
+//! The faults that callers get when a request is not accepted.
 
 use coltsfoothall::ledger::Begin;
 use coltsfoothall::limit::Refusal;
@@ -7,13 +7,13 @@
 use coltsfoothall_wire::fault::{Code, Fault, Outcome};
 use coltsfoothall_wire::header;
 
-/// When to come back while a slot changes its owner.
-pub(crate) const COME_BACK: Millis = Millis(200);
-/// When to come back while the ledger is full.
-const FULL: Millis = Millis(1000);
+/// Retry delay given while a slot changes its owner.
+pub(crate) const RETRY_AFTER: Millis = Millis(200);
+/// Retry delay given while the ledger is full.
+const RETRY_FULL_AFTER: Millis = Millis(1000);
 
-/// A request that is given up on before it was taken in.
-pub(crate) fn gate(refusal: Refusal, name: &Name) -> Fault {
+/// The fault for a request that the gate refused.
+pub(crate) fn not_admitted(refusal: Refusal, name: &Name) -> Fault {
     let (code, message) = match refusal.cause {
         Cause::NoEndpoint => (Code::NoEndpoint, "no endpoint can take the request now"),
         Cause::Deadline => (Code::Deadline, "the deadline cannot be kept"),
@@ -31,7 +31,8 @@
     }
 }
 
-/// The caller has got an offset from somewhere: the request may well have run.
+/// The fault for an offset where no piece of the answer ends. The caller got the offset
+/// from somewhere, so the request may well have run.
 pub(crate) fn unresumable() -> Fault {
     let message = "must be the id of an event of this answer";
     let fault = Fault::field(header::LAST_EVENT, message);
@@ -41,18 +42,18 @@
     }
 }
 
-/// The key was used for a different request.
-pub(crate) fn reused(name: &Name) -> Fault {
+/// The fault for a key that was used for a different request.
+pub(crate) fn key_reused(name: &Name) -> Fault {
     Fault::new(
         Code::KeyReused,
         format!("the key {} names another request", name.key),
     )
 }
 
-/// What the ledger's refusal means for the caller.
-pub(crate) fn refusal(refused: &Begin, name: &Name) -> Fault {
+/// The fault for a request that the ledger refused.
+pub(crate) fn not_begun(refused: &Begin, name: &Name) -> Fault {
     match refused {
-        Begin::Reused => reused(name),
+        Begin::Reused => key_reused(name),
         Begin::Retired => Fault {
             outcome: Outcome::Unknown,
             ..Fault::new(
@@ -64,14 +65,14 @@
             Code::LedgerLost,
             "the key may have been used at an owner that was lost",
         ),
-        Begin::NotOwner => come_back(Code::Unavailable, "the request is owned elsewhere"),
-        Begin::NotSafe => come_back(Code::NotSafe, "at most once cannot be promised now"),
+        Begin::NotOwner => retry_later(Code::Unavailable, "the request is owned elsewhere"),
+        Begin::NotSafe => retry_later(Code::NotSafe, "at most once cannot be promised now"),
         Begin::Full => Fault {
-            retry_after_ms: Some(FULL),
+            retry_after_ms: Some(RETRY_FULL_AFTER),
             ..Fault::new(Code::Overloaded, "open requests alone fill the ledger here")
         },
         Begin::Behind => Fault {
-            retry_after_ms: Some(FULL),
+            retry_after_ms: Some(RETRY_FULL_AFTER),
             ..Fault::new(
                 Code::Overloaded,
                 "too many changes wait for the slot's backup",
@@ -81,10 +82,10 @@
     }
 }
 
-/// A refusal of what another instance may take, or this one a little later.
-pub(crate) fn come_back(code: Code, message: &str) -> Fault {
+/// A fault after which a retry may succeed, at another instance or later at this one.
+pub(crate) fn retry_later(code: Code, message: &str) -> Fault {
     Fault {
-        retry_after_ms: Some(COME_BACK),
+        retry_after_ms: Some(RETRY_AFTER),
         ..Fault::new(code, message)
     }
 }
--- a/coltsfoothall-entry/src/relay.rs
+++ b/coltsfoothall-entry/src/relay.rs
@@ -1,4 +1,4 @@
-//! One open request at its owner: a task around [`Request`].
+//! The task that runs one open request at its owner, around [`Request`].
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -24,41 +24,41 @@
 use crate::node::Node;
 use crate::pick::Pick;
 
-/// Pieces of answers that wait for the relay; an endpoint that is faster waits.
-const PIECES: usize = 256;
+/// Capacity of the queue of answer pieces. A faster endpoint waits.
+const PIECE_QUEUE_LEN: usize = 256;
 
-/// How long an interactive request goes on with nobody following it. A caller
-/// that lost its connection comes back well within.
-const UNFOLLOWED: Duration = Duration::from_secs(20);
+/// How long an interactive request continues without a follower. A caller that lost its
+/// connection reconnects well within this time.
+const UNFOLLOWED_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Between two looks at whether somebody follows.
-const LOOK: Duration = Duration::from_secs(5);
+/// Interval at which a request is checked for followers.
+const FOLLOWER_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Between two tries of a change that found the ledger full.
-const RETRY: Duration = Duration::from_millis(20);
+/// Delay before a change that found the ledger full is tried again.
+const RECORD_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A change that waits for room in the ledger, with its number.
+/// A change that waits for room in the ledger, with its sequence number.
 #[derive(Debug)]
-struct Held {
+struct Waiting {
     seq: u64,
     change: Change,
 }
 
-/// How a relay begins.
+/// The origin of a relay's request.
 #[derive(Debug)]
-pub enum Begun {
-    /// With a request that was just accepted.
+pub enum Origin {
+    /// The request was just accepted.
     New {
         /// The request.
         intake: Box<Intake>,
-        /// Its place at the gate.
+        /// Its admission.
         number: Option<Number>,
     },
-    /// With the record of another owner.
+    /// The request has a record from another owner.
     Resumed(Box<Record>),
 }
 
-impl Begun {
+impl Origin {
     /// The request.
     #[must_use]
     pub fn intake(&self) -> &Intake {
@@ -69,7 +69,7 @@
     }
 }
 
-/// An attempt under way.
+/// A running attempt.
 #[derive(Debug)]
 struct Running {
     attempt: u64,
@@ -84,25 +84,31 @@
     feed: Arc<Feed>,
     signals: UnboundedSender<Input>,
     pieces: Sender<Input>,
-    /// Its place at the gate.
+    /// Its admission.
     number: Option<Number>,
     running: Vec<Running>,
-    /// When to look again whether somebody follows.
-    look: Instant,
+    /// When to check again for followers.
+    follower_check: Instant,
     /// Changes that found the ledger full, in order.
-    held: VecDeque<Held>,
+    waiting: VecDeque<Waiting>,
 }
 
-/// Starts a relay; inputs from control and ledger go to what it returns.
-pub fn spawn(node: Arc<Node>, slot: Slot, begun: Begun, feed: Arc<Feed>) -> UnboundedSender<Input> {
-    let (signals, heard) = mpsc::unbounded_channel();
-    let (pieces, arrived) = mpsc::channel(PIECES);
+/// Starts a relay. Inputs from the control thread and the ledger go to the sender that it
+/// returns.
+pub fn spawn(
+    node: Arc<Node>,
+    slot: Slot,
+    origin: Origin,
+    feed: Arc<Feed>,
+) -> UnboundedSender<Input> {
+    let (signals, signal_inputs) = mpsc::unbounded_channel();
+    let (pieces, piece_inputs) = mpsc::channel(PIECE_QUEUE_LEN);
     let now = node.now();
-    let (request, number) = match begun {
-        Begun::New { intake, number } => (Request::new(*intake, now, Settings::default()), number),
-        Begun::Resumed(record) => (Request::resume(*record, now, Settings::default()), None),
+    let (request, number) = match origin {
+        Origin::New { intake, number } => (Request::new(*intake, now, Settings::default()), number),
+        Origin::Resumed(record) => (Request::resume(*record, now, Settings::default()), None),
     };
-    feed.show(request.record(), request.released());
+    feed.release(request.record(), request.released());
     let traffic = node.traffic.clone();
     let relay = Relay {
         node,
@@ -113,79 +119,84 @@
         pieces,
         number,
         running: Vec::new(),
-        look: Instant::now() + LOOK,
-        held: VecDeque::new(),
+        follower_check: Instant::now() + FOLLOWER_CHECK_INTERVAL,
+        waiting: VecDeque::new(),
     };
-    traffic.spawn(relay.run(heard, arrived));
+    traffic.spawn(relay.run(signal_inputs, piece_inputs));
     signals
 }
 
 impl Relay {
-    async fn run(mut self, mut heard: UnboundedReceiver<Input>, mut arrived: Receiver<Input>) {
+    async fn run(
+        mut self,
+        mut signal_inputs: UnboundedReceiver<Input>,
+        mut piece_inputs: Receiver<Input>,
+    ) {
         self.handle(Input::Begin);
-        while !self.request.over() || !self.held.is_empty() {
-            let wake = self.wake();
-            let idle = self.held.is_empty();
+        while !self.request.over() || !self.waiting.is_empty() {
+            let wake = self.next_wake();
+            let no_waiting = self.waiting.is_empty();
             let input = tokio::select! {
-                // News of the copies and of endpoints go before pieces of answers.
+                // Inputs about copies and endpoints take precedence over pieces of answers.
                 biased;
-                Some(input) = heard.recv() => input,
-                // The endpoint waits while changes wait, so these stay few.
-                Some(input) = arrived.recv(), if idle => input,
-                () = sleep_until(wake) => self.tick(),
+                Some(input) = signal_inputs.recv() => input,
+                // While changes wait the endpoint waits too, so few of them pile up.
+                Some(input) = piece_inputs.recv(), if no_waiting => input,
+                () = sleep_until(wake) => self.on_timer(),
             };
             self.handle(input);
             if self.request.over() && self.request.end().is_none() {
-                // Sealed: the records are another owner's now.
-                self.held.clear();
+                // The slot was sealed: its records belong to another owner now.
+                self.waiting.clear();
             }
-            self.retry();
+            self.record_waiting();
         }
         self.stop_all();
         if let Some(number) = self.number {
-            self.node.control.send(Message::Over(number));
+            self.node.control.send(Message::Release(number));
         }
         if self.request.end().is_none() {
-            self.feed.moved();
+            self.feed.close_moved();
         }
         let name = &self.request.record().intake.name;
         self.node
             .requests
-            .end(&self.node, self.slot, name, &self.feed);
+            .remove_relay(&self.node, self.slot, name, &self.feed);
     }
 
-    fn wake(&self) -> Instant {
+    fn next_wake(&self) -> Instant {
         let due = self
             .request
             .wake()
             .map(|at| self.node.start + at.since(Time::START));
-        let wake = due.map_or(self.look, |due| due.min(self.look));
-        if self.held.is_empty() {
+        let wake = due.map_or(self.follower_check, |due| due.min(self.follower_check));
+        if self.waiting.is_empty() {
             return wake;
         }
-        wake.min(Instant::now() + RETRY)
+        wake.min(Instant::now() + RECORD_RETRY_DELAY)
     }
 
-    /// What the passing of time means.
-    fn tick(&mut self) -> Input {
+    /// The input when a wait ends: a cancellation if the request has been without a follower
+    /// for too long, or else a tick.
+    fn on_timer(&mut self) -> Input {
         let now = Instant::now();
-        if now < self.look {
+        if now < self.follower_check {
             return Input::Tick;
         }
-        self.look = now + LOOK;
-        let alone = self
+        self.follower_check = now + FOLLOWER_CHECK_INTERVAL;
+        let abandoned = self
             .feed
-            .unfollowed()
-            .is_some_and(|span| span >= UNFOLLOWED);
-        if alone && self.stoppable() {
+            .unfollowed_for()
+            .is_some_and(|span| span >= UNFOLLOWED_TIMEOUT);
+        if abandoned && self.stoppable() {
             Input::Cancel
         } else {
             Input::Tick
         }
     }
 
-    /// Whether stopping it saves work. A call that may not be repeated runs on
-    /// at its service, and its caller may still come back for the answer.
+    /// Whether stopping the request saves work. A call that may not be repeated continues at
+    /// its service, and its caller may still come back for the answer.
     fn stoppable(&self) -> bool {
         let record = self.request.record();
         let interactive = record.intake.class == Class::Interactive;
@@ -197,11 +208,11 @@
         while let Some(input) = next.take() {
             let mut actions = Vec::new();
             if let Err(broken) = self.request.handle(self.node.now(), input, &mut actions) {
-                self.node.broken("request", &broken);
+                self.node.report_violation("request", &broken);
             }
             for action in actions {
-                if let Some(input) = self.act(action) {
-                    // Settled at once; it must not overtake what is queued for it.
+                if let Some(input) = self.run_action(action) {
+                    // Settled at once, but queued so that it does not overtake earlier inputs.
                     if self.signals.send(input).is_err() {
                         return;
                     }
@@ -210,7 +221,7 @@
         }
     }
 
-    fn act(&mut self, action: Action) -> Option<Input> {
+    fn run_action(&mut self, action: Action) -> Option<Input> {
         match action {
             Action::Record { seq, change } => return self.record(seq, change),
             Action::Pick { exclude } => self.pick(exclude),
@@ -228,7 +239,7 @@
                 self.start(attempt, &endpoint, resume, offset);
             }
             Action::Abort { attempt } => self.abort(attempt),
-            Action::Release { tokens } => self.feed.show(self.request.record(), tokens),
+            Action::Release { tokens } => self.feed.release(self.request.record(), tokens),
             Action::Finish { end, retry_after } => self.finish(end, retry_after),
             Action::Cached {
                 attempt,
@@ -238,41 +249,41 @@
                 self.count_recomputed(cached, resumed);
                 self.node.control.send(Message::First { attempt, cached });
             }
-            Action::Count(dropped) => self.node.board.dropped(name(dropped)),
+            Action::Count(dropped) => self.node.board.dropped(dropped_name(dropped)),
         }
         None
     }
 
     fn record(&mut self, seq: u64, change: Change) -> Option<Input> {
         if matches!(change, Change::Accept(_)) {
-            // The ledger made this change when it took the request in.
+            // The ledger made this change when it accepted the request.
             return None;
         }
-        if !self.held.is_empty() {
-            self.held.push_back(Held { seq, change });
+        if !self.waiting.is_empty() {
+            self.waiting.push_back(Waiting { seq, change });
             return None;
         }
         let name = &self.request.record().intake.name;
         let recorded = self.node.requests.record(&self.node, name, seq, change);
         recorded.unwrap_or_else(|change| {
-            self.held.push_front(Held { seq, change });
+            self.waiting.push_front(Waiting { seq, change });
             None
         })
     }
 
-    /// Records what waits, in its order, as far as there is room now.
-    fn retry(&mut self) {
-        let mut waiting = std::mem::take(&mut self.held);
-        while let Some(Held { seq, change }) = waiting.pop_front() {
+    /// Records the waiting changes in order, as far as there is room now.
+    fn record_waiting(&mut self) {
+        let mut earlier = std::mem::take(&mut self.waiting);
+        while let Some(Waiting { seq, change }) = earlier.pop_front() {
             let input = self.record(seq, change);
             if input.is_some_and(|input| self.signals.send(input).is_err()) {
                 return;
             }
-            if !self.held.is_empty() {
+            if !self.waiting.is_empty() {
                 break;
             }
         }
-        self.held.append(&mut waiting);
+        self.waiting.append(&mut earlier);
     }
 
     fn pick(&mut self, exclude: Vec<id::Endpoint>) {
@@ -324,7 +335,7 @@
         });
     }
 
-    /// Where an endpoint listens; nowhere if it has just left the list.
+    /// The address of an endpoint; empty if it has just left the instance list.
     fn address(&self, endpoint: &id::Endpoint) -> String {
         let view = self.node.view();
         view.location(endpoint)
@@ -332,7 +343,7 @@
             .unwrap_or_default()
     }
 
-    /// The slot's epoch, for services that check fencing numbers.
+    /// The slot's epoch, for services that check fencing tokens.
     fn fence(&self) -> u64 {
         let view = self.node.view();
         view.table
@@ -341,10 +352,10 @@
     }
 
     fn abort(&mut self, attempt: u64) {
-        let Some(at) = self.running.iter().position(|r| r.attempt == attempt) else {
+        let Some(index) = self.running.iter().position(|r| r.attempt == attempt) else {
             return;
         };
-        let running = self.running.swap_remove(at);
+        let running = self.running.swap_remove(index);
         running.stop.cancel();
         if !running.started {
             self.node.control.send(Message::Ended {
@@ -355,10 +366,10 @@
     }
 
     fn finish(&mut self, end: End, retry_after: Option<Duration>) {
-        self.feed.end(self.request.record(), end, retry_after);
+        self.feed.close(self.request.record(), end, retry_after);
     }
 
-    /// Counts what an attempt after the first had to read again.
+    /// Counts the tokens that an attempt after the first had to process again.
     fn count_recomputed(&self, cached: Tokens, resumed: u64) {
         let record = self.request.record();
         let Work::Completion { prompt, .. } = &record.intake.work else {
@@ -387,7 +398,7 @@
     }
 }
 
-fn name(dropped: Dropped) -> &'static str {
+fn dropped_name(dropped: Dropped) -> &'static str {
     match dropped {
         Dropped::Superseded => "superseded",
         Dropped::Doubled => "doubled",
--- a/coltsfoothall-entry/src/resend.rs
+++ b/coltsfoothall-entry/src/resend.rs
@@ -1,22 +1,23 @@
-//! Sends changes again whose acknowledgement does not come.
+//! Sends changes again that are not acknowledged.
 //!
-//! An acknowledgement that arrives after the slot's epoch has risen counts for
-//! nothing, and in a quiet slot no later one makes up for it. What is still
-//! missing one look later is therefore sent again; a copy that has it says so.
+//! An acknowledgement that arrives after the slot's epoch has risen does not count, and in
+//! a slot without further changes no later one makes up for it. A change that is still
+//! unacknowledged one tick later is therefore sent again; a copy that has it acknowledges
+//! it again.
 
 use coltsfoothall::ledger::Owed;
 
 use crate::node::Node;
 
-/// What was missing at the last look.
+/// The acknowledgements that were missing at the last tick.
 #[derive(Debug, Default)]
 pub struct Resend {
     last: Vec<Owed>,
 }
 
 impl Resend {
-    /// Sends again what was missing at the last look already.
-    pub fn look(&mut self, node: &Node) {
+    /// Sends again the changes that were already unacknowledged at the last tick.
+    pub fn tick(&mut self, node: &Node) {
         let owed = node.requests.with_ledger(|ledger| ledger.owed());
         for old in owed.iter().filter(|owed| self.last.contains(owed)) {
             let missing = node
--- a/coltsfoothall-entry/src/retries.rs
+++ b/coltsfoothall-entry/src/retries.rs
@@ -1,4 +1,4 @@
-//! The retries that services have left.
+//! The retry budgets of services.
 
 use std::time::Duration;
 
@@ -8,20 +8,21 @@
 use coltsfoothall::id;
 use coltsfoothall::retry::{self, Budget, Verdict};
 
-/// Time in which retries are owed to requests whose endpoint died.
-const OWED: Duration = Duration::from_secs(5);
+/// How long retries granted to requests whose endpoint died remain valid.
+const GRANT_TTL: Duration = Duration::from_secs(5);
 
-/// The retries of one service.
+/// The retry budget of one service.
 #[derive(Debug)]
 struct Row {
     service: id::Service,
     budget: Budget,
-    /// Retries owed to requests whose endpoint died, which are no one's fault.
-    owed: usize,
-    owed_until: Time,
+    /// Retries granted outside the budget to requests whose endpoint died, as the requests did
+    /// not cause the failure.
+    granted: usize,
+    granted_until: Time,
 }
 
-/// The retries of all services that were asked for.
+/// The retry budgets of all services that were asked for.
 #[derive(Debug, Default)]
 pub struct Retries {
     /// Sorted by service.
@@ -29,30 +30,30 @@
 }
 
 impl Retries {
-    /// Services that were asked for, sorted.
+    /// All services with a budget, sorted.
     pub fn services(&self) -> Vec<id::Service> {
         self.rows.iter().map(|row| row.service.clone()).collect()
     }
 
-    /// Notes that a service was asked for.
-    pub fn note(&mut self, service: &id::Service) {
+    /// Adds a service, if it is new.
+    pub fn add_service(&mut self, service: &id::Service) {
         self.row(service);
     }
 
-    /// An attempt was sent.
-    pub fn sent(&mut self, now: Time, service: &id::Service) {
+    /// Records that an attempt was sent.
+    pub fn record_sent(&mut self, now: Time, service: &id::Service) {
         self.row(service).budget.sent(now);
     }
 
-    /// Requests whose endpoint died are owed a retry each.
-    pub fn owe(&mut self, now: Time, service: &id::Service, owed: usize) {
+    /// Grants a retry each to `count` requests whose endpoint died.
+    pub fn grant(&mut self, now: Time, service: &id::Service, count: usize) {
         let row = self.row(service);
-        row.owed += owed;
-        row.owed_until = now + OWED;
+        row.granted += count;
+        row.granted_until = now + GRANT_TTL;
     }
 
-    /// Whether a retry may be made.
-    pub fn ask(
+    /// Decides whether a retry may be made.
+    pub fn request(
         &mut self,
         now: Time,
         service: &id::Service,
@@ -60,30 +61,30 @@
         random: &mut Pcg64Mcg,
     ) -> Verdict {
         let row = self.row(service);
-        if row.owed > 0 && now < row.owed_until {
-            row.owed -= 1;
+        if row.granted > 0 && now < row.granted_until {
+            row.granted -= 1;
             return Verdict::After(Duration::ZERO);
         }
-        row.owed = 0;
+        row.granted = 0;
         row.budget.retry(now, attempts, random)
     }
 
     fn row(&mut self, service: &id::Service) -> &mut Row {
         let found = self.rows.binary_search_by(|row| row.service.cmp(service));
-        let at = found.unwrap_or_else(|at| {
+        let index = found.unwrap_or_else(|index| {
             let budget = Budget::new(retry::Settings::default());
             let service = service.clone();
             self.rows.insert(
-                at,
+                index,
                 Row {
                     service,
                     budget,
-                    owed: 0,
-                    owed_until: Time::START,
+                    granted: 0,
+                    granted_until: Time::START,
                 },
             );
-            at
+            index
         });
-        &mut self.rows[at]
+        &mut self.rows[index]
     }
 }
--- a/coltsfoothall-entry/src/round.rs
+++ b/coltsfoothall-entry/src/round.rs
@@ -1,5 +1,5 @@
-//! Carries out the duties of one round for the slots: at this instance, at its
-//! peers, and in the slot table at the key-value service.
+//! Carries out the duties of one round for the slots: on this instance, on its peers, and
+//! in the slot table at the key-value service.
 
 use std::fmt;
 use std::sync::Arc;
@@ -26,55 +26,55 @@
 /// Key of the slot table.
 const KEY: &str = "slots";
 
-/// Longest wait for the answer to a piece of a copy.
-const PIECE: Duration = Duration::from_secs(2);
+/// Timeout of the transfer of one chunk of a copy.
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a round of duties came to.
+/// The outcome of a round of duties.
 #[derive(Debug)]
 pub struct Round {
     /// The newest table at the service, if it was read or written.
     pub table: Option<Arc<Table>>,
-    /// Whether the service answered; none if it was not asked.
+    /// Whether the service answered; `None` if it was not asked.
     pub service: Option<bool>,
-    /// When it was asked, so that what it said held no earlier.
+    /// When the service was asked. What it answered is not older than this.
     pub asked: Time,
-    /// Whether anything was done, so that there may be more to do at once.
+    /// Whether there were duties, so that there may be more to do at once.
     pub busy: bool,
-    /// Others that a table written in this round gives a slot, sorted.
-    pub named: Vec<id::Instance>,
+    /// Other instances that got a slot by a table written in this round, sorted.
+    pub assigned: Vec<id::Instance>,
 }
 
-/// One round of duties, away from the control thread.
+/// One round of duties. Runs outside the control thread.
 pub struct Work {
     /// This instance.
     pub node: Arc<Node>,
-    /// The table that changes are made on.
+    /// The table that changes are based on.
     pub base: Arc<Table>,
     /// Whether the table is read even if nothing is to be written.
     pub read: bool,
-    /// Who may be named in a first table.
-    pub make: Option<Vec<Candidate>>,
-    /// Whether this instance can tell who is dead.
+    /// The candidates for a first table, if one may be created.
+    pub first: Option<Vec<Candidate>>,
+    /// Whether this instance can determine which others are dead.
     pub settled: bool,
-    /// Peers that did not answer in this round; waiting for each again would
-    /// hold up the other slots.
-    pub silent: Vec<id::Instance>,
-    /// Slots ceded in this round.
+    /// Peers that did not answer in this round. Waiting for each of them again would delay the
+    /// other slots.
+    pub unresponsive: Vec<id::Instance>,
+    /// Number of slots ceded in this round.
     pub ceded: usize,
-    /// Slots whose changes were noted in this round for the first time.
-    pub noted: Vec<Slot>,
-    /// Others that the table gives a slot which this round wrote, sorted.
-    pub named: Vec<id::Instance>,
+    /// Slots whose changes were first proposed in the ledger in this round.
+    pub proposed: Vec<Slot>,
+    /// Other instances that got a slot by the table that this round wrote, sorted.
+    pub assigned: Vec<id::Instance>,
 }
 
 impl Work {
-    /// Carries the duties out and tells the control thread what they came to.
+    /// Carries out the duties and sends the outcome to the control thread.
     pub async fn run(mut self, duties: Vec<Duty>) {
         let busy = !duties.is_empty();
         let mut changed = Vec::new();
         for duty in duties {
-            let next = self.local(duty).await;
-            if let Some(table) = next.and_then(|duty| self.proposal(&duty)) {
+            let remaining = self.run_local(duty).await;
+            if let Some(table) = remaining.and_then(|duty| self.proposal(&duty)) {
                 changed.push(table);
             }
         }
@@ -82,13 +82,13 @@
             event::CEDED.emit(format_args!("slots={}", self.ceded));
         }
         let asked = self.node.now();
-        // A write whose outcome is not known blocks its slot until a later
-        // version of the table settles it, so there has to be one.
+        // A write with an unknown outcome blocks its slot until a later version of the table
+        // settles it, so a write has to follow.
         let open = self.node.requests.with_ledger(|ledger| ledger.proposing());
         let outcome = if open {
             Some(self.write(&changed).await)
         } else if self.read {
-            Some(self.look().await)
+            Some(self.read_or_create().await)
         } else {
             None
         };
@@ -100,18 +100,18 @@
                 (None, Some(false))
             }
         };
-        self.node.control.send(Message::Round(Round {
+        self.node.control.send(Message::RoundEnded(Round {
             table,
             service,
             asked,
             busy,
-            named: self.named,
+            assigned: self.assigned,
         }));
     }
 
-    /// What a duty asks of this instance and its peers; comes back with what it
-    /// asks of the table.
-    async fn local(&mut self, duty: Duty) -> Option<Duty> {
+    /// Carries out what a duty requires on this instance and its peers. Returns the duty if it
+    /// requires a change of the table.
+    async fn run_local(&mut self, duty: Duty) -> Option<Duty> {
         let node = Arc::clone(&self.node);
         let requests = &node.requests;
         match &duty {
@@ -119,23 +119,23 @@
             Duty::Cede { slot, epoch, to } => return self.cede(*slot, *epoch, to).await,
             Duty::Dismiss { slot, epoch, to } => self.dismiss(*slot, *epoch, to).await,
             Duty::Drain(slot) => requests.with_ledger(|ledger| {
-                // A call that began since the duties were named must not lose its relay.
-                let begun = |r: &Record| !r.intake.idempotent && r.begun();
-                if !ledger.open(*slot).any(begun) {
+                // A call that started since the duties were determined must not lose its relay.
+                let started = |r: &Record| !r.intake.idempotent && r.begun();
+                if !ledger.open(*slot).any(started) {
                     ledger.drain(*slot);
                 }
             }),
             Duty::Resume(slot) => {
                 requests.with_ledger(|ledger| ledger.resume(*slot));
-                requests.carry_on(&node, *slot);
+                requests.resume_open(&node, *slot);
             }
             Duty::TakeOver(slot) => {
                 requests.with_ledger(|ledger| ledger.seal(*slot));
-                requests.carry_on(&node, *slot);
+                requests.resume_open(&node, *slot);
             }
             Duty::Alone(slot) => {
                 requests.with_ledger(|ledger| ledger.go_alone(*slot));
-                requests.carry_on(&node, *slot);
+                requests.resume_open(&node, *slot);
             }
             Duty::Yield(slot) => self.yield_slot(*slot).await,
             Duty::GiveUp(slot) => {
@@ -147,42 +147,44 @@
         Some(duty)
     }
 
-    /// Tells the backup to take over; a claim if it has no copy either.
+    /// Tells the backup to take over. Returns a claim of the slot if the backup has no copy
+    /// either.
     async fn cede(&mut self, slot: Slot, epoch: Epoch, to: &id::Instance) -> Option<Duty> {
-        if self.silent.contains(to) {
+        if self.unresponsive.contains(to) {
             return None;
         }
         let client = self.node.links.client(to).await.ok();
-        let held = match client {
+        let has_copy = match client {
             Some(client) => client
-                .cede(link::context(link::CALL), slot, epoch)
+                .cede(link::context(link::CALL_TIMEOUT), slot, epoch)
                 .await
                 .ok(),
             None => None,
         };
-        log::debug!("ceded slot={slot} to={to} held={held:?}");
+        log::debug!("ceded slot={slot} to={to} held={has_copy:?}");
         self.ceded += 1;
-        if held.is_none() {
-            self.silent.push(to.clone());
+        if has_copy.is_none() {
+            self.unresponsive.push(to.clone());
         }
-        (held == Some(false) && self.settled).then_some(Duty::Claim(slot))
+        (has_copy == Some(false) && self.settled).then_some(Duty::Claim(slot))
     }
 
-    /// Asks a leaving backup to drop its copy, and waits for it no longer then.
+    /// Asks a leaving backup to drop its copy. If it did, its acknowledgements are no longer
+    /// waited for.
     async fn dismiss(&mut self, slot: Slot, epoch: Epoch, to: &id::Instance) {
-        if self.silent.contains(to) {
+        if self.unresponsive.contains(to) {
             return;
         }
         let dropped = match self.node.links.client(to).await {
             Ok(client) => client
-                .dismiss(link::context(link::CALL), slot, epoch)
+                .dismiss(link::context(link::CALL_TIMEOUT), slot, epoch)
                 .await
                 .ok(),
             Err(_unreached) => None,
         };
         log::debug!("dismissed slot={slot} backup={to} dropped={dropped:?}");
         match dropped {
-            None => self.silent.push(to.clone()),
+            None => self.unresponsive.push(to.clone()),
             Some(None) => {}
             Some(Some(life)) => {
                 let (requests, now) = (&self.node.requests, self.node.now());
@@ -194,7 +196,7 @@
         }
     }
 
-    /// The table with a duty's change, noted at the ledger before it is written.
+    /// The table with a duty's change, which is proposed in the ledger before it is written.
     fn proposal(&mut self, duty: &Duty) -> Option<Table> {
         let me = &self.node.settings.instance;
         let (slot, table) = match duty {
@@ -208,8 +210,8 @@
                 (*slot, table)
             }
             Duty::HandOver { slot, to } => {
-                let heir = self.process(*slot, to)?;
-                let table = self.base.hand_over(*slot, self.epoch(*slot)?, me, &heir);
+                let backup = self.process(*slot, to)?;
+                let table = self.base.hand_over(*slot, self.epoch(*slot)?, me, &backup);
                 (*slot, table)
             }
             _ => return None,
@@ -236,44 +238,45 @@
             (known, ledger.propose(slot, base, entry))
         });
         if noted.is_ok() && !known {
-            self.noted.push(slot);
+            self.proposed.push(slot);
         }
         noted.is_ok().then_some(table)
     }
 
-    /// Reads the table; makes the first one if there is none.
-    async fn look(&self) -> Result<Option<Arc<Table>>, Error> {
+    /// Reads the table, or creates the first one if there is none.
+    async fn read_or_create(&self) -> Result<Option<Arc<Table>>, Error> {
         match self.node.store.get(KEY).await? {
             Some(entry) => parse(&entry.value).map(Some),
-            None => match &self.make {
-                Some(live) => self.make_first(live).await,
+            None => match &self.first {
+                Some(live) => self.create_first(live).await,
                 None => Ok(None),
             },
         }
     }
 
-    async fn make_first(&self, live: &[Candidate]) -> Result<Option<Arc<Table>>, Error> {
+    async fn create_first(&self, live: &[Candidate]) -> Result<Option<Arc<Table>>, Error> {
         let me = &self.node.settings.instance;
         let lowest = live.iter().find(|candidate| !candidate.leaving);
         if lowest.is_none_or(|candidate| candidate.instance != *me) {
             return Ok(None);
         }
-        // Each instance named in it then claims its slots, known to be empty.
+        // Each instance in it then claims its slots, which are known to be empty.
         let Ok(table) = Table::first(SLOTS, live) else {
             return Ok(None);
         };
         self.put(&table, 0).await
     }
 
-    /// Writes the changes over the table that they were made on.
+    /// Writes the changes over the table that they are based on.
     async fn write(&mut self, changed: &[Table]) -> Result<Option<Arc<Table>>, Error> {
         let read = self.node.store.get(KEY).await;
         if read.is_err() {
-            // Nothing was sent: a slot that is to be yielded now must not wait
-            // for the outcome of a write that never was.
-            let slots = &self.noted;
-            let forget = |ledger: &mut Ledger| slots.iter().for_each(|slot| ledger.withdraw(*slot));
-            self.node.requests.with_ledger(forget);
+            // Nothing was sent: a slot that has to be yielded now must not wait for the outcome of
+            // a write that never happened.
+            let slots = &self.proposed;
+            let withdraw =
+                |ledger: &mut Ledger| slots.iter().for_each(|slot| ledger.withdraw(*slot));
+            self.node.requests.with_ledger(withdraw);
         }
         let Some(entry) = read? else {
             return Ok(None);
@@ -285,14 +288,14 @@
         let table = self.base.merge(changed);
         let written = self.put(&table, entry.version).await;
         if written.is_ok() {
-            self.named = named(&self.base, &table, &self.node.settings.instance);
+            self.assigned = newly_assigned(&self.base, &table, &self.node.settings.instance);
         }
         let result = if written.is_ok() { "written" } else { "failed" };
         event::SLOTS.emit(format_args!(
             "version={} changes={} {} result={result}",
             table.version,
             changed.len(),
-            Kinds::of(&self.base, &table),
+            Changes::of(&self.base, &table),
         ));
         written
     }
@@ -306,7 +309,7 @@
         };
         match self.node.store.put(KEY, put).await {
             Ok(_entry) => Ok(Some(Arc::new(table.clone()))),
-            // Whether the write took effect, or another's did: reading settles it.
+            // A read determines whether this write or another one took effect.
             Err(Error::Conflict(_) | Error::Unknown(_)) => match self.node.store.get(KEY).await? {
                 Some(entry) => parse(&entry.value).map(Some),
                 None => Ok(None),
@@ -315,13 +318,13 @@
         }
     }
 
-    /// Sends a whole copy of a slot.
+    /// Sends a complete copy of a slot.
     async fn copy(&mut self, slot: Slot, to: &id::Instance) {
-        if self.silent.contains(to) {
+        if self.unresponsive.contains(to) {
             return;
         }
         if let Err(error) = self.try_copy(slot, to).await {
-            self.silent.push(to.clone());
+            self.unresponsive.push(to.clone());
             event::COPY_FAILED.emit(format_args!("slot={slot} to={to} error=\"{error}\""));
         }
     }
@@ -340,20 +343,20 @@
             .await
             .map_err(|error| error.to_string())?;
         for chunk in chunks {
-            let taken = client.import(link::context(PIECE), chunk).await;
+            let taken = client.import(link::context(CHUNK_TIMEOUT), chunk).await;
             match taken.map_err(|error| error.to_string())? {
                 Taken::More(_) => {}
-                Taken::Whole(whole) => return self.whole(slot, to, whole),
+                Taken::Whole(whole) => return self.finish_copy(slot, to, whole),
                 Taken::Sealed(epoch) => {
                     self.node.control.send(Message::ReadTable);
                     return Err(format!("it is at epoch {epoch}"));
                 }
             }
         }
-        Err("it did not take the copy whole".into())
+        Err("it did not accept the copy as complete".into())
     }
 
-    fn whole(&self, slot: Slot, to: &id::Instance, whole: Whole) -> Result<(), String> {
+    fn finish_copy(&self, slot: Slot, to: &id::Instance, whole: Whole) -> Result<(), String> {
         let requests = &self.node.requests;
         let missing = requests.with_ledger(|ledger| ledger.copied(slot, to, whole));
         match missing {
@@ -362,59 +365,61 @@
                 Ok(())
             }
             Err(broken) => {
-                self.node.broken("ledger_copied", &broken);
+                self.node.report_violation("ledger_copied", &broken);
                 Err(broken.to_string())
             }
         }
     }
 
-    /// Lets the backup act as owner, without the service.
+    /// Hands a slot over to its backup without the service.
     async fn yield_slot(&self, slot: Slot) {
         let requests = &self.node.requests;
         let Some((backup, handoff)) = requests.with_ledger(|ledger| ledger.hand_over(slot)) else {
             return;
         };
-        requests.tell_slot(slot, &Input::Sealed);
+        requests.notify_slot(slot, &Input::Sealed);
         let Ok(client) = self.node.links.client(&backup).await else {
             return;
         };
-        let taken = client.hand_over(link::context(link::CALL), handoff).await;
+        let taken = client
+            .hand_over(link::context(link::CALL_TIMEOUT), handoff)
+            .await;
         event::YIELDED.emit(format_args!("slot={slot} to={backup} taken={taken:?}"));
     }
 }
 
-/// Changes of a write of the table by kind, for the log.
+/// The number of changes in a write of the table by kind, for the log.
 #[derive(Debug, Default)]
-struct Kinds {
+struct Changes {
     claimed: usize,
     taken_over: usize,
     handed_over: usize,
     backed: usize,
 }
 
-impl Kinds {
+impl Changes {
     fn of(old: &Table, new: &Table) -> Self {
-        let mut kinds = Self::default();
+        let mut changes = Self::default();
         for (old, new) in old.entries.iter().zip(&new.entries) {
             if new.epoch == old.epoch {
                 continue;
             }
             let kind = if new.cold == new.epoch {
-                &mut kinds.claimed
+                &mut changes.claimed
             } else if new.primary == old.primary {
-                &mut kinds.backed
+                &mut changes.backed
             } else if new.backup.as_ref() == Some(&old.primary) {
-                &mut kinds.handed_over
+                &mut changes.handed_over
             } else {
-                &mut kinds.taken_over
+                &mut changes.taken_over
             };
             *kind += 1;
         }
-        kinds
+        changes
     }
 }
 
-impl fmt::Display for Kinds {
+impl fmt::Display for Changes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             claimed,
@@ -429,15 +434,15 @@
     }
 }
 
-/// Others that `new` gives a slot which they did not have in `old`, sorted.
-fn named(old: &Table, new: &Table, me: &id::Instance) -> Vec<id::Instance> {
+/// Other instances that own or back a slot whose entry changed from `old` to `new`, sorted.
+fn newly_assigned(old: &Table, new: &Table, me: &id::Instance) -> Vec<id::Instance> {
     let changed = new.iter().zip(old.iter());
     let changed = changed.filter(|((_, new), (_, old))| new.epoch > old.epoch);
     let holders = changed.flat_map(|((_, entry), _)| entry.backup.iter().chain([&entry.primary]));
-    let mut named: Vec<_> = holders.filter(|holder| *holder != me).cloned().collect();
-    named.sort();
-    named.dedup();
-    named
+    let mut assigned: Vec<_> = holders.filter(|holder| *holder != me).cloned().collect();
+    assigned.sort();
+    assigned.dedup();
+    assigned
 }
 
 fn parse(value: &str) -> Result<Arc<Table>, Error> {
--- a/coltsfoothall-entry/src/run.rs
+++ b/coltsfoothall-entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Start and planned stop of an entry instance.
+//! Starts an entry instance, and carries out its planned stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,19 +27,20 @@
 use crate::message::{Handle, Message};
 use crate::node::Node;
 use crate::owned::Requests;
-use crate::peer::Back;
+use crate::peer::Server;
 use crate::settings::Settings;
 use crate::view::View;
 use crate::{config, platform, steward, store};
 
-/// Between two looks at whether a planned stop may go on.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a planned stop checks its progress.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Part of a planned stop, as its divisor, in which slots are handed over
-/// before callers are turned away; the rest is left for open answers to finish.
-const HAND_OVER: u32 = 3;
-/// Part of a planned stop that is left for closing connections.
-const CLOSING: u32 = 8;
+/// Divisor of the duration of a planned stop for the time in which slots are handed over
+/// before new requests are refused. The rest is left for open answers to finish.
+const HAND_OVER_DIVISOR: u32 = 3;
+/// Divisor of the duration of a planned stop for the time that is left to close
+/// connections.
+const CLOSING_DIVISOR: u32 = 8;
 
 quick_error! {
     /// Why an entry instance cannot start.
@@ -79,10 +80,10 @@
     tokio::spawn(platform::notices(Arc::clone(&node)));
     tokio::spawn(platform::reports(Arc::clone(&node)));
     let stewards = tokio::spawn(steward::run(Arc::clone(&node)));
-    let doors = Doors::open(&node, callers, peers, metrics);
+    let listeners = Listeners::open(&node, callers, peers, metrics);
     node.stop.cancelled().await;
-    leave(&node, doors).await;
-    // A lease that isn't given back in time lapses.
+    leave(&node, listeners).await;
+    // A lease that isn't released in time expires.
     let _ended = timeout(node.settings.times.store.duration(), stewards).await;
     Ok(())
 }
@@ -92,8 +93,8 @@
     bound.map_err(|error| Error::Listen(field, address, error.to_string()))
 }
 
-/// Limits of the requests' records, in a life of its own.
-fn records() -> ledger::Settings {
+/// Settings of the ledger, with a random life of its own.
+fn ledger_settings() -> ledger::Settings {
     ledger::Settings {
         life: Life(rand::random::<u64>() >> 1),
         ..ledger::Settings::default()
@@ -114,13 +115,13 @@
         store: Box::new(store),
         traffic: Runtime::current(),
         runner: Box::new(Remote::new(client.clone(), times.endpoint.duration())),
-        requests: Requests::new(settings.instance.clone(), records()),
+        requests: Requests::new(settings.instance.clone(), ledger_settings()),
         links: Links::default(),
         control: handle,
         board: Board::new().map_err(|error| Error::Metric(error.to_string()))?,
         start: Instant::now(),
         views: view,
-        broken: AtomicU64::new(0),
+        violations: AtomicU64::new(0),
         stop,
         client,
         settings,
@@ -131,27 +132,27 @@
     Ok(node)
 }
 
-/// The listeners of an instance.
-struct Doors {
-    callers: Door,
-    peers: Door,
+/// The listeners of an instance that a planned stop closes.
+struct Listeners {
+    callers: Listener,
+    peers: Listener,
 }
 
-struct Door {
+struct Listener {
     stop: Stop,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Door {
+impl Listener {
     fn open(listener: TcpListener, handler: Arc<dyn Handler>) -> Self {
         let stop = Stop::default();
         let task = tokio::spawn(serve::run_until(listener, handler, stop.clone()));
         Self { stop, task }
     }
 
-    /// Takes no more connections and lets the open ones finish, until `limit`. Those without
-    /// a request are closed from `idle` on.
-    async fn shut(mut self, idle: Instant, limit: Instant) -> bool {
+    /// Accepts no more connections and lets the open ones finish, until `limit`. Connections
+    /// without a request are closed from `idle` on. Returns whether all finished.
+    async fn close(mut self, idle: Instant, limit: Instant) -> bool {
         self.stop.last.cancel();
         if timeout_at(idle.min(limit), &mut self.task).await.is_ok() {
             return true;
@@ -161,7 +162,7 @@
     }
 }
 
-impl Doors {
+impl Listeners {
     fn open(
         node: &Arc<Node>,
         callers: TcpListener,
@@ -169,79 +170,85 @@
         metrics: TcpListener,
     ) -> Self {
         let front = Arc::new(Front::new(Arc::clone(node)));
-        let back = Arc::new(Back::new(Arc::clone(node)));
-        Door::open(
+        let back = Arc::new(Server::new(Arc::clone(node)));
+        Listener::open(
             metrics,
-            Arc::new(Scrape {
+            Arc::new(Metrics {
                 node: Arc::clone(node),
             }),
         );
         Self {
-            callers: Door::open(callers, front),
-            peers: Door::open(peers, back),
+            callers: Listener::open(callers, front),
+            peers: Listener::open(peers, back),
         }
     }
 }
 
-/// A planned stop: slots are handed over, then answers finish, then the process ends.
+/// Carries out a planned stop: slots are handed over, then answers finish, then the process
+/// ends.
 ///
-/// While slots cannot be handed over, callers may still connect for a part of
-/// the time, as their requests may belong to these slots.
-async fn leave(node: &Arc<Node>, doors: Doors) {
+/// While slots are still being handed over, callers may connect, for part of the time, as
+/// their requests may belong to these slots.
+async fn leave(node: &Arc<Node>, listeners: Listeners) {
     let times = &node.settings.times;
     let span = times.stop.duration();
-    let (hand_over, limit) = (Instant::now() + span / HAND_OVER, Instant::now() + span);
+    let (hand_over, limit) = (
+        Instant::now() + span / HAND_OVER_DIVISOR,
+        Instant::now() + span,
+    );
     event::STOPPING.emit(format_args!("open={}", node.requests.count()));
     node.control.send(Message::Leave);
-    while owned(node) > 0 && Instant::now() < hand_over {
-        sleep(LOOK).await;
+    while owned_slots(node) > 0 && Instant::now() < hand_over {
+        sleep(STOP_CHECK_INTERVAL).await;
     }
-    // What comes now could not finish here, and its owner-to-be has the slots then.
+    // A request that arrives now could not finish here, and by now the slots belong to their
+    // next owners.
     node.requests.close();
-    // What is sent until then on a connection without a request, or on one made just now, gets its
-    // refusal; a caller that met a closed one could not tell whether it was read.
-    let idle = (Instant::now() + times.addresses.duration()).min(limit - span / CLOSING);
-    let mut whole = doors.callers.shut(idle, limit).await;
-    // What is still owned here runs for callers of other instances.
-    while owned(node) > 0 && node.requests.count() > 0 && Instant::now() < limit {
-        sleep(LOOK).await;
+    // A request that is sent until then, on a connection without a request or on one just
+    // opened, gets its refusal. If the connection were closed instead, the caller could not
+    // tell whether its request was read.
+    let idle = (Instant::now() + times.addresses.duration()).min(limit - span / CLOSING_DIVISOR);
+    let mut finished = listeners.callers.close(idle, limit).await;
+    // Requests still owned here run for callers of other instances.
+    while owned_slots(node) > 0 && node.requests.count() > 0 && Instant::now() < limit {
+        sleep(STOP_CHECK_INTERVAL).await;
     }
-    whole &= owned(node) == 0 || node.requests.count() == 0;
-    let event = if whole {
+    finished &= owned_slots(node) == 0 || node.requests.count() == 0;
+    let event = if finished {
         event::STOPPED
     } else {
         event::CUT_OFF
     };
     event.emit(format_args!(
         "slots={} open={}",
-        owned(node),
+        owned_slots(node),
         node.requests.count()
     ));
-    // Streams of other instances end with the last connection.
-    doors.peers.stop.idle.cancel();
-    doors.peers.stop.last.cancel();
-    drop(doors.peers.task);
+    // Streams to other instances end with the last connection.
+    listeners.peers.stop.idle.cancel();
+    listeners.peers.stop.last.cancel();
+    drop(listeners.peers.task);
 }
 
-/// Slots that this instance still has to hand over.
-fn owned(node: &Node) -> usize {
+/// Number of slots that this instance still has to hand over.
+fn owned_slots(node: &Node) -> usize {
     if node.view().peers.is_empty() {
         return 0;
     }
     let view = node.view();
     node.requests.with_ledger(|ledger| {
-        // A slot that takes no changes any more counts until it is handed over.
-        let held = |slot| ledger.released(slot).is_some() || ledger.serving(slot);
-        view.table.iter().filter(|(slot, _)| held(*slot)).count()
+        // A slot that accepts no changes any more counts until it is handed over.
+        let owned = |slot| ledger.released(slot).is_some() || ledger.serving(slot);
+        view.table.iter().filter(|(slot, _)| owned(*slot)).count()
     })
 }
 
-/// Answers scrapes of the metrics.
-struct Scrape {
+/// Serves the metrics.
+struct Metrics {
     node: Arc<Node>,
 }
 
-impl Handler for Scrape {
+impl Handler for Metrics {
     fn call(self: Arc<Self>, _request: hyper::Request<Incoming>, _peer: SocketAddr) -> Answer {
         Box::pin(async move {
             match self.node.board.render() {
--- a/coltsfoothall-entry/src/settings.rs
+++ b/coltsfoothall-entry/src/settings.rs
@@ -15,11 +15,11 @@
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Name of this instance at the platform.
+    /// The name of this instance at the platform.
     pub instance: id::Instance,
-    /// Failure domain that it is in.
+    /// The instance's failure domain.
     pub domain: id::Domain,
-    /// Region that it is in.
+    /// The instance's region.
     pub region: id::Region,
     /// Address for callers and operators.
     pub callers: SocketAddr,
@@ -33,43 +33,44 @@
     pub cloud: SocketAddr,
     /// The platform's weight store.
     pub weights: SocketAddr,
-    /// Bearer token of operators.
+    /// The operators' bearer token.
     pub operator_token: String,
-    /// Bearer token between entry instances.
+    /// The bearer token between entry instances.
     pub peer_token: String,
-    /// Traffic threads.
+    /// Number of threads that serve requests.
     pub threads: usize,
-    /// Where log lines go.
+    /// The log's settings.
     pub log: Log,
-    /// Times.
+    /// Intervals and timeouts.
     pub times: Times,
-    /// Stewards: orders to engines, starts and stops of instances.
+    /// Settings of stewards, which order engines and start and stop instances.
     pub stewards: steward::Settings,
 }
 
-/// Times that set how fast the instance notices and acts.
+/// Intervals and timeouts that determine how fast the instance detects changes and acts.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Times {
-    /// Between two heartbeats.
+    /// Interval between two heartbeats.
     pub heartbeat: Millis,
-    /// Without a heartbeat until an instance is suspected.
+    /// Time without a heartbeat after which an instance is suspected.
     pub suspect: Millis,
-    /// Longest wait for a call to the key-value service.
+    /// Timeout of a call to the key-value service.
     pub store: Millis,
-    /// Longest wait for a backup's acknowledgement.
+    /// Maximum wait for a backup's acknowledgement.
     pub backup: Millis,
-    /// Longest wait for an endpoint's first sign of life.
+    /// Maximum time without data from an endpoint, for its first and for each later part of an
+    /// answer.
     pub endpoint: Millis,
-    /// Between two reads of the instance list.
+    /// Interval between two reads of the instance list.
     pub list: Millis,
-    /// Between two reads of an endpoint's load and cache events.
+    /// Interval between two reads of an endpoint's load and cache events.
     pub report: Millis,
-    /// How long callers keep an answer with addresses.
+    /// How long callers may cache the list of addresses.
     pub addresses: Millis,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that specifies none.
     pub deadline: Millis,
-    /// Longest planned stop.
+    /// Maximum duration of a planned stop.
     pub stop: Millis,
     /// Time to live of this instance's lease.
     pub lease: Millis,
@@ -97,9 +98,9 @@
     fn default() -> Self {
         let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
         Self {
-            instance: "entry-1".parse().expect("the name keeps the rules"),
-            domain: "domain-1".parse().expect("the name keeps the rules"),
-            region: "region-1".parse().expect("the name keeps the rules"),
+            instance: "entry-1".parse().expect("the name is valid"),
+            domain: "domain-1".parse().expect("the name is valid"),
+            region: "region-1".parse().expect("the name is valid"),
             callers: local(8101),
             peers: local(8201),
             metrics: local(8301),
@@ -116,17 +117,18 @@
     }
 }
 
-/// Most traffic threads; more would only pile up memory on a small instance.
-const THREADS: usize = 64;
+/// Maximum number of threads that serve requests; more would only use up the memory of a
+/// small instance.
+const MAX_THREADS: usize = 64;
 
 impl Check for Settings {
     fn check(&self) -> Result<(), Fault> {
         check_token("operator_token", &self.operator_token)?;
         check_token("peer_token", &self.peer_token)?;
-        if self.threads == 0 || self.threads > THREADS {
+        if self.threads == 0 || self.threads > MAX_THREADS {
             return Err(Fault::new(
                 "threads",
-                format!("must be from 1 to {THREADS}"),
+                format!("must be from 1 to {MAX_THREADS}"),
             ));
         }
         self.stewards.check()?;
@@ -134,13 +136,13 @@
     }
 }
 
-/// A token goes into a header as it stands.
+/// Checks a token, which is put into a header without encoding.
 fn check_token(name: &str, token: &str) -> Result<(), Fault> {
     if token.is_empty() {
         return Err(Fault::new(name, "must not be empty"));
     }
     if !token.bytes().all(|byte| byte.is_ascii_graphic()) {
-        return Err(Fault::new(name, "has a blank or a character beyond ASCII"));
+        return Err(Fault::new(name, "must hold only visible ASCII characters"));
     }
     Ok(())
 }
@@ -168,13 +170,13 @@
         if self.suspect.0 < 2 * self.heartbeat.0 {
             return Err(Fault::new(
                 "times.suspect",
-                "must be at least two heartbeats",
+                "must be at least twice times.heartbeat",
             ));
         }
         if self.lease.0 < 2 * self.store.0 {
             return Err(Fault::new(
                 "times.lease",
-                "must be at least two store waits",
+                "must be at least twice times.store",
             ));
         }
         Ok(())
--- a/coltsfoothall-entry/src/slots.rs
+++ b/coltsfoothall-entry/src/slots.rs
@@ -1,5 +1,5 @@
-//! Looks after the slots on the control thread: what is known of them, and when a
-//! round of duties is due.
+//! The state of the slots on the control thread: what is known of them, and when a round of
+//! duties is due.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,67 +15,68 @@
 use crate::node::Node;
 use crate::round::{Round, Work};
 
-/// Age at which the table is read again, so that callers' own keys may be used.
-const STALE: Duration = Duration::from_secs(60);
+/// Age at which the table is read again, so that the keys that callers chose themselves can
+/// be accepted.
+const MAX_TABLE_AGE: Duration = Duration::from_secs(60);
 
-/// Least time between two reads that are to confirm "not run": under overload, 330 entry
-/// instances read 660 times a second at most, a third of what the service takes.
-const CONFIRM: Duration = Duration::from_millis(500);
+/// Minimum interval between two reads that confirm a "not run": under overload, 330 entry
+/// instances read at most 660 times a second, a third of what the service can handle.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a "not run" waits to be confirmed while the service answers: longer than the
-/// 3 s after which a backup that doesn't acknowledge is taken for dead.
-const UNCONFIRMED: Duration = Duration::from_secs(5);
+/// How long a "not run" waits to be confirmed while the service answers. It is longer than
+/// the 3 s after which a backup that doesn't acknowledge is assumed dead.
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Wait after a failed call of the service.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Delay after a failed call of the service.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The slots as this instance knows them, on the control thread.
+/// The slots, as this instance knows them.
 pub struct Slots {
     node: Arc<Node>,
     table: Arc<Table>,
-    /// Whether a round is under way.
-    round: bool,
-    /// When the service was last asked, and whether it answered.
-    asked: Option<Time>,
-    service: bool,
-    read: bool,
-    /// Backups known to have no copy, sorted.
+    /// Whether a round is running.
+    round_running: bool,
+    /// When the service last answered or failed to, as of the last round that called it.
+    last_call: Option<Time>,
+    service_up: bool,
+    read_due: bool,
+    /// Backups that are known to have no copy, sorted.
     missing: Vec<Missing>,
 }
 
 impl Slots {
-    /// No table yet.
+    /// Creates the state without a table.
     #[must_use]
     pub fn new(node: Arc<Node>) -> Self {
         Self {
             node,
             table: Arc::default(),
-            round: false,
-            asked: None,
-            service: true,
-            read: true,
+            round_running: false,
+            last_call: None,
+            service_up: true,
+            read_due: true,
             missing: Vec::new(),
         }
     }
 
-    /// The newest table known.
+    /// The newest known table.
     #[must_use]
     pub fn table(&self) -> &Arc<Table> {
         &self.table
     }
 
-    /// Its version.
+    /// The version of the newest known table.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.table.version
     }
 
-    /// The table should be read.
-    pub fn read_soon(&mut self) {
-        self.read = true;
+    /// Makes the next round read the table.
+    pub fn request_read(&mut self) {
+        self.read_due = true;
     }
 
-    /// A peer lacks a copy; the next round sees to it.
+    /// Records that a peer lacks a copy. The next round handles it.
     pub fn copy_lost(&mut self, slot: Slot, at: id::Instance) {
         if let Some(entry) = self.table.entry(slot) {
             let missing = Missing {
@@ -83,24 +84,24 @@
                 epoch: entry.epoch,
                 at,
             };
-            if let Err(place) = self.missing.binary_search(&missing) {
-                self.missing.insert(place, missing);
+            if let Err(index) = self.missing.binary_search(&missing) {
+                self.missing.insert(index, missing);
             }
         }
-        self.read = true;
+        self.read_due = true;
     }
 
-    /// An instance began anew: the copies that it kept are lost.
+    /// Records that an instance restarted: the copies that it held are lost.
     pub fn restarted(&mut self, instance: &id::Instance) {
         let table = Arc::clone(&self.table);
-        let kept = table
+        let lost = table
             .iter()
             .filter(|(_, entry)| entry.backup.as_ref() == Some(instance));
-        kept.for_each(|(slot, _)| self.copy_lost(slot, instance.clone()));
+        lost.for_each(|(slot, _)| self.copy_lost(slot, instance.clone()));
     }
 
-    /// Takes in a table; what it meant for the ledger, if it is newer or meant something.
-    /// `asked` is when the service was asked for it, none if a peer gave it.
+    /// Applies a table. Returns the resulting events of the ledger, if the table is newer or
+    /// caused any. `asked` is when the service was asked for it, or `None` if a peer sent it.
     pub fn observe(
         &mut self,
         now: Time,
@@ -126,14 +127,14 @@
     }
 
     /// Starts a round if there is something to do.
-    pub fn look(&mut self, now: Time, members: &Members, leaving: bool) {
-        if self.round || self.pausing(now) {
+    pub fn tick(&mut self, now: Time, members: &Members, leaving: bool) {
+        if self.round_running || self.in_retry_delay(now) {
             return;
         }
         let live = members.candidates();
         let settled = members.settled(now);
         let me = &self.node.settings.instance;
-        let sight = |ledger: &mut _| {
+        let due = |ledger: &mut _| {
             duties(&Sight {
                 me,
                 table: &self.table,
@@ -141,66 +142,74 @@
                 live: &live,
                 missing: &self.missing,
                 leaving,
-                service: self.service,
+                service: self.service_up,
                 settled,
             })
         };
-        let duties = self.node.requests.with_ledger(sight);
-        let open = self.node.requests.with_ledger(|ledger| ledger.proposing());
-        let read = self.read || open || self.aged(now) || !self.service || self.table.version == 0;
+        let duties = self.node.requests.with_ledger(due);
+        let proposing = self.node.requests.with_ledger(|ledger| ledger.proposing());
+        let read = self.read_due
+            || proposing
+            || self.is_stale(now)
+            || !self.service_up
+            || self.table.version == 0;
         if duties.is_empty() && !read {
             return;
         }
-        self.round = true;
-        self.read = false;
-        let first = settled || live.len() > 1;
+        self.round_running = true;
+        self.read_due = false;
+        let may_create = settled || live.len() > 1;
         let work = Work {
             node: Arc::clone(&self.node),
             base: Arc::clone(&self.table),
             read,
-            make: first.then(|| live.clone()),
+            first: may_create.then(|| live.clone()),
             settled,
-            silent: Vec::new(),
+            unresponsive: Vec::new(),
             ceded: 0,
-            noted: Vec::new(),
-            named: Vec::new(),
+            proposed: Vec::new(),
+            assigned: Vec::new(),
         };
         tokio::spawn(work.run(duties));
     }
 
-    /// Takes back what could not be confirmed as not run.
-    pub fn take_back(&self, now: Time) -> Vec<Event> {
-        let waited = if self.service {
-            UNCONFIRMED
+    /// Retracts each "not run" that could not be confirmed in time.
+    pub fn retract_unconfirmed(&self, now: Time) -> Vec<Event> {
+        let timeout = if self.service_up {
+            CONFIRM_TIMEOUT
         } else {
             Duration::ZERO
         };
         let requests = &self.node.requests;
-        requests.with_ledger(|ledger| ledger.take_back(now, waited))
+        requests.with_ledger(|ledger| ledger.take_back(now, timeout))
     }
 
     /// Whether the table was read too long ago.
-    fn aged(&self, now: Time) -> bool {
-        let waits = self
+    fn is_stale(&self, now: Time) -> bool {
+        let unconfirmed = self
             .node
             .requests
             .with_ledger(|ledger| ledger.unconfirmed());
-        let most = if waits { CONFIRM } else { STALE };
-        self.asked.is_none_or(|at| now.since(at) >= most)
+        let max_age = if unconfirmed {
+            CONFIRM_INTERVAL
+        } else {
+            MAX_TABLE_AGE
+        };
+        self.last_call.is_none_or(|at| now.since(at) >= max_age)
     }
 
-    /// Notes what a round came to.
-    pub fn ended(&mut self, now: Time, round: &Round) {
-        self.round = false;
-        self.read |= round.busy;
+    /// Records the outcome of a round.
+    pub fn record_round(&mut self, now: Time, round: &Round) {
+        self.round_running = false;
+        self.read_due |= round.busy;
         if let Some(service) = round.service {
-            self.service = service;
-            self.asked = Some(now);
+            self.service_up = service;
+            self.last_call = Some(now);
         }
     }
 
-    fn pausing(&self, now: Time) -> bool {
-        let waiting = !self.service || self.table.version == 0;
-        waiting && self.asked.is_some_and(|at| now.since(at) < PAUSE)
+    fn in_retry_delay(&self, now: Time) -> bool {
+        let unavailable = !self.service_up || self.table.version == 0;
+        unavailable && self.last_call.is_some_and(|at| now.since(at) < RETRY_DELAY)
     }
 }
--- a/coltsfoothall-entry/src/source.rs
+++ b/coltsfoothall-entry/src/source.rs
@@ -1,8 +1,8 @@
-//! Where an answer comes from: this instance, or the one that owns the request.
+//! The source of an answer: this instance, or another one that owns the request.
 //!
-//! A source outlives its owner: when the owner is lost or hands over, the source
-//! finds the new one and goes on behind the last piece, so the caller's
-//! connection sees neither gap nor repeat.
+//! A source outlives its owner: when the owner is lost or hands over, the source finds the
+//! new owner and continues after the last piece, so the caller sees neither a gap nor a
+//! repeat.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,26 +22,25 @@
 use crate::feed::Follower;
 use crate::node::Node;
 
-/// Between two rounds over the instances that may own a request.
-const ROUND: Duration = Duration::from_millis(100);
+/// Delay between two rounds over the instances that may own a request.
+const ROUND_DELAY: Duration = Duration::from_millis(100);
 
-/// Between the end of a stream and the search for the next owner.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Delay between the end of a stream and the search for the next owner.
+const SEARCH_DELAY: Duration = Duration::from_millis(20);
 
-/// How long the next owner of an accepted request is waited for. A takeover
-/// takes the suspicion time and one write at the key-value service, which may
-/// be down meanwhile.
-const TAKEOVER: Duration = Duration::from_secs(60);
+/// How long a source waits for the next owner of an accepted request. A takeover takes the
+/// suspicion time and one write at the key-value service, which may be down meanwhile.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long a new request waits for an owner that never had it.
-const FIRST: Duration = Duration::from_secs(2);
+/// How long a source waits for an owner of a new request that no owner has had yet.
+const FIRST_OWNER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an instance that is leaving searches for the next owner before its
-/// caller is sent to another instance, which goes on with the same request.
-const LEAVING: Duration = Duration::from_secs(5);
+/// How long a leaving instance searches for the next owner before its caller is sent to
+/// another instance, which continues the same request.
+const LEAVING_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When to come back while a slot changes its owner.
-const COME_BACK: Millis = Millis(1000);
+/// Retry delay given while a slot changes its owner.
+const RETRY_AFTER: Millis = Millis(1000);
 
 #[derive(Debug)]
 enum Stream {
@@ -49,38 +48,39 @@
     Remote { body: Incoming, frames: Frames },
 }
 
-/// The pieces of one answer, wherever they come from.
+/// The pieces of one answer, from wherever its owner is.
 #[derive(Debug)]
 pub struct Source {
     node: Arc<Node>,
     follow: Follow,
     stream: Option<Stream>,
-    /// Whom the stream comes from.
+    /// The instance that the stream comes from.
     owner: Option<id::Instance>,
-    /// Who refused last; others are asked first, as a slot that was handed over
-    /// in an outage is still its old owner's in the table.
+    /// The instance that refused or ended the stream last. Others are asked first, as the table
+    /// still names the old owner of a slot that was handed over during an outage of the
+    /// service.
     refused: Option<id::Instance>,
-    /// The key is known to nobody else, so that it was never sent before.
+    /// Whether nobody else knows the key, so that the request was never sent before.
     fresh: bool,
-    /// An owner may have taken the request.
+    /// Whether an owner may have accepted the request.
     sent: bool,
-    /// An owner that may have taken the request was lost.
+    /// Whether an owner that may have accepted the request was lost.
     lost: bool,
-    /// Since when an owner is searched for; none while one answers.
-    since: Option<Instant>,
-    /// When the caller's patience ends.
+    /// Since when an owner is searched for; `None` while one answers.
+    searching_since: Option<Instant>,
+    /// When the caller stops waiting.
     deadline: Instant,
 }
 
 impl Source {
-    /// The answer that `follow` asks for. A `fresh` request has a key that
+    /// Creates a source for the answer that `follow` asks for. A `fresh` request has a key that
     /// nobody else knows, so that it was never sent before.
     #[must_use]
     pub fn new(node: Arc<Node>, follow: Follow, fresh: bool) -> Self {
         let span = follow
             .intake
             .as_ref()
-            .map_or(TAKEOVER, |intake| intake.deadline.duration());
+            .map_or(TAKEOVER_TIMEOUT, |intake| intake.deadline.duration());
         let deadline = Instant::now() + span;
         let sent = follow.intake.is_none();
         Self {
@@ -92,12 +92,12 @@
             fresh,
             sent,
             lost: false,
-            since: None,
+            searching_since: None,
             deadline,
         }
     }
 
-    /// The next piece; after an end or a fault there is none.
+    /// Waits for the next piece. There is none after an end or a fault.
     pub async fn next(&mut self) -> Piece {
         loop {
             if self.stream.is_none() {
@@ -106,65 +106,65 @@
                     Err(fault) => return Piece::Fault(Box::new(fault)),
                 }
             }
-            let piece = self.piece().await;
+            let piece = self.next_piece().await;
             match piece {
                 Some(Piece::Moved) | None => {
-                    self.lose(piece.is_none());
-                    if self.expired() {
+                    self.drop_owner(piece.is_none());
+                    if self.search_expired() {
                         return Piece::Fault(Box::new(self.unreached()));
                     }
                 }
-                Some(Piece::Fault(fault)) if self.passing(&fault) => {
+                Some(Piece::Fault(fault)) if self.is_transient(&fault) => {
                     self.stream = None;
                     self.refused = self.owner.take();
-                    if self.expired() {
+                    if self.search_expired() {
                         return Piece::Fault(Box::new(self.unreached()));
                     }
-                    sleep(ROUND).await;
+                    sleep(ROUND_DELAY).await;
                     continue;
                 }
                 Some(Piece::Fault(fault)) => {
-                    return Piece::Fault(Box::new(self.settled(*fault)));
+                    return Piece::Fault(Box::new(self.final_fault(*fault)));
                 }
                 Some(piece) => {
                     self.sent = true;
-                    self.since = None;
+                    self.searching_since = None;
                     if let Piece::Text { tokens, .. } = &piece {
                         self.follow.offset = *tokens;
                     }
                     return piece;
                 }
             }
-            sleep(PAUSE).await;
+            sleep(SEARCH_DELAY).await;
         }
     }
 
-    /// The next piece of the owner's stream; none if the stream broke, or the owner is judged
-    /// dead and replaced: a frozen one keeps its connections open.
-    async fn piece(&mut self) -> Option<Piece> {
+    /// The next piece of the owner's stream. Returns `None` if the stream broke, or if the
+    /// owner is judged dead and has been replaced: a frozen one keeps its connections open.
+    async fn next_piece(&mut self) -> Option<Piece> {
         let (node, key) = (&self.node, &self.follow.name.key);
         match self.stream.as_mut()? {
             Stream::Local(follower) => Some(follower.next().await),
             Stream::Remote { body, frames } => tokio::select! {
-                piece = remote(body, frames) => piece,
-                () = replaced(node, key, self.owner.as_ref()) => None,
+                piece = next_remote(body, frames) => piece,
+                () = wait_replaced(node, key, self.owner.as_ref()) => None,
             },
         }
     }
 
-    /// The owner's stream ended without an end of the answer: it handed the
+    /// Records that the owner's stream ended without an end of the answer: the owner handed the
     /// request over, or was lost. It is asked again only after the others.
-    fn lose(&mut self, lost: bool) {
+    fn drop_owner(&mut self, lost: bool) {
         self.stream = None;
         if lost {
-            self.tell_lost("stream", self.owner.as_ref());
+            self.log_owner_lost("stream", self.owner.as_ref());
         }
         self.refused = self.owner.take();
         self.sent = true;
         self.lost |= lost;
     }
 
-    fn tell_lost(&self, step: &str, owner: Option<&id::Instance>) {
+    fn log_owner_lost(&self, step: &str, owner: Option<&id::Instance>) {
         let key = &self.follow.name.key;
         let slot = self.node.view().slot(key);
         let owner = owner.map_or("", id::Instance::as_str);
@@ -173,23 +173,23 @@
         ));
     }
 
-    /// Whether the search for an owner is to be given up. A request that may
-    /// have been taken in is stayed with for as long as its caller waits.
-    fn expired(&mut self) -> bool {
+    /// Whether to give up the search for an owner. For a request that may have been accepted,
+    /// the search continues as long as its caller waits, up to [`TAKEOVER_TIMEOUT`].
+    fn search_expired(&mut self) -> bool {
         let now = Instant::now();
-        let began = *self.since.get_or_insert(now);
+        let started = *self.searching_since.get_or_insert(now);
         let span = match (self.sent, self.node.view().leaving) {
-            (false, _) => FIRST,
-            (true, true) => LEAVING,
-            (true, false) => TAKEOVER,
+            (false, _) => FIRST_OWNER_TIMEOUT,
+            (true, true) => LEAVING_TIMEOUT,
+            (true, false) => TAKEOVER_TIMEOUT,
         };
-        now >= (began + span).min(self.deadline)
+        now >= (started + span).min(self.deadline)
     }
 
-    /// A refusal by an owner that never had the request says nothing of one
-    /// that had it and was lost.
-    fn settled(&self, fault: Fault) -> Fault {
-        if fault.outcome == Outcome::NotRun && self.unsure() {
+    /// Makes the outcome of a refusal unknown if another owner may have run the request: a
+    /// refusal by an owner that never had it says nothing about one that had it and was lost.
+    fn final_fault(&self, fault: Fault) -> Fault {
+        if fault.outcome == Outcome::NotRun && self.may_have_run() {
             return Fault {
                 outcome: Outcome::Unknown,
                 ..fault
@@ -198,20 +198,20 @@
         fault
     }
 
-    /// Whether the refusal is no answer yet: another instance may still take the
-    /// request. So may an owner that has no backup yet, if the request may have been
-    /// taken in before: "unknown" would be final, and the owner has its backup soon.
-    fn passing(&self, fault: &Fault) -> bool {
+    /// Whether a refusal is not final, as another instance may still accept the request. So may
+    /// an owner that has no backup yet, if the request may have been accepted before: "unknown"
+    /// would be final, and the owner will have its backup soon.
+    fn is_transient(&self, fault: &Fault) -> bool {
         let unready = fault.code == Code::NotSafe && fault.outcome == Outcome::NotRun;
-        fault.code == Code::Unavailable || (unready && self.unsure())
+        fault.code == Code::Unavailable || (unready && self.may_have_run())
     }
 
-    /// Whether an owner that was lost, or the caller, may know more of the request.
-    fn unsure(&self) -> bool {
+    /// Whether a lost owner, or an earlier request of the caller, may have run the request.
+    fn may_have_run(&self) -> bool {
         self.lost || self.follow.intake.is_none()
     }
 
-    /// Finds the owner and opens a stream to it.
+    /// Finds the owner and opens a stream from it.
     async fn find(&mut self) -> Result<(), Fault> {
         loop {
             for owner in self.owners() {
@@ -221,14 +221,14 @@
                     return Ok(());
                 }
             }
-            if self.expired() {
+            if self.search_expired() {
                 return Err(self.unreached());
             }
-            sleep(ROUND).await;
+            sleep(ROUND_DELAY).await;
         }
     }
 
-    /// Instances that may own the request, the likeliest first.
+    /// Instances that may own the request, the most likely first.
     fn owners(&self) -> Vec<id::Instance> {
         let view = self.node.view();
         let slot = view.slot(&self.follow.name.key);
@@ -248,8 +248,8 @@
                     self.sent = true;
                     Ok(Some(Stream::Local(follower)))
                 }
-                Err(fault) if self.passing(&fault) => Ok(None),
-                Err(fault) => Err(self.settled(fault)),
+                Err(fault) if self.is_transient(&fault) => Ok(None),
+                Err(fault) => Err(self.final_fault(fault)),
             };
         }
         let view = self.node.view();
@@ -262,8 +262,8 @@
             .header(hyper::header::AUTHORIZATION, self.node.peer_bearer())
             .body(Full::new(peer::encode(&self.follow)))
             .map_err(|error| Fault::new(Code::Internal, error))?;
-        let within = self.node.settings.times.suspect.duration();
-        match self.node.client.send("follow", request, within).await {
+        let timeout = self.node.settings.times.suspect.duration();
+        match self.node.client.send("follow", request, timeout).await {
             Ok(answer) if answer.status().is_success() => {
                 let frames = Frames::default();
                 Ok(Some(Stream::Remote {
@@ -274,7 +274,7 @@
             Ok(_refused) => Ok(None),
             Err(error) => {
                 if !error.unsent() {
-                    self.tell_lost("call", Some(owner));
+                    self.log_owner_lost("call", Some(owner));
                     self.sent = true;
                     self.lost = true;
                 }
@@ -283,7 +283,7 @@
         }
     }
 
-    /// The answer when no owner can be found.
+    /// The fault when no owner can be found.
     fn unreached(&self) -> Fault {
         let outcome = if self.fresh && !self.sent {
             Outcome::NotRun
@@ -293,28 +293,29 @@
         let message = "no entry instance that owns this request can be reached";
         Fault {
             outcome,
-            retry_after_ms: Some(COME_BACK),
+            retry_after_ms: Some(RETRY_AFTER),
             request: Some(self.follow.name.key.clone()),
             ..Fault::new(Code::Unavailable, message)
         }
     }
 }
 
-/// Waits until an owner is no member any more and another one owns the slot of the key.
-async fn replaced(node: &Node, key: &Key, owner: Option<&id::Instance>) {
+/// Waits until an owner is no longer a live member and another instance owns the slot of
+/// the key.
+async fn wait_replaced(node: &Node, key: &Key, owner: Option<&id::Instance>) {
     loop {
-        sleep(ROUND).await;
+        sleep(ROUND_DELAY).await;
         let view = node.view();
-        let is_dead = owner.is_none_or(|owner| view.peer(owner).is_none());
+        let has_left = owner.is_none_or(|owner| view.peer(owner).is_none());
         let entry = view.table.entry(view.slot(key));
-        if is_dead && entry.is_some_and(|entry| Some(&entry.primary) != owner) {
+        if has_left && entry.is_some_and(|entry| Some(&entry.primary) != owner) {
             return;
         }
     }
 }
 
-/// The next piece from another instance, or none when the stream broke.
-async fn remote(body: &mut Incoming, frames: &mut Frames) -> Option<Piece> {
+/// The next piece from another instance. Returns `None` when the stream broke.
+async fn next_remote(body: &mut Incoming, frames: &mut Frames) -> Option<Piece> {
     loop {
         match frames.take::<Piece>() {
             Ok(Some(piece)) => return Some(piece),
--- a/coltsfoothall-entry/src/start.rs
+++ b/coltsfoothall-entry/src/start.rs
@@ -20,94 +20,93 @@
 use coltsfoothall_wire::cloud::{Machine, Offers, Phase, Start};
 
 use crate::message::Message;
-use crate::steward::Duty;
+use crate::steward::Context;
 use crate::view::View;
 
-/// Longest time between two looks; news of instances wake earlier.
-const TURN: Duration = Duration::from_millis(500);
-/// Longest wait for a call of the cloud API.
-const WITHIN: Duration = Duration::from_secs(2);
-/// Calls under way at once; it stops a wave from filling the connections.
-const AT_ONCE: usize = 32;
-/// How long an instance may be out of use and still live before it is given
-/// back: a former steward may have been stopping it.
-const STRAY: Duration = Duration::from_secs(60);
+/// Maximum time between two ticks; a new snapshot of the control state triggers an earlier
+/// one.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of a call of the cloud API.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of concurrent calls; it keeps a wave of starts from using up the
+/// connections.
+const MAX_CONCURRENT_CALLS: usize = 32;
+/// How long an instance may be out of use and still live before it is terminated: a
+/// previous steward may have been stopping it.
+const STRAY_DELAY: Duration = Duration::from_secs(60);
 /// Status with which the cloud API refuses a start.
-const REFUSED: u16 = 409;
-/// Status for an instance that is gone.
-const GONE: u16 = 404;
+const STATUS_REFUSED: u16 = 409;
+/// Status for an instance that no longer exists.
+const STATUS_GONE: u16 = 404;
 
-/// An instance that is to be given back.
+/// An instance to terminate.
 #[derive(Debug)]
 struct Stop {
     id: id::Instance,
     at: Time,
 }
 
-/// Starts and stops under one fencing number.
+/// Starts and stops under one fencing token.
 #[derive(Debug)]
-struct Office {
+struct Term {
     fence: Fence,
     queue: Queue,
-    /// The list that the queue has.
+    /// The instance list that the queue was given.
     listed: Arc<Vec<Machine>>,
-    /// Notices that the queue has, sorted.
-    told: Vec<id::Instance>,
+    /// Instances whose notice the queue was given, sorted.
+    notices: Vec<id::Instance>,
     stops: Vec<Stop>,
     has_wanted: bool,
 }
 
-/// The offers and when they were read.
+/// The offers, and when they were read.
 #[derive(Debug, Default)]
 struct Market {
     offers: Vec<Offer>,
     read_at: Option<Time>,
 }
 
-/// Starts and stops instances of a service for as long as its lease allows.
-pub async fn run(duty: &Arc<Duty>) {
+/// Starts and stops the instances of a service for as long as its lease allows.
+pub async fn run(context: &Arc<Context>) {
     let mut market = Market::default();
-    let mut office: Option<Office> = None;
-    let mut views = duty.node.views.clone();
+    let mut term: Option<Term> = None;
+    let mut views = context.node.views.clone();
     loop {
-        // Either way there may be something to do.
-        let _news = timeout(TURN, views.changed()).await;
-        let Some(permit) = duty.lease.permit() else {
+        // There may be something to do after a change as well as after the timeout.
+        let _news = timeout(MAX_TICK_INTERVAL, views.changed()).await;
+        let Some(permit) = context.lease.permit() else {
             continue;
         };
         let view = Arc::clone(&views.borrow_and_update());
-        let Some(service) = view.service(duty.service.as_str()) else {
+        let Some(service) = view.service(context.service.as_str()) else {
             continue;
         };
-        if !duty.node.settings.stewards.buy || service.max == 0 {
+        if !context.node.settings.stewards.buy || service.max == 0 {
             continue;
         }
-        market.read(duty).await;
-        if office
-            .as_ref()
-            .is_none_or(|office| office.fence != permit.fence)
-        {
-            office = Some(Office::new(duty, permit.fence));
+        market.read(context).await;
+        if term.as_ref().is_none_or(|term| term.fence != permit.fence) {
+            term = Some(Term::new(context, permit.fence));
         }
-        if let Some(office) = &mut office {
-            office.turn(duty, &view, service, &market).await;
+        if let Some(term) = &mut term {
+            term.tick(context, &view, service, &market).await;
         }
     }
 }
 
 impl Market {
-    /// Reads the offers if they are old; they are kept while they can't be read.
-    async fn read(&mut self, duty: &Duty) {
-        let node = &duty.node;
+    /// Reads the offers if they are old. The old ones stay in use while they can't be read.
+    async fn read(&mut self, context: &Context) {
+        let node = &context.node;
         let now = node.now();
-        let every = node.settings.stewards.offers.duration();
-        if self.read_at.is_some_and(|at| now < at + every) {
+        let interval = node.settings.stewards.offers.duration();
+        if self.read_at.is_some_and(|at| now < at + interval) {
             return;
         }
         let cloud = node.settings.cloud.to_string();
         match node
             .client
-            .get::<Offers>("offers", &cloud, "/v1/offers", WITHIN)
+            .get::<Offers>("offers", &cloud, "/v1/offers", CALL_TIMEOUT)
             .await
         {
             Ok(read) => {
@@ -127,9 +126,9 @@
     }
 }
 
-impl Office {
-    fn new(duty: &Duty, fence: Fence) -> Self {
-        let settings = &duty.node.settings.stewards;
+impl Term {
+    fn new(context: &Context, fence: Fence) -> Self {
+        let settings = &context.node.settings.stewards;
         let limits = start::Settings {
             at_once: settings.at_once,
             per_minute: settings.per_minute,
@@ -139,63 +138,69 @@
         };
         Self {
             fence,
-            queue: Queue::new(duty.node.now(), limits, duty.service.clone(), fence),
+            queue: Queue::new(context.node.now(), limits, context.service.clone(), fence),
             listed: Arc::default(),
-            told: Vec::new(),
+            notices: Vec::new(),
             stops: Vec::new(),
             has_wanted: false,
         }
     }
 
-    async fn turn(&mut self, duty: &Duty, view: &View, service: &Service, market: &Market) {
-        self.hear(duty, view);
-        self.want(duty, view, service, market);
+    async fn tick(&mut self, context: &Context, view: &View, service: &Service, market: &Market) {
+        self.update_queue(context, view);
+        self.update_wanted(context, view, service, market);
         if !self.has_wanted {
             return;
         }
-        let now = duty.node.now();
+        let now = context.node.now();
         let actions = self.queue.handle(now, Input::Tick);
         let fence = self.fence;
         let mut starts = Vec::new();
         for action in actions {
             match action {
-                Action::Start { token, cell } => starts.push(begin(duty, fence, token, cell)),
-                Action::Stop(id) => self.stop(duty, now, id),
+                Action::Start { token, cell } => {
+                    starts.push(start_instance(context, fence, token, cell))
+                }
+                Action::Stop(id) => self.stop(context, now, id),
             }
         }
-        let calls = stream::iter(starts).buffer_unordered(AT_ONCE);
+        let calls = stream::iter(starts).buffer_unordered(MAX_CONCURRENT_CALLS);
         for input in calls.collect::<Vec<Input>>().await {
-            self.queue.handle(duty.node.now(), input);
+            self.queue.handle(context.node.now(), input);
         }
-        self.give_back(duty).await;
+        self.terminate_due(context).await;
     }
 
-    /// Hands the list and the notices on to the queue, each once.
-    fn hear(&mut self, duty: &Duty, view: &View) {
-        let now = duty.node.now();
+    /// Gives the instance list and the notices to the queue, each once.
+    fn update_queue(&mut self, context: &Context, view: &View) {
+        let now = context.node.now();
         if !Arc::ptr_eq(&self.listed, &view.machines) {
             self.listed = Arc::clone(&view.machines);
-            let own = view.machines.iter().filter(|m| m.service == duty.service);
+            let own = view
+                .machines
+                .iter()
+                .filter(|m| m.service == context.service);
             self.queue
                 .handle(now, Input::Listed(own.map(machine).collect()));
-            self.find_strays(duty, view);
+            self.schedule_strays(context, view);
         }
         for id in &view.noticed {
-            if let Err(at) = self.told.binary_search(id) {
-                self.told.insert(at, id.clone());
+            if let Err(at) = self.notices.binary_search(id) {
+                self.notices.insert(at, id.clone());
                 self.queue.handle(now, Input::Notice(id.clone()));
             }
         }
-        self.told
+        self.notices
             .retain(|id| view.noticed.binary_search(id).is_ok());
     }
 
-    /// Instances out of use that the platform doesn't take back.
-    fn find_strays(&mut self, duty: &Duty, view: &View) {
-        let at = duty.node.now() + STRAY;
+    /// Schedules the termination of instances that are out of use but that the platform doesn't
+    /// reclaim.
+    fn schedule_strays(&mut self, context: &Context, view: &View) {
+        let at = context.node.now() + STRAY_DELAY;
         let stray = |m: &&Machine| {
             let noticed = view.noticed.binary_search(&m.id).is_ok();
-            m.service == duty.service && m.phase == Phase::Live && noticed
+            m.service == context.service && m.phase == Phase::Live && noticed
         };
         for machine in view.machines.iter().filter(stray) {
             if self.stops.iter().all(|stop| stop.id != machine.id) {
@@ -205,7 +210,7 @@
                 });
             }
         }
-        // What is leaving or gone needs no more telling.
+        // Instances that are leaving or gone need not be terminated.
         let live = |id: &id::Instance| {
             let found = view.machines.binary_search_by(|m| m.id.cmp(id));
             found.is_ok_and(|at| view.machines[at].phase != Phase::Leaving)
@@ -213,22 +218,28 @@
         self.stops.retain(|stop| live(&stop.id));
     }
 
-    fn want(&mut self, duty: &Duty, view: &View, service: &Service, market: &Market) {
-        let Some(estimate) = duty.estimate() else {
+    fn update_wanted(
+        &mut self,
+        context: &Context,
+        view: &View,
+        service: &Service,
+        market: &Market,
+    ) {
+        let Some(estimate) = context.estimate() else {
             return;
         };
         if market.offers.is_empty() {
             return;
         }
-        let settings = &duty.node.settings.stewards;
-        let surge = duty.surge.load(Ordering::Relaxed);
+        let settings = &context.node.settings.stewards;
+        let surge = context.surge.load(Ordering::Relaxed);
         let load = estimate.load() + if surge { settings.carries } else { 0 };
         let mut classes: Vec<&id::Class> = market.offers.iter().map(|o| &o.cell.class).collect();
         classes.sort_unstable();
         classes.dedup();
         let speed = |class: &id::Class| Speed {
             class: class.clone(),
-            load: settings.carries(class),
+            load: settings.capacity(class),
         };
         let speeds: Vec<Speed> = classes.into_iter().map(speed).collect();
         let demand = Demand {
@@ -239,7 +250,9 @@
             ..Demand::default()
         };
         let placements = &view.catalog.placements;
-        let placement = placements.iter().find(|held| held.service == service.name);
+        let placement = placements
+            .iter()
+            .find(|placement| placement.service == service.name);
         let placement = placement
             .cloned()
             .unwrap_or_else(|| anywhere(&service.name));
@@ -249,37 +262,42 @@
             offers: allowed(market, &placement),
             speeds,
         };
-        self.queue.handle(duty.node.now(), Input::Wanted(wanted));
+        self.queue.handle(context.node.now(), Input::Wanted(wanted));
         self.has_wanted = true;
     }
 
-    /// Takes an instance out of use everywhere; it is given back once that is known.
-    fn stop(&mut self, duty: &Duty, now: Time, id: id::Instance) {
-        let at = now + duty.node.settings.stewards.drain.duration();
-        duty.node.control.send(Message::Notice(id.clone()));
+    /// Takes an instance out of use on all entry instances, and schedules its termination for
+    /// when all know.
+    fn stop(&mut self, context: &Context, now: Time, id: id::Instance) {
+        let at = now + context.node.settings.stewards.drain.duration();
+        context.node.control.send(Message::Notice(id.clone()));
         match self.stops.iter_mut().find(|stop| stop.id == id) {
             Some(stop) => stop.at = stop.at.min(at),
             None => self.stops.push(Stop { id, at }),
         }
     }
 
-    /// Gives instances back whose time has come.
-    async fn give_back(&mut self, duty: &Duty) {
-        let now = duty.node.now();
+    /// Terminates the instances that are due.
+    async fn terminate_due(&mut self, context: &Context) {
+        let now = context.node.now();
         for at in (0..self.stops.len()).rev() {
-            if self.stops[at].at > now || !duty.lease.allows(self.fence) {
+            if self.stops[at].at > now || !context.lease.allows(self.fence) {
                 continue;
             }
             let id = self.stops[at].id.clone();
-            let cloud = duty.node.settings.cloud.to_string();
+            let cloud = context.node.settings.cloud.to_string();
             let path = format!("/v1/instances/{id}");
-            let call =
-                duty.node
-                    .client
-                    .call("stop", Method::DELETE, &cloud, &path, Bytes::new(), WITHIN);
+            let call = context.node.client.call(
+                "stop",
+                Method::DELETE,
+                &cloud,
+                &path,
+                Bytes::new(),
+                CALL_TIMEOUT,
+            );
             match call.await {
-                Ok(_) | Err(Error::Status(_, _, GONE, _)) => {
-                    event::STOP.emit(format_args!("service={} instance={id}", duty.service));
+                Ok(_) | Err(Error::Status(_, _, STATUS_GONE, _)) => {
+                    event::STOP.emit(format_args!("service={} instance={id}", context.service));
                     self.stops.remove(at);
                 }
                 Err(error) => event::START_FAILED
@@ -289,21 +307,21 @@
     }
 }
 
-/// Asks for an instance if the lease still allows it.
-async fn begin(duty: &Duty, fence: Fence, token: Token, cell: Cell) -> Input {
-    let node = &duty.node;
+/// Starts an instance if the lease still allows it.
+async fn start_instance(context: &Context, fence: Fence, token: Token, cell: Cell) -> Input {
+    let node = &context.node;
     let start = Start {
         token: token.as_str().into(),
-        service: duty.service.clone(),
+        service: context.service.clone(),
         domain: cell.domain,
         class: cell.class,
         lend: cell.lend,
     };
     let cloud = node.settings.cloud.to_string();
-    if !duty.lease.allows(fence) {
+    if !context.lease.allows(fence) {
         return Input::Unknown(token);
     }
-    let began = node
+    let result = node
         .client
         .exchange::<_, Machine>(
             "start",
@@ -311,7 +329,7 @@
             &cloud,
             "/v1/instances",
             &start,
-            WITHIN,
+            CALL_TIMEOUT,
         )
         .await;
     let Start {
@@ -320,12 +338,12 @@
         lend,
         ..
     } = start;
-    match began {
+    match result {
         Ok(machine) => {
             let id = machine.id;
             event::START.emit(format_args!(
                 "service={} instance={id} domain={domain} class={class} lend={lend:?}",
-                duty.service
+                context.service
             ));
             Input::Started { token, id }
         }
@@ -334,7 +352,7 @@
                 "step=start domain={domain} class={class} lend={lend:?} error=\"{error}\""
             ));
             match error {
-                Error::Status(_, _, REFUSED, _) => Input::Refused(token),
+                Error::Status(_, _, STATUS_REFUSED, _) => Input::Refused(token),
                 _ => Input::Unknown(token),
             }
         }
--- a/coltsfoothall-entry/src/status.rs
+++ b/coltsfoothall-entry/src/status.rs
@@ -1,5 +1,5 @@
-//! What the control thread tells of itself: the snapshot for traffic, and the
-//! status for operators.
+//! What the control thread publishes: the snapshot for request handling, and the status for
+//! operators.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,7 +16,7 @@
 use crate::view::{Token, View};
 
 impl Control {
-    /// Publishes what traffic reads.
+    /// Publishes a new snapshot of the control state.
     pub fn publish(&self) {
         let catalog = self.config.held().cloned().unwrap_or_default();
         let tokens = tokens(&catalog);
@@ -37,25 +37,25 @@
         self.views.send_replace(Arc::new(view));
     }
 
-    /// Addresses for callers; none before there is a configuration.
+    /// Addresses for callers; `None` before there is a configuration.
     fn addresses(&self) -> Option<Addresses> {
         self.config.held()?;
         Some(self.members.addresses(self.node.now()))
     }
 
-    /// What this instance knows, for operators.
+    /// The status of this instance, for operators.
     pub fn status(&self) -> Status {
         let settings = &self.node.settings;
         let now = self.node.now();
         let revision = self.config.revision();
         let members = self.members.status(now, revision);
-        let held: Vec<Revision> = members.iter().map(|member| member.revision).collect();
-        let broken = self.node.broken.load(Ordering::Relaxed);
+        let revisions: Vec<Revision> = members.iter().map(|member| member.revision).collect();
+        let broken = self.node.violations.load(Ordering::Relaxed);
         Status {
             instance: settings.instance.clone(),
             revision,
             age_ms: self.config.age(now).map(Millis::from),
-            in_force: u32::try_from(in_force(revision, &held)).unwrap_or(u32::MAX),
+            in_force: u32::try_from(in_force(revision, &revisions)).unwrap_or(u32::MAX),
             members,
             endpoints: self
                 .inventory
--- a/coltsfoothall-entry/src/steward.rs
+++ b/coltsfoothall-entry/src/steward.rs
@@ -1,8 +1,8 @@
-//! Stewards: for each service the one entry instance that orders, starts and stops.
+//! Stewards: for each service, the one entry instance that orders its engines and starts
+//! and stops its instances.
 //!
-//! Each service has its own tasks: one keeps the lease, one gives orders to
-//! engines, one starts and stops instances. The latter two ask for leave right
-//! before each write.
+//! Each service has its own tasks: one maintains the lease, one sends orders to engines,
+//! one starts and stops instances. The latter two check the lease right before each write.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -24,16 +24,16 @@
 use crate::node::Node;
 use crate::{order, start};
 
-/// Between two looks at which services there are.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval at which the set of services is checked.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Load that an endpoint of a class carries.
+/// The load that an endpoint of a class carries.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Carry {
+pub struct Capacity {
     /// The class.
     pub class: id::Class,
-    /// Requests open at the latency target.
+    /// Number of open requests at which the latency target is met.
     pub open: u64,
 }
 
@@ -43,35 +43,38 @@
 pub struct Settings {
     /// Whether instances are started and stopped.
     pub buy: bool,
-    /// Time to live of a steward's lease; the same on all entry instances.
+    /// Time to live of a steward's lease; must be the same on all entry instances.
     pub lease: Millis,
-    /// Longest time from the check before an order to its effect.
+    /// Maximum time from the check before an order to its effect.
     pub flight: Millis,
-    /// Requests open at one endpoint at the latency target, where `classes` says nothing.
+    /// Number of open requests at one endpoint at which the latency target is met, for machine
+    /// classes that `classes` does not list.
     pub carries: u64,
-    /// The same by machine class.
-    pub classes: Vec<Carry>,
-    /// Time in which the estimated load follows a rise.
+    /// The same for each machine class.
+    pub classes: Vec<Capacity>,
+    /// Time constant with which the estimated load follows a rise.
     pub rise: Millis,
-    /// Time in which the estimated load follows a fall.
+    /// Time constant with which the estimated load follows a fall.
     pub fall: Millis,
-    /// Most starts without an answer; it stops a storm on the cloud's API.
+    /// Maximum number of starts without an answer; it prevents a storm of calls to the cloud's
+    /// API.
     pub at_once: usize,
-    /// Most starts in a minute; it stops a wrong list from buying a second fleet.
+    /// Maximum number of starts in a minute; it keeps a wrong instance list from buying a
+    /// second fleet.
     pub per_minute: usize,
-    /// Longest lag of the instance list, the flight of a start included.
+    /// Maximum lag of the instance list, including the time that a start takes to be sent.
     pub lag: Millis,
     /// First backoff of a kind of instance whose start was refused.
     pub backoff: Millis,
-    /// Time from taking an instance out of use to giving it back.
+    /// Time from taking an instance out of use to terminating it.
     pub drain: Millis,
-    /// Between two reads of the offers.
+    /// Interval between two reads of the offers.
     pub offers: Millis,
-    /// How long a drained engine must be seen idle before it loads.
+    /// How long a drained engine must be seen idle before it loads weights.
     pub settle: Millis,
-    /// Bytes a second of the weight store; 0 means no limit.
+    /// Bandwidth of the weight store in bytes per second; 0 means no limit.
     pub weight_rate: Bytes,
-    /// Most loads of one service at once.
+    /// Maximum number of concurrent loads of weights for one service.
     pub loads: usize,
 }
 
@@ -99,16 +102,19 @@
 }
 
 impl Settings {
-    /// Load that an endpoint of a class carries.
+    /// The load that an endpoint of a class carries.
     #[must_use]
-    pub fn carries(&self, class: &id::Class) -> u64 {
-        let found = self.classes.iter().find(|carry| carry.class == *class);
-        found.map_or(self.carries, |carry| carry.open)
+    pub fn capacity(&self, class: &id::Class) -> u64 {
+        let found = self
+            .classes
+            .iter()
+            .find(|capacity| capacity.class == *class);
+        found.map_or(self.carries, |capacity| capacity.open)
     }
 
-    /// The times of a lease.
+    /// The settings of the lease.
     #[must_use]
-    pub fn times(&self) -> steward::Settings {
+    pub fn lease_settings(&self) -> steward::Settings {
         steward::Settings::with(self.lease.duration(), self.flight.duration())
     }
 }
@@ -121,7 +127,7 @@
         if self.lease.0 < 3 * self.flight.0 {
             return Err(Fault::new(
                 "stewards.lease",
-                "must be at least three flights",
+                "must be at least three times stewards.flight",
             ));
         }
         if self.carries == 0 {
@@ -131,22 +137,22 @@
     }
 }
 
-/// What the tasks of one service share.
+/// The state that the tasks of one service share.
 #[derive(Debug)]
-pub struct Duty {
-    /// The instance.
+pub struct Context {
+    /// The state of this instance.
     pub node: Arc<Node>,
     /// The service.
     pub service: id::Service,
-    /// The lease.
+    /// The lease of the service's steward.
     pub lease: Lease,
-    /// The load, once it was measured.
+    /// The estimated load, once it was measured.
     pub estimate: Mutex<Option<Estimate>>,
-    /// Whether a version change needs one engine more.
+    /// Whether a version change needs one more engine.
     pub surge: AtomicBool,
 }
 
-impl Duty {
+impl Context {
     fn new(node: &Arc<Node>, spec: &Spec) -> Self {
         Self {
             lease: Lease::new(Arc::clone(node), spec.service.clone(), spec.fencing),
@@ -170,7 +176,7 @@
 
     async fn run(self: Arc<Self>, stop: CancellationToken) {
         tokio::select! {
-            () = self.lease.keep(&stop) => {}
+            () = self.lease.run(&stop) => {}
             () = order::run(&self) => {}
             () = start::run(&self) => {}
         }
@@ -191,48 +197,49 @@
     task: JoinHandle<()>,
 }
 
-/// Runs the stewards of all services until the instance stops, then gives the leases back.
+/// Runs the stewards of all services until the instance stops, then releases their leases.
 pub async fn run(node: Arc<Node>) {
     let mut running: Vec<Running> = Vec::new();
-    let mut look = interval(LOOK);
+    let mut ticks = interval(CHECK_INTERVAL);
     loop {
         tokio::select! {
             () = node.stop.cancelled() => break,
-            _at = look.tick() => {}
+            _at = ticks.tick() => {}
         }
-        renew(&node, &mut running).await;
+        update_stewards(&node, &mut running).await;
     }
-    for one in running {
-        // A task that panicked holds a lease that lapses.
-        let _ended = one.task.await;
+    for steward in running {
+        // The lease of a task that panicked expires.
+        let _ended = steward.task.await;
     }
 }
 
-/// Ends what is no longer wanted and starts what is new.
-async fn renew(node: &Arc<Node>, running: &mut Vec<Running>) {
+/// Stops the stewards that are no longer wanted and starts the new ones.
+async fn update_stewards(node: &Arc<Node>, running: &mut Vec<Running>) {
     let specs = specs(&node.view().catalog, node.settings.stewards.buy);
-    let mut at = 0;
-    while at < running.len() {
-        if specs.contains(&running[at].spec) {
-            at += 1;
+    let mut index = 0;
+    while index < running.len() {
+        if specs.contains(&running[index].spec) {
+            index += 1;
             continue;
         }
-        let old = running.swap_remove(at);
+        let old = running.swap_remove(index);
         old.stop.cancel();
         let _ended = old.task.await;
     }
     for spec in specs {
-        if running.iter().any(|one| one.spec == spec) {
+        if running.iter().any(|steward| steward.spec == spec) {
             continue;
         }
         let stop = node.stop.child_token();
-        let duty = Arc::new(Duty::new(node, &spec));
-        let task = tokio::spawn(duty.run(stop.clone()));
+        let context = Arc::new(Context::new(node, &spec));
+        let task = tokio::spawn(context.run(stop.clone()));
         running.push(Running { spec, stop, task });
     }
 }
 
-/// Services whose endpoints take orders, or whose instances are bought.
+/// The services that need a steward: those whose endpoints take orders, or whose instances
+/// are bought.
 fn specs(catalog: &Catalog, buy: bool) -> Vec<Spec> {
     let needs =
         |service: &&Service| matches!(service.kind, Kind::Model { .. }) || (buy && service.max > 0);
--- a/coltsfoothall-entry/src/store.rs
+++ b/coltsfoothall-entry/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service as the program uses it.
+//! A client of the platform's key-value service.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,24 +13,24 @@
 use coltsfoothall_wire::store::{Conflict, Entry, Grant, Lease, List, Put, Version};
 
 quick_error! {
-    /// A call to the service that failed.
+    /// A failed call to the service.
     #[derive(Debug)]
     pub enum Error {
-        /// Nothing was written: never sent, or refused.
+        /// Nothing was written: the call was never sent, or it was refused.
         Refused(message: String) {
             display("{message}")
         }
-        /// It may or may not have taken effect.
+        /// The call may or may not have taken effect.
         Unknown(message: String) {
             display("{message}")
         }
-        /// Another value was there.
+        /// The key has another version than the one named.
         Conflict(current: Option<Box<Entry>>) {
-            display("another value is there: {current:?}")
+            display("the stored version differs: {current:?}")
         }
-        /// The lease has lapsed.
-        Lapsed {
-            display("the lease has lapsed")
+        /// The lease has expired.
+        Expired {
+            display("the lease has expired")
         }
     }
 }
@@ -39,7 +39,7 @@
 pub trait Store: Send + Sync + fmt::Debug {
     /// Reads a key.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Entry>, Error>>;
-    /// Writes a key if it has the version named.
+    /// Writes a key if it has the version named; unconditionally if none is named.
     fn put<'a>(&'a self, key: &'a str, put: Put) -> BoxFuture<'a, Result<Entry, Error>>;
     /// Removes a key if it has the version named.
     fn remove<'a>(&'a self, key: &'a str, version: Version) -> BoxFuture<'a, Result<(), Error>>;
@@ -52,30 +52,30 @@
         after: u64,
         wait: Duration,
     ) -> BoxFuture<'a, Result<List, Error>>;
-    /// Asks for a lease.
+    /// Acquires a lease.
     fn grant<'a>(&'a self, grant: Grant) -> BoxFuture<'a, Result<Lease, Error>>;
     /// Renews a lease.
     fn renew<'a>(&'a self, lease: u64) -> BoxFuture<'a, Result<Lease, Error>>;
-    /// Gives a lease back.
+    /// Releases a lease.
     fn revoke<'a>(&'a self, lease: u64) -> BoxFuture<'a, Result<(), Error>>;
 }
 
-/// The service over HTTP.
+/// A client of the service over HTTP.
 #[derive(Debug, Clone)]
 pub struct Remote {
     client: Client,
-    peer: String,
-    within: Duration,
+    address: String,
+    timeout: Duration,
 }
 
 impl Remote {
-    /// The service at `peer`; a call takes at most `within`.
+    /// Creates a client of the service at `address`; a call takes at most `timeout`.
     #[must_use]
-    pub fn new(client: Client, peer: String, within: Duration) -> Self {
+    pub fn new(client: Client, address: String, timeout: Duration) -> Self {
         Self {
             client,
-            peer,
-            within,
+            address,
+            timeout,
         }
     }
 
@@ -85,29 +85,29 @@
         method: Method,
         path: &str,
         body: Bytes,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Bytes, Error> {
         self.client
-            .call(step, method, &self.peer, path, body, within)
+            .call(step, method, &self.address, path, body, timeout)
             .await
-            .map_err(sort)
+            .map_err(classify)
     }
 
     async fn delete(&self, step: &str, path: &str) -> Result<(), Error> {
-        let done = self.call(step, Method::DELETE, path, Bytes::new(), self.within);
+        let done = self.call(step, Method::DELETE, path, Bytes::new(), self.timeout);
         done.await.map(|_body| ())
     }
 }
 
-/// Tells what surely wrote nothing from what may have.
-fn sort(error: Call) -> Error {
+/// Classifies a failed call by whether it may have written something.
+fn classify(error: Call) -> Error {
     match error {
         Call::Status(_, _, 409, body) => match http::parse::<Conflict>(&body) {
             Ok(conflict) => Error::Conflict(conflict.current.map(Box::new)),
             Err(error) => Error::Unknown(error.to_string()),
         },
-        Call::Status(_, _, 404, _) => Error::Lapsed,
-        // The service answers these before it writes.
+        Call::Status(_, _, 404, _) => Error::Expired,
+        // The service answers with these statuses before it writes.
         Call::Status(_, _, 400..=499 | 503, _) => Error::Refused(error.to_string()),
         _ if error.unsent() => Error::Refused(error.to_string()),
         _ => Error::Unknown(error.to_string()),
@@ -123,11 +123,11 @@
         Box::pin(async move {
             let path = format!("/v1/kv/{key}");
             let got = self
-                .call("store_get", Method::GET, &path, Bytes::new(), self.within)
+                .call("store_get", Method::GET, &path, Bytes::new(), self.timeout)
                 .await;
             match got {
                 Ok(body) => decode(&body).map(Some),
-                Err(Error::Lapsed) => Ok(None),
+                Err(Error::Expired) => Ok(None),
                 Err(error) => Err(error),
             }
         })
@@ -139,7 +139,7 @@
             let body = http::json(&put);
             decode(
                 &self
-                    .call("store_put", Method::PUT, &path, body, self.within)
+                    .call("store_put", Method::PUT, &path, body, self.timeout)
                     .await?,
             )
         })
@@ -157,7 +157,7 @@
             let path = format!("/v1/list/{prefix}");
             decode(
                 &self
-                    .call("store_list", Method::GET, &path, Bytes::new(), self.within)
+                    .call("store_list", Method::GET, &path, Bytes::new(), self.timeout)
                     .await?,
             )
         })
@@ -172,10 +172,10 @@
         Box::pin(async move {
             let wait_ms = wait.as_millis();
             let path = format!("/v1/watch/{prefix}?after={after}&wait_ms={wait_ms}");
-            let within = wait + self.within;
+            let timeout = wait + self.timeout;
             decode(
                 &self
-                    .call("store_watch", Method::GET, &path, Bytes::new(), within)
+                    .call("store_watch", Method::GET, &path, Bytes::new(), timeout)
                     .await?,
             )
         })
@@ -187,7 +187,7 @@
             let step = "store_grant";
             decode(
                 &self
-                    .call(step, Method::POST, "/v1/leases", body, self.within)
+                    .call(step, Method::POST, "/v1/leases", body, self.timeout)
                     .await?,
             )
         })
@@ -199,7 +199,7 @@
             let step = "store_renew";
             decode(
                 &self
-                    .call(step, Method::PUT, &path, Bytes::new(), self.within)
+                    .call(step, Method::PUT, &path, Bytes::new(), self.timeout)
                     .await?,
             )
         })
--- a/coltsfoothall-entry/src/view.rs
+++ b/coltsfoothall-entry/src/view.rs
@@ -1,4 +1,4 @@
-//! What traffic sees of the control state: a snapshot that is published whole.
+//! A snapshot of the control state for request handling. It is published as a whole.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 use crate::busy::Busy;
 
-/// A bearer token and the workspace that holds it.
+/// A bearer token and its workspace.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Token {
     /// The token.
@@ -19,25 +19,25 @@
     pub workspace: id::Workspace,
 }
 
-/// Another entry instance that can be reached.
+/// Another live entry instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// The instance's name.
     pub instance: id::Instance,
-    /// Its failure domain.
+    /// The instance's failure domain.
     pub domain: id::Domain,
-    /// Its address for entry instances.
+    /// The instance's address for other entry instances.
     pub address: String,
 }
 
-/// Where an endpoint listens.
+/// The location of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Location {
     /// The endpoint.
     pub endpoint: id::Endpoint,
     /// Whether it is a model engine.
     pub engine: bool,
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
 }
 
@@ -48,45 +48,46 @@
     pub catalog: Arc<Catalog>,
     /// Bearer tokens, sorted.
     pub tokens: Vec<Token>,
-    /// Where endpoints listen, sorted by name.
+    /// The locations of all endpoints, sorted by name.
     pub locations: Vec<Location>,
     /// Addresses for callers.
     pub addresses: Option<Addresses>,
-    /// Who owns which slot.
+    /// The slot table, which names the owners of all slots.
     pub table: Arc<Table>,
-    /// Other entry instances, sorted by name.
+    /// The other live entry instances, sorted by name.
     pub peers: Vec<Peer>,
     /// Whether this instance is leaving.
     pub leaving: bool,
     /// Whether this instance watches the key-value service for its failure domain.
     pub watches: bool,
-    /// The instance list as it was last read, sorted by name; the same `Arc` until it is read again.
+    /// The instance list as last read, sorted by name. The same `Arc` is kept until the list is
+    /// read again.
     pub machines: Arc<Vec<Machine>>,
-    /// Instances that were given notice, sorted.
+    /// Instances that received a reclaim notice, sorted.
     pub noticed: Vec<id::Instance>,
-    /// Requests on this instance, sorted by service.
+    /// The number of requests on this instance by service, sorted by service.
     pub busy: Vec<Busy>,
 }
 
 impl View {
-    /// The workspace that a bearer token belongs to.
+    /// The workspace of a bearer token.
     #[must_use]
     pub fn workspace(&self, token: &str) -> Option<&id::Workspace> {
-        let at = self
+        let index = self
             .tokens
-            .binary_search_by(|held| held.token.as_str().cmp(token))
+            .binary_search_by(|known| known.token.as_str().cmp(token))
             .ok()?;
-        Some(&self.tokens[at].workspace)
+        Some(&self.tokens[index].workspace)
     }
 
-    /// The service of that name.
+    /// The service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         let services = &self.catalog.services;
-        let at = services
-            .binary_search_by(|held| held.name.as_str().cmp(name))
+        let index = services
+            .binary_search_by(|service| service.name.as_str().cmp(name))
             .ok()?;
-        Some(&services[at])
+        Some(&services[index])
     }
 
     /// The service that runs a model or an adapter, the model, and the adapter.
@@ -112,31 +113,31 @@
     /// Another entry instance by name.
     #[must_use]
     pub fn peer(&self, instance: &id::Instance) -> Option<&Peer> {
-        let at = self
+        let index = self
             .peers
             .binary_search_by(|peer| peer.instance.cmp(instance))
             .ok()?;
-        Some(&self.peers[at])
+        Some(&self.peers[index])
     }
 
-    /// Where an endpoint listens.
+    /// The location of an endpoint.
     #[must_use]
     pub fn location(&self, endpoint: &id::Endpoint) -> Option<&Location> {
-        let at = self
+        let index = self
             .locations
             .binary_search_by(|location| location.endpoint.cmp(endpoint))
             .ok()?;
-        Some(&self.locations[at])
+        Some(&self.locations[index])
     }
 
-    /// A key's slot.
+    /// The slot of a key.
     #[must_use]
     pub fn slot(&self, key: &key::Key) -> key::Slot {
         key.slot(self.table.count())
     }
 }
 
-/// What serves a model or an adapter.
+/// The service that runs a model or an adapter.
 #[derive(Debug, Clone, Copy)]
 pub struct Runner<'a> {
     /// The service.
--- a/coltsfoothall-entry/tests/dispatch.rs
+++ b/coltsfoothall-entry/tests/dispatch.rs
@@ -142,7 +142,7 @@
                 .set_endpoints((0..ENDPOINTS).map(endpoint).collect()),
             _ => self.dispatch.poll(self.now),
         }
-        for endpoint in self.dispatch.detector().due(self.now) {
+        for endpoint in self.dispatch.detector().due_probes(self.now) {
             self.settle(&endpoint, Finding::Alive);
         }
         self.hear();
