--- a/coltsfoothall-entry/src/config.rs
+++ b/coltsfoothall-entry/src/config.rs
@@ -51,8 +51,8 @@
         .send(Message::Catalog(Source::Store, stored.catalog));
 }
 
-/// Reads the configuration once, then watches it for as long as this instance is one that
-/// watches.
+/// Reads the configuration once, then watches it while this instance is the one of its
+/// failure domain that watches the service.
 pub async fn run(node: Arc<Node>) {
     let mut observed = None;
     loop {
--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -43,9 +43,9 @@
 /// process itself stalled.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Ticks between two repeats of evidence to a peer.
+/// Number of ticks between two repeats of evidence to a peer.
 const TICKS_PER_EVIDENCE_REPEAT: u64 = 25;
-/// Ticks between two repeats of notices to some peers.
+/// Number of ticks between two repeats of notices to some peers.
 const TICKS_PER_NOTICE_REPEAT: u64 = 5;
 /// Number of times that an instance asks a peer for all evidence after its start.
 const MAX_EVIDENCE_REQUESTS: u32 = 3;
--- a/coltsfoothall-entry/src/death.rs
+++ b/coltsfoothall-entry/src/death.rs
@@ -23,15 +23,16 @@
 
 /// Time within which a connection has to be accepted or refused.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Number of connection attempts in a probe. A dying process may close its listener last.
+/// Number of connection attempts in a probe. An accepted connection is tried again, as a
+/// dying process may close its listener last.
 const MAX_CONNECTS: u32 = 3;
 /// Delay between two connection attempts.
 const CONNECT_DELAY: Duration = Duration::from_millis(40);
-/// Attempts that have to break together to count as a restart of the endpoint.
+/// Number of attempts that have to break together to count as a restart of the endpoint.
 const RESTART_THRESHOLD: usize = 2;
-/// Other instances of a failure domain that have to be lost with an endpoint before the
-/// domain counts as lost. With fewer, a request that runs at several endpoints of a small
-/// domain could pass for a lost domain.
+/// Number of other instances of a failure domain that have to be lost with an endpoint
+/// before the domain counts as lost. With fewer, a request that kills several endpoints of
+/// a small domain could pass for a lost domain.
 const DOMAIN_LOSS_THRESHOLD: usize = 2;
 /// Maximum number of other instances of a failure domain that are probed; it bounds the
 /// connections.
@@ -52,7 +53,7 @@
     Alive,
     /// The endpoint accepts connections, and this process answers instead of the expected one.
     Restarted(Boot),
-    /// The host refuses connections.
+    /// The endpoint's host refuses connections.
     Dead {
         /// Whether the other instances of its failure domain are lost too.
         domain: bool,
@@ -153,10 +154,10 @@
     ) {
         self.suspicions
             .started(now, attempt, endpoint.clone(), fingerprint, isolated);
-        if let Err(at) = self.find(attempt) {
+        if let Err(index) = self.find(attempt) {
             let boot = self.boot(endpoint);
             self.runs.insert(
-                at,
+                index,
                 Run {
                     attempt,
                     endpoint: endpoint.clone(),
@@ -171,8 +172,8 @@
     /// `complete` tells whether its answer is complete.
     pub fn record_end(&mut self, now: Time, attempt: u64, complete: bool) {
         self.suspicions.ended(now, attempt, complete);
-        if let Ok(at) = self.find(attempt) {
-            self.runs.remove(at);
+        if let Ok(index) = self.find(attempt) {
+            self.runs.remove(index);
         }
     }
 
@@ -183,15 +184,15 @@
             .probes
             .binary_search_by(|probe| probe.endpoint.cmp(endpoint))
         {
-            Ok(at) => {
-                self.probes[at].broken.extend(broken);
+            Ok(index) => {
+                self.probes[index].broken.extend(broken);
                 false
             }
-            Err(at) => {
+            Err(index) => {
                 let run = broken.and_then(|attempt| self.find(attempt).ok());
                 let boot = run.map_or_else(|| self.boot(endpoint), |run| self.runs[run].boot);
                 self.probes.insert(
-                    at,
+                    index,
                     Probe {
                         endpoint: endpoint.clone(),
                         broken: broken.into_iter().collect(),
@@ -209,17 +210,17 @@
         &mut self,
         now: Time,
         endpoint: &id::Endpoint,
-        found: Finding,
+        finding: Finding,
         open: usize,
     ) -> Conclusion {
         let index = self
             .probes
             .binary_search_by(|probe| probe.endpoint.cmp(endpoint));
         let broken = index
-            .map(|at| self.probes.remove(at).broken)
+            .map(|index| self.probes.remove(index).broken)
             .unwrap_or_default();
         let together = broken.len() >= RESTART_THRESHOLD && open == 0;
-        match found {
+        match finding {
             Finding::Dead { .. } => return Conclusion::Dead,
             Finding::Restarted(boot) => {
                 self.record_boot(endpoint, boot);
@@ -231,7 +232,7 @@
         for attempt in &broken {
             self.record_end(now, *attempt, false);
         }
-        if found == Finding::Alive {
+        if finding == Finding::Alive {
             self.revive(endpoint);
         }
         Conclusion::Alive(broken)
@@ -239,19 +240,22 @@
 
     /// Records the process that an endpoint reports.
     pub fn record_boot(&mut self, endpoint: &id::Endpoint, boot: Boot) {
-        match self.boots.binary_search_by(|(have, _)| have.cmp(endpoint)) {
-            Ok(at) => self.boots[at].1 = boot,
-            Err(at) => self.boots.insert(at, (endpoint.clone(), boot)),
+        match self
+            .boots
+            .binary_search_by(|(known, _)| known.cmp(endpoint))
+        {
+            Ok(index) => self.boots[index].1 = boot,
+            Err(index) => self.boots.insert(index, (endpoint.clone(), boot)),
         }
     }
 
     /// The process that the broken attempts at a probed endpoint ran in, if known.
     #[must_use]
     pub fn probed_boot(&self, endpoint: &id::Endpoint) -> Option<Boot> {
-        let found = self
+        let index = self
             .probes
             .binary_search_by(|probe| probe.endpoint.cmp(endpoint));
-        found.ok().and_then(|at| self.probes[at].boot)
+        index.ok().and_then(|index| self.probes[index].boot)
     }
 
     /// Records the death of an endpoint. Returns the marks to report to peers.
@@ -261,12 +265,12 @@
         endpoint: &id::Endpoint,
         announced: bool,
     ) -> Vec<Mark> {
-        if let Err(at) = self
+        if let Err(index) = self
             .dead
             .binary_search_by(|dead| dead.endpoint.cmp(endpoint))
         {
             self.dead.insert(
-                at,
+                index,
                 Dead {
                     endpoint: endpoint.clone(),
                     next: now + PROBE_INTERVAL,
@@ -373,8 +377,10 @@
     }
 
     fn boot(&self, endpoint: &id::Endpoint) -> Option<Boot> {
-        let found = self.boots.binary_search_by(|(have, _)| have.cmp(endpoint));
-        found.ok().map(|at| self.boots[at].1)
+        let index = self
+            .boots
+            .binary_search_by(|(known, _)| known.cmp(endpoint));
+        index.ok().map(|index| self.boots[index].1)
     }
 
     fn find(&self, attempt: u64) -> Result<usize, usize> {
--- a/coltsfoothall-entry/src/demand.rs
+++ b/coltsfoothall-entry/src/demand.rs
@@ -43,7 +43,7 @@
 pub struct Estimate {
     smoothed: f64,
     target: f64,
-    at: Time,
+    updated: Time,
 }
 
 impl Estimate {
@@ -54,7 +54,7 @@
         Self {
             smoothed: load,
             target: load,
-            at: now,
+            updated: now,
         }
     }
 
@@ -66,10 +66,10 @@
         } else {
             settings.fall
         };
-        let elapsed = now.since(self.at).as_secs_f64();
+        let elapsed = now.since(self.updated).as_secs_f64();
         let span = span.duration().max(Duration::from_millis(1)).as_secs_f64();
         self.smoothed += (sample - self.smoothed) * (1.0 - (-elapsed / span).exp());
-        self.at = now;
+        self.updated = now;
         if self.smoothed > self.target || self.smoothed < self.target * FALL_THRESHOLD {
             self.target = self.smoothed;
         }
@@ -126,6 +126,8 @@
     let found = view
         .busy
         .binary_search_by(|busy| busy.service.cmp(&service.name));
-    let (open, queued) = found.map_or((0, 0), |at| (view.busy[at].open, view.busy[at].queued));
+    let (open, queued) = found.map_or((0, 0), |index| {
+        (view.busy[index].open, view.busy[index].queued)
+    });
     reported.unwrap_or(open * members) + queued * members
 }
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -131,7 +131,7 @@
         self.gate.waiting()
     }
 
-    /// Number of admitted requests.
+    /// Number of admissions that the gate has granted.
     #[must_use]
     pub fn admitted(&self) -> usize {
         self.gate.open()
@@ -266,9 +266,9 @@
     }
 
     /// Records the result of a probe. Returns whether the endpoint is dead.
-    pub fn record_probe(&mut self, now: Time, endpoint: &id::Endpoint, found: Finding) -> bool {
+    pub fn record_probe(&mut self, now: Time, endpoint: &id::Endpoint, finding: Finding) -> bool {
         let open = self.open_at(endpoint);
-        match self.detector.record_finding(now, endpoint, found, open) {
+        match self.detector.record_finding(now, endpoint, finding, open) {
             Conclusion::Dead => true,
             Conclusion::Alive(broken) => {
                 for attempt in broken {
--- a/coltsfoothall-entry/src/endpoint.rs
+++ b/coltsfoothall-entry/src/endpoint.rs
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone)]
 pub struct Remote {
     client: Client,
-    /// Maximum time without data from the endpoint.
+    /// Timeout of a response head, of each part of a stream, and of the body of an answer.
     silence: Duration,
 }
 
--- a/coltsfoothall-entry/src/inventory.rs
+++ b/coltsfoothall-entry/src/inventory.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 struct Notice {
     instance: id::Instance,
-    at: Time,
+    received: Time,
 }
 
 /// The latest instance list and the reclaim notices.
@@ -45,7 +45,8 @@
         let machines = &self.machines;
         // A notice may arrive before its instance is listed.
         self.noticed.retain(|notice| {
-            now.since(notice.at) < UNLISTED_NOTICE_RETENTION || listed(machines, &notice.instance)
+            now.since(notice.received) < UNLISTED_NOTICE_RETENTION
+                || listed(machines, &notice.instance)
         });
         let gone = old.iter().filter(|machine| !listed(machines, &machine.id));
         gone.cloned().collect()
@@ -102,7 +103,7 @@
         };
         let notice = Notice {
             instance: instance.clone(),
-            at: now,
+            received: now,
         };
         self.noticed.insert(index, notice);
         true
@@ -121,7 +122,7 @@
         let recent = self
             .noticed
             .iter()
-            .filter(move |notice| now.since(notice.at) < NOTICE_REPEAT_PERIOD);
+            .filter(move |notice| now.since(notice.received) < NOTICE_REPEAT_PERIOD);
         recent.map(|notice| &notice.instance)
     }
 
--- a/coltsfoothall-entry/src/isolation.rs
+++ b/coltsfoothall-entry/src/isolation.rs
@@ -14,8 +14,8 @@
 
 /// How long an endpoint stays reserved after the last request that asked for it.
 const RESERVE_TTL: Duration = Duration::from_secs(1);
-/// How long reported requests of other instances keep an endpoint from being used. Without
-/// this limit, a suspect request in a busy fleet would wait until its deadline.
+/// How long the reported requests of other instances keep an endpoint from being used.
+/// Without this limit, a suspect request in a busy fleet could wait until its deadline.
 const OTHERS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time after which the wait for an endpoint in this instance's share starts anew.
--- a/coltsfoothall-entry/src/lease.rs
+++ b/coltsfoothall-entry/src/lease.rs
@@ -156,9 +156,9 @@
             Ok(None) => Input::Seen(None),
             Ok(Some(entry)) => match self.claim(&entry) {
                 Ok(claim) => Input::Seen(Some((claim.lease, entry.revision))),
-                Err(error) => self.failed("read", &error),
+                Err(error) => self.log_failure("read", &error),
             },
-            Err(error) => self.failed("read", &error),
+            Err(error) => self.log_failure("read", &error),
         }
     }
 
@@ -175,8 +175,8 @@
         };
         let lease = match store.grant(grant).await {
             Ok(lease) => lease,
-            // A lease whose grant was lost holds no key and expires.
-            Err(error) => return self.failed("grant", &error),
+            // A lease whose grant was lost on the way holds no key and expires.
+            Err(error) => return self.log_failure("grant", &error),
         };
         let claim = Claim {
             instance: self.node.settings.instance.clone(),
@@ -199,9 +199,9 @@
                 let _left = store.revoke(lease.id).await;
                 Input::Lost
             }
-            Err(error @ Call::Refused(_)) => self.failed("take", &error),
+            Err(error @ Call::Refused(_)) => self.log_failure("take", &error),
             Err(error @ Call::Unknown(_)) => {
-                self.failed("take", &error);
+                self.log_failure("take", &error);
                 Input::StoreUnknown {
                     lease: lease.id,
                     asked_at,
@@ -228,11 +228,11 @@
                 asked_at,
             },
             Err(Call::Expired) => Input::Lost,
-            Err(error) => self.failed("renew", &error),
+            Err(error) => self.log_failure("renew", &error),
         }
     }
 
-    fn failed(&self, step: &str, error: &dyn std::error::Error) -> Input {
+    fn log_failure(&self, step: &str, error: &dyn std::error::Error) -> Input {
         let service = &self.service;
         event::STORE_FAILED.emit(format_args!(
             "step=steward_{step} service={service} error=\"{error}\""
--- a/coltsfoothall-entry/src/link.rs
+++ b/coltsfoothall-entry/src/link.rs
@@ -152,14 +152,14 @@
 
     fn with_link<T>(&self, to: &id::Instance, f: impl FnOnce(&Link) -> T) -> T {
         let mut links = lock(&self.links);
-        let at = match links.binary_search_by(|link| link.instance.cmp(to)) {
-            Ok(at) => at,
-            Err(at) => {
-                links.insert(at, self.start_link(to));
-                at
+        let index = match links.binary_search_by(|link| link.instance.cmp(to)) {
+            Ok(index) => index,
+            Err(index) => {
+                links.insert(index, self.start_link(to));
+                index
             }
         };
-        f(&links[at])
+        f(&links[index])
     }
 
     fn start_link(&self, to: &id::Instance) -> Link {
--- a/coltsfoothall-entry/src/members.rs
+++ b/coltsfoothall-entry/src/members.rs
@@ -27,16 +27,16 @@
 /// Service name of entry instances in the instance list.
 pub const ENTRY: &str = "entry";
 
-/// How long after its start an instance judges no other dead, as it has to receive their
-/// heartbeats first.
+/// How long after its start, or after a time when it was unclear who had stalled, an
+/// instance judges no other dead. It has to receive the others' heartbeats first.
 const SETTLE_DELAY: Duration = Duration::from_secs(5);
 
 /// Maximum number of incarnations remembered; it bounds memory where instances never reuse
 /// a name.
 const MAX_INCARNATIONS: usize = 8192;
 
-/// Number of peers that a notice is forwarded to; with this number it reaches all in a few
-/// steps.
+/// Number of peers that a reclaim notice is forwarded to; with this number it reaches all
+/// in a few steps.
 const NOTICE_FANOUT: usize = 3;
 
 /// The entry instances, as this one knows them.
@@ -334,7 +334,7 @@
         live
     }
 
-    /// Forwards a notice to some random peers.
+    /// Forwards a reclaim notice to some random peers.
     pub fn forward_notice(&self, instance: &id::Instance) {
         for peer in self.random_peers(NOTICE_FANOUT) {
             let (node, instance) = (Arc::clone(&self.node), instance.clone());
--- a/coltsfoothall-entry/src/order.rs
+++ b/coltsfoothall-entry/src/order.rs
@@ -137,8 +137,8 @@
         let mut sends = Vec::new();
         for order in orders {
             let found = observed.binary_search_by(|s| s.engine.endpoint.cmp(&order.endpoint));
-            if let Ok(at) = found {
-                sends.push(send(context, fence, order, &observed[at].address));
+            if let Ok(index) = found {
+                sends.push(send(context, fence, order, &observed[index].address));
             }
         }
         stream::iter(sends)
--- a/coltsfoothall-entry/src/owned.rs
+++ b/coltsfoothall-entry/src/owned.rs
@@ -250,7 +250,7 @@
         result
     }
 
-    /// Whether the request would be new here. It may be refused right away.
+    /// Whether the request is new here and can be accepted.
     fn is_new(&self, node: &Node, slot: Slot, intake: &Intake) -> Result<bool, Fault> {
         let state = self.state();
         if state.find(&intake.name).is_ok() || state.ledger.record(slot, &intake.name).is_some() {
--- a/coltsfoothall-entry/src/probe.rs
+++ b/coltsfoothall-entry/src/probe.rs
@@ -18,21 +18,21 @@
 
 impl Control {
     /// Handles the result of a probe.
-    pub fn record_probe(&mut self, now: Time, endpoint: &id::Endpoint, found: Finding) {
-        let found = self.resolve(endpoint, found);
-        if self.dispatch.record_probe(now, endpoint, found) {
-            self.endpoint_died(endpoint, found == (Finding::Dead { domain: true }));
+    pub fn record_probe(&mut self, now: Time, endpoint: &id::Endpoint, finding: Finding) {
+        let finding = self.resolve(endpoint, finding);
+        if self.dispatch.record_probe(now, endpoint, finding) {
+            self.endpoint_died(endpoint, finding == (Finding::Dead { domain: true }));
         }
     }
 
     /// The result of a probe, except that no answer from an endpoint that left the instance
     /// list means that it is dead.
-    fn resolve(&self, endpoint: &id::Endpoint, found: Finding) -> Finding {
+    fn resolve(&self, endpoint: &id::Endpoint, finding: Finding) -> Finding {
         let listed = self.inventory.find(endpoint).is_some();
-        match found {
+        match finding {
             Finding::Silent if !listed => Finding::Dead { domain: false },
             Finding::Silent | Finding::Alive | Finding::Restarted(_) | Finding::Dead { .. } => {
-                found
+                finding
             }
         }
     }
@@ -66,8 +66,8 @@
             .map(|m| self.inventory.domain_peers(m))
             .unwrap_or_default();
         tokio::spawn(async move {
-            let found = death::probe(&node.client, &address, boot, &peers).await;
-            node.control.send(Message::ProbeEnded(endpoint, found));
+            let finding = death::probe(&node.client, &address, boot, &peers).await;
+            node.control.send(Message::ProbeEnded(endpoint, finding));
         });
     }
 
--- a/coltsfoothall-entry/src/relay.rs
+++ b/coltsfoothall-entry/src/relay.rs
@@ -135,13 +135,14 @@
         self.handle(Input::Begin);
         while !self.request.over() || !self.waiting.is_empty() {
             let wake = self.next_wake();
-            let no_waiting = self.waiting.is_empty();
+            let none_waiting = self.waiting.is_empty();
             let input = tokio::select! {
                 // Inputs about copies and endpoints take precedence over pieces of answers.
                 biased;
                 Some(input) = signal_inputs.recv() => input,
-                // While changes wait the endpoint waits too, so few of them pile up.
-                Some(input) = piece_inputs.recv(), if no_waiting => input,
+                // No pieces are taken while changes wait. This makes the endpoint wait too, so that
+                // few changes pile up.
+                Some(input) = piece_inputs.recv(), if none_waiting => input,
                 () = sleep_until(wake) => self.on_timer(),
             };
             self.handle(input);
--- a/coltsfoothall-entry/src/run.rs
+++ b/coltsfoothall-entry/src/run.rs
@@ -204,9 +204,9 @@
     // A request that arrives now could not finish here, and by now the slots belong to their
     // next owners.
     node.requests.close();
-    // A request that is sent until then, on a connection without a request or on one just
-    // opened, gets its refusal. If the connection were closed instead, the caller could not
-    // tell whether its request was read.
+    // A request sent before `idle`, on a connection without a request or on one just opened,
+    // still gets its refusal. If the connection were closed instead, the caller could not tell
+    // whether its request was read.
     let idle = (Instant::now() + times.addresses.duration()).min(limit - span / CLOSING_DIVISOR);
     let mut finished = listeners.callers.close(idle, limit).await;
     // Requests still owned here run for callers of other instances.
--- a/coltsfoothall-entry/src/settings.rs
+++ b/coltsfoothall-entry/src/settings.rs
@@ -59,8 +59,8 @@
     pub store: Millis,
     /// Maximum wait for a backup's acknowledgement.
     pub backup: Millis,
-    /// Maximum time without data from an endpoint, for its first and for each later part of an
-    /// answer.
+    /// Timeout of an endpoint's response head, of each further part of a stream, and of the
+    /// body of a plain service's answer.
     pub endpoint: Millis,
     /// Interval between two reads of the instance list.
     pub list: Millis,
--- a/coltsfoothall-entry/src/slots.rs
+++ b/coltsfoothall-entry/src/slots.rs
@@ -36,7 +36,8 @@
     table: Arc<Table>,
     /// Whether a round is running.
     round_running: bool,
-    /// When the service last answered or failed to, as of the last round that called it.
+    /// When the last round that called the service ended, and whether the service answered in
+    /// it.
     last_call: Option<Time>,
     service_up: bool,
     read_due: bool,
--- a/coltsfoothall-entry/src/start.rs
+++ b/coltsfoothall-entry/src/start.rs
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 struct Stop {
     id: id::Instance,
-    at: Time,
+    due: Time,
 }
 
 /// Starts and stops under one fencing token.
@@ -185,8 +185,8 @@
             self.schedule_strays(context, view);
         }
         for id in &view.noticed {
-            if let Err(at) = self.notices.binary_search(id) {
-                self.notices.insert(at, id.clone());
+            if let Err(index) = self.notices.binary_search(id) {
+                self.notices.insert(index, id.clone());
                 self.queue.handle(now, Input::Notice(id.clone()));
             }
         }
@@ -197,7 +197,7 @@
     /// Schedules the termination of instances that are out of use but that the platform doesn't
     /// reclaim.
     fn schedule_strays(&mut self, context: &Context, view: &View) {
-        let at = context.node.now() + STRAY_DELAY;
+        let due = context.node.now() + STRAY_DELAY;
         let stray = |m: &&Machine| {
             let noticed = view.noticed.binary_search(&m.id).is_ok();
             m.service == context.service && m.phase == Phase::Live && noticed
@@ -206,14 +206,14 @@
             if self.stops.iter().all(|stop| stop.id != machine.id) {
                 self.stops.push(Stop {
                     id: machine.id.clone(),
-                    at,
+                    due,
                 });
             }
         }
         // Instances that are leaving or gone need not be terminated.
         let live = |id: &id::Instance| {
             let found = view.machines.binary_search_by(|m| m.id.cmp(id));
-            found.is_ok_and(|at| view.machines[at].phase != Phase::Leaving)
+            found.is_ok_and(|index| view.machines[index].phase != Phase::Leaving)
         };
         self.stops.retain(|stop| live(&stop.id));
     }
@@ -269,22 +269,22 @@
     /// Takes an instance out of use on all entry instances, and schedules its termination for
     /// when all know.
     fn stop(&mut self, context: &Context, now: Time, id: id::Instance) {
-        let at = now + context.node.settings.stewards.drain.duration();
+        let due = now + context.node.settings.stewards.drain.duration();
         context.node.control.send(Message::Notice(id.clone()));
         match self.stops.iter_mut().find(|stop| stop.id == id) {
-            Some(stop) => stop.at = stop.at.min(at),
-            None => self.stops.push(Stop { id, at }),
+            Some(stop) => stop.due = stop.due.min(due),
+            None => self.stops.push(Stop { id, due }),
         }
     }
 
     /// Terminates the instances that are due.
     async fn terminate_due(&mut self, context: &Context) {
         let now = context.node.now();
-        for at in (0..self.stops.len()).rev() {
-            if self.stops[at].at > now || !context.lease.allows(self.fence) {
+        for index in (0..self.stops.len()).rev() {
+            if self.stops[index].due > now || !context.lease.allows(self.fence) {
                 continue;
             }
-            let id = self.stops[at].id.clone();
+            let id = self.stops[index].id.clone();
             let cloud = context.node.settings.cloud.to_string();
             let path = format!("/v1/instances/{id}");
             let call = context.node.client.call(
@@ -298,7 +298,7 @@
             match call.await {
                 Ok(_) | Err(Error::Status(_, _, STATUS_GONE, _)) => {
                     event::STOP.emit(format_args!("service={} instance={id}", context.service));
-                    self.stops.remove(at);
+                    self.stops.remove(index);
                 }
                 Err(error) => event::START_FAILED
                     .emit(format_args!("step=stop instance={id} error=\"{error}\"")),
--- a/coltsfoothall-entry/src/steward.rs
+++ b/coltsfoothall-entry/src/steward.rs
@@ -62,7 +62,7 @@
     /// Maximum number of starts in a minute; it keeps a wrong instance list from buying a
     /// second fleet.
     pub per_minute: usize,
-    /// Maximum lag of the instance list, including the time that a start takes to be sent.
+    /// Maximum lag of the instance list, including the time that a start is in flight.
     pub lag: Millis,
     /// First backoff of a kind of instance whose start was refused.
     pub backoff: Millis,
