--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -167,7 +167,7 @@
         board.slots(
             self.node
                 .requests
-                .with_ledger(|ledger| ledger.owned().count()) as u64,
+                .with_ledger(|ledger| ledger.served_slots().count()) as u64,
         );
     }
 
@@ -187,7 +187,11 @@
             id: sender.instance.clone(),
             age: None,
         };
-        if self.config.hear(&source, Revision(sender.revision), now) == Need::Fetch {
+        if self
+            .config
+            .merge_revision(&source, Revision(sender.revision), now)
+            == Need::Fetch
+        {
             fetch::config(Arc::clone(&self.node), sender.instance.clone());
         }
         if sender.slots > self.slots.version() {
@@ -234,11 +238,14 @@
                 self.dispatch.report(now, &endpoint, &report);
             }
             Message::Cache(endpoint, events) => {
-                let _lost = self.dispatch.router().cache_events(&endpoint, &events);
+                let _lost = self
+                    .dispatch
+                    .router()
+                    .record_cache_events(&endpoint, &events);
             }
             Message::Catalog(source, catalog) => self.adopt(&source, catalog),
             Message::Configs { base, reply } => {
-                let current = self.config.held().cloned().unwrap_or_default();
+                let current = self.config.current().cloned().unwrap_or_default();
                 let base = self.config.at(base).cloned();
                 let _gone = reply.send(Configs { current, base });
             }
@@ -320,15 +327,15 @@
         match self.config.offer(source, catalog, now) {
             Outcome::Adopted { from, to } => {
                 event::ADOPTED.emit(format_args!("from={from} to={to} source={source:?}"));
-                if let Some(held) = self.config.held() {
+                if let Some(held) = self.config.current() {
                     self.dispatch.set_workspaces(&held.workspaces);
                     self.node.board.revision(held.revision.0);
                 }
                 self.publish();
             }
             Outcome::Same => {}
-            Outcome::Older { offered, held } => {
-                event::OLDER.emit(format_args!("offered={offered} held={held}"));
+            Outcome::Older { offered, current } => {
+                event::OLDER.emit(format_args!("offered={offered} held={current}"));
             }
             Outcome::Fork { revision } => {
                 self.node
@@ -370,7 +377,7 @@
         let Ok(endpoint) = instance.as_str().parse::<id::Endpoint>() else {
             return;
         };
-        self.dispatch.router().leaving(&endpoint);
+        self.dispatch.router().mark_leaving(&endpoint);
         let input = Input::Leaving {
             endpoint,
             finishes: false,
@@ -405,7 +412,7 @@
     }
 
     fn own_config(&self) -> Option<peer::Config> {
-        let held = self.config.held()?;
+        let held = self.config.current()?;
         Some(peer::Config {
             from: self.node.settings.instance.clone(),
             age: self.config.age(self.node.now()).map(Millis::from),
--- a/coltsfoothall-entry/src/death.rs
+++ b/coltsfoothall-entry/src/death.rs
@@ -9,9 +9,9 @@
 //! Until the probe ends, a request that ran there is not started anywhere else.
 
 use coltsfoothall::clock::Time;
+use coltsfoothall::fingerprint::{Evidence, Fingerprint, Mark};
 use coltsfoothall::id;
-use coltsfoothall::print::{Evidence, Mark, Print};
-use coltsfoothall::suspicion::{Docket, Settings, Verdict};
+use coltsfoothall::suspicion::{Settings, Tracker, Verdict};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -85,7 +85,7 @@
 struct Run {
     attempt: u64,
     endpoint: id::Endpoint,
-    fingerprint: Print,
+    fingerprint: Fingerprint,
     /// The process of the endpoint, as known when the attempt started.
     boot: Option<Boot>,
 }
@@ -102,7 +102,7 @@
 /// The probes of endpoints, and the evidence against requests.
 #[derive(Debug)]
 pub struct Detector {
-    suspicions: Docket,
+    suspicions: Tracker,
     /// Sorted by endpoint.
     probes: Vec<Probe>,
     /// Sorted by endpoint.
@@ -118,7 +118,7 @@
 impl Default for Detector {
     fn default() -> Self {
         Self {
-            suspicions: Docket::new(Settings::default()),
+            suspicions: Tracker::new(Settings::default()),
             probes: Vec::new(),
             dead: Vec::new(),
             runs: Vec::new(),
@@ -131,12 +131,12 @@
 impl Detector {
     /// Decides how a request may run now.
     #[must_use]
-    pub fn verdict(&self, now: Time, fingerprint: Print) -> Verdict {
+    pub fn verdict(&self, now: Time, fingerprint: Fingerprint) -> Verdict {
         let verdict = self.suspicions.verdict(now, fingerprint);
         let being_probed = |run: &Run| {
             run.fingerprint.content == fingerprint.content && self.is_probed(&run.endpoint)
         };
-        let early = verdict == Verdict::Alone && now < self.settled;
+        let early = verdict == Verdict::Isolated && now < self.settled;
         if early || (verdict < Verdict::Later && self.runs.iter().any(being_probed)) {
             return Verdict::Later;
         }
@@ -149,11 +149,11 @@
         now: Time,
         attempt: u64,
         endpoint: &id::Endpoint,
-        fingerprint: Print,
+        fingerprint: Fingerprint,
         isolated: bool,
     ) {
         self.suspicions
-            .started(now, attempt, endpoint.clone(), fingerprint, isolated);
+            .record_start(now, attempt, endpoint.clone(), fingerprint, isolated);
         if let Err(index) = self.find(attempt) {
             let boot = self.boot(endpoint);
             self.runs.insert(
@@ -171,7 +171,7 @@
     /// Records the end of an attempt for another reason than the death of its endpoint.
     /// `complete` tells whether its answer is complete.
     pub fn record_end(&mut self, now: Time, attempt: u64, complete: bool) {
-        self.suspicions.ended(now, attempt, complete);
+        self.suspicions.record_end(now, attempt, complete);
         if let Ok(index) = self.find(attempt) {
             self.runs.remove(index);
         }
@@ -278,7 +278,7 @@
             );
         }
         self.runs.retain(|run| run.endpoint != *endpoint);
-        let marks = self.suspicions.died(now, endpoint, announced);
+        let marks = self.suspicions.record_death(now, endpoint, announced);
         if !marks.is_empty() {
             self.settled = now + SETTLE_DELAY;
         }
@@ -323,7 +323,7 @@
     /// The evidence against the given marks.
     #[must_use]
     pub fn evidence_about(&self, now: Time, marks: &[Mark]) -> Vec<Evidence> {
-        self.suspicions.about(now, marks)
+        self.suspicions.evidence_for(now, marks)
     }
 
     /// All evidence, for an instance that has none.
@@ -344,9 +344,9 @@
     /// Merges the evidence reported by a peer. Returns what was new, to be forwarded.
     pub fn merge(&mut self, now: Time, reported: &[Evidence]) -> Vec<Evidence> {
         let marks: Vec<Mark> = reported.iter().map(|evidence| evidence.mark).collect();
-        let before = self.suspicions.about(now, &marks);
+        let before = self.suspicions.evidence_for(now, &marks);
         self.suspicions.merge(now, reported);
-        let after = self.suspicions.about(now, &marks);
+        let after = self.suspicions.evidence_for(now, &marks);
         let is_new = |after: &Evidence| !before.iter().any(|before| same_deaths(before, after));
         let added: Vec<Evidence> = after.into_iter().filter(is_new).collect();
         if !added.is_empty() {
--- a/coltsfoothall-entry/src/dispatch.rs
+++ b/coltsfoothall-entry/src/dispatch.rs
@@ -9,10 +9,10 @@
 use coltsfoothall::catalog::Workspace;
 use coltsfoothall::choice::{self, Endpoint, Router};
 use coltsfoothall::clock::Time;
+use coltsfoothall::fingerprint::Mark;
 use coltsfoothall::id;
 use coltsfoothall::limit::{self, Decision, Gate, Number, Outcome, Refusal, Ticket};
 use coltsfoothall::load::Report;
-use coltsfoothall::print::Mark;
 use coltsfoothall::record::Cause;
 use coltsfoothall::retry::Verdict;
 use coltsfoothall::size::Tokens;
@@ -114,7 +114,7 @@
 
     /// Records the load that an endpoint reported.
     pub fn report(&mut self, now: Time, endpoint: &id::Endpoint, report: &Report) {
-        self.router.report(now, endpoint, report);
+        self.router.record_report(now, endpoint, report);
         let total = report.running.saturating_add(report.waiting) as usize;
         let others = total.saturating_sub(self.open_at(endpoint));
         self.isolation.set_others(now, endpoint, others);
@@ -166,7 +166,7 @@
     /// # Errors
     /// The request is refused; the refusal says when to retry.
     pub fn admit(&mut self, now: Time, ticket: &Ticket) -> Result<Number, Refusal> {
-        self.update_capacity(now, &ticket.service);
+        self.update_budget(now, &ticket.service);
         match self.gate.offer(now, ticket) {
             Decision::Admit(number) => {
                 self.claims.set_ready(number);
@@ -214,8 +214,9 @@
     /// Records that the first piece of an attempt's answer arrived.
     pub fn record_first_piece(&mut self, now: Time, attempt: u64, cached: Tokens) {
         if let Some(running) = self.attempts.get(attempt) {
-            self.router.first(now, &mut running.run, Some(cached));
-            self.gate.read(now, running.number);
+            self.router
+                .record_first_token(now, &mut running.run, Some(cached));
+            self.gate.record_prefill(now, running.number);
         }
     }
 
@@ -229,7 +230,7 @@
         }
         let running = self.attempts.end(attempt)?;
         let endpoint = running.run.endpoint.clone();
-        self.router.ended(now, running.run);
+        self.router.record_end(now, running.run);
         if running.ends_with_attempt {
             self.release(now, running.number);
         }
@@ -259,7 +260,7 @@
         endpoint: id::Endpoint,
         broken: Option<u64>,
     ) -> Option<id::Endpoint> {
-        self.router.suspect(&endpoint, now + AVOID_PERIOD);
+        self.router.mark_suspect(&endpoint, now + AVOID_PERIOD);
         self.detector
             .start_probe(&endpoint, broken)
             .then_some(endpoint)
@@ -288,7 +289,7 @@
         endpoint: &id::Endpoint,
         announced: bool,
     ) -> Vec<Mark> {
-        self.router.suspect(endpoint, now + AVOID_PERIOD);
+        self.router.mark_suspect(endpoint, now + AVOID_PERIOD);
         let lost = self.attempts.remove_broken_at(endpoint) + self.open_at(endpoint);
         if let Some(service) = self.isolation.service(endpoint).cloned() {
             self.retries.grant(now, &service, lost);
@@ -299,7 +300,7 @@
     /// Releases the admission of a request that is over.
     pub fn release(&mut self, now: Time, number: Number) {
         self.claims.remove(number);
-        self.gate.ended(now, number);
+        self.gate.record_end(now, number);
         self.poll(now);
     }
 
@@ -312,11 +313,11 @@
     /// Starts waiting requests that the gate now grants, and refuses those that it gives up.
     pub fn poll(&mut self, now: Time) {
         for service in self.retries.services() {
-            self.update_capacity(now, &service);
+            self.update_budget(now, &service);
         }
         for number in self.claims.expired(now) {
             self.claims.remove(number);
-            self.gate.ended(now, number);
+            self.gate.record_end(now, number);
         }
         for outcome in self.gate.poll(now) {
             match outcome {
@@ -348,7 +349,7 @@
             suspicion::Verdict::Later => {
                 return self.reject(now, &waiting, no_pick(EVIDENCE_DELAY));
             }
-            suspicion::Verdict::Alone => true,
+            suspicion::Verdict::Isolated => true,
             suspicion::Verdict::Free => false,
         };
         let exclude = self.excluded(now, &waiting.pick, isolated);
@@ -361,7 +362,7 @@
             };
             return self.reject(now, &waiting, no_pick(wait));
         };
-        let run = self.router.began(now, &chosen.endpoint, &query);
+        let run = self.router.record_start(now, &chosen.endpoint, &query);
         let (attempt, reply) = (waiting.pick.attempt, waiting.reply.clone());
         self.detector.record_start(
             now,
@@ -406,10 +407,10 @@
         excluded
     }
 
-    fn update_capacity(&mut self, now: Time, service: &id::Service) {
+    fn update_budget(&mut self, now: Time, service: &id::Service) {
         self.retries.add_service(service);
-        let capacity = self.router.room(now, service);
-        self.gate.set_room(service, capacity);
+        let budget = self.router.budget(now, service);
+        self.gate.set_budget(service, budget);
     }
 }
 
--- a/coltsfoothall-entry/src/open.rs
+++ b/coltsfoothall-entry/src/open.rs
@@ -113,7 +113,7 @@
         if record.is_none_or(|record| !record.intake.idempotent) {
             return result;
         }
-        let _ended = live.signals.send(Input::Doubted);
+        let _ended = live.signals.send(Input::Retracted);
         let end = Change::End(end);
         self.ledger.change(now, live.slot, live.name.clone(), end)
     }
@@ -156,7 +156,7 @@
 
     /// The feed of a request that has a record but no relay.
     pub fn recorded(&mut self, node: &Node, slot: Slot, name: &Name) -> Result<Arc<Feed>, Fault> {
-        if !self.ledger.owned().any(|(owned, _)| owned == slot) {
+        if !self.ledger.served_slots().any(|(owned, _)| owned == slot) {
             return Err(retry_later(
                 Code::Unavailable,
                 "the request is owned elsewhere",
@@ -191,7 +191,7 @@
             && let (Some(pending), Some(seq)) = (self.live[index].pending.last_mut(), seq)
         {
             pending.seq = seq;
-            let _ended = self.live[index].signals.send(Input::Doubted);
+            let _ended = self.live[index].signals.send(Input::Retracted);
         }
         true
     }
--- a/coltsfoothall-entry/src/order.rs
+++ b/coltsfoothall-entry/src/order.rs
@@ -91,7 +91,7 @@
     let share = share::Settings {
         rate: settings.weight_rate,
         services,
-        at_once: settings.loads,
+        max_loads: settings.loads,
     };
     let settle = settings.settle.duration();
     let settings = rollout::Settings {
@@ -128,7 +128,7 @@
             .iter()
             .map(|observed| observed.engine.clone())
             .collect();
-        let orders = self.rollout.step(context.node.now(), &wanted, &engines);
+        let orders = self.rollout.tick(context.node.now(), &wanted, &engines);
         context
             .surge
             .store(self.rollout.progress().surge, Ordering::Relaxed);
--- a/coltsfoothall-entry/src/pick.rs
+++ b/coltsfoothall-entry/src/pick.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use coltsfoothall::choice::{self, Ask};
+use coltsfoothall::choice::{self, Query};
 use coltsfoothall::clock::Time;
+use coltsfoothall::fingerprint::Fingerprint;
 use coltsfoothall::id;
 use coltsfoothall::limit::{Number, Ticket};
 use coltsfoothall::prefix::{self, Block};
-use coltsfoothall::print::Print;
 use coltsfoothall::record::{Intake, Work};
 use coltsfoothall::size::Tokens;
 
@@ -30,7 +30,7 @@
     /// Endpoints that must not be chosen, sorted.
     pub exclude: Vec<id::Endpoint>,
     /// The fingerprint of its content.
-    pub fingerprint: Print,
+    pub fingerprint: Fingerprint,
     /// Whether it may run more than once.
     pub idempotent: bool,
     model: Option<id::Model>,
@@ -51,7 +51,7 @@
     ) -> Self {
         // A request that was taken over keeps its claim until its deadline.
         let ticket = ticket_until(intake, deadline);
-        let fingerprint = Print::new(intake);
+        let fingerprint = Fingerprint::new(intake);
         let plain = Self {
             number: None,
             ticket,
@@ -94,8 +94,8 @@
         domain: &'a id::Domain,
         exclude: &'a [id::Endpoint],
         isolated: bool,
-    ) -> Ask<'a> {
-        Ask {
+    ) -> Query<'a> {
+        Query {
             service: &self.ticket.service,
             model: self.model.as_ref(),
             blocks: &self.blocks,
@@ -104,7 +104,7 @@
             class: self.ticket.class,
             domain,
             exclude,
-            alone: isolated,
+            isolated,
         }
     }
 }
--- a/coltsfoothall-entry/src/resend.rs
+++ b/coltsfoothall-entry/src/resend.rs
@@ -5,20 +5,20 @@
 //! unacknowledged one tick later is therefore sent again; a copy that has it acknowledges
 //! it again.
 
-use coltsfoothall::ledger::Owed;
+use coltsfoothall::ledger::Lag;
 
 use crate::node::Node;
 
 /// The acknowledgements that were missing at the last tick.
 #[derive(Debug, Default)]
 pub struct Resend {
-    last: Vec<Owed>,
+    last: Vec<Lag>,
 }
 
 impl Resend {
     /// Sends again the changes that were already unacknowledged at the last tick.
     pub fn tick(&mut self, node: &Node) {
-        let owed = node.requests.with_ledger(|ledger| ledger.owed());
+        let owed = node.requests.with_ledger(|ledger| ledger.lags());
         for old in owed.iter().filter(|owed| self.last.contains(owed)) {
             let missing = node
                 .requests
--- a/coltsfoothall-entry/src/retries.rs
+++ b/coltsfoothall-entry/src/retries.rs
@@ -42,7 +42,7 @@
 
     /// Records that an attempt was sent.
     pub fn record_sent(&mut self, now: Time, service: &id::Service) {
-        self.row(service).budget.sent(now);
+        self.row(service).budget.record_first_attempt(now);
     }
 
     /// Grants a retry each to `count` requests whose endpoint died.
--- a/coltsfoothall-entry/src/round.rs
+++ b/coltsfoothall-entry/src/round.rs
@@ -12,7 +12,7 @@
 use coltsfoothall::ledger::Ledger;
 use coltsfoothall::record::Record;
 use coltsfoothall::replica::{Taken, Whole};
-use coltsfoothall::slot::{Candidate, Process, Refused, SLOTS, Table};
+use coltsfoothall::slot::{Candidate, Process, Refused, SLOT_COUNT, Table};
 use coltsfoothall::step::Input;
 use coltsfoothall_shell::event;
 use coltsfoothall_wire::http;
@@ -84,7 +84,10 @@
         let asked = self.node.now();
         // A write with an unknown outcome blocks its slot until a later version of the table
         // settles it, so a write has to follow.
-        let open = self.node.requests.with_ledger(|ledger| ledger.proposing());
+        let open = self
+            .node
+            .requests
+            .with_ledger(|ledger| ledger.has_proposals());
         let outcome = if open {
             Some(self.write(&changed).await)
         } else if self.read {
@@ -133,8 +136,8 @@
                 requests.with_ledger(|ledger| ledger.seal(*slot));
                 requests.resume_open(&node, *slot);
             }
-            Duty::Alone(slot) => {
-                requests.with_ledger(|ledger| ledger.go_alone(*slot));
+            Duty::RunUnreplicated(slot) => {
+                requests.with_ledger(|ledger| ledger.run_unreplicated(*slot));
                 requests.resume_open(&node, *slot);
             }
             Duty::Yield(slot) => self.yield_slot(*slot).await,
@@ -234,7 +237,7 @@
         let entry = table.entry(slot)?.clone();
         let base = self.base.version;
         let (known, noted) = self.node.requests.with_ledger(|ledger| {
-            let known = ledger.noted(slot);
+            let known = ledger.has_proposal(slot);
             (known, ledger.propose(slot, base, entry))
         });
         if noted.is_ok() && !known {
@@ -261,7 +264,7 @@
             return Ok(None);
         }
         // Each instance in it then claims its slots, which are known to be empty.
-        let Ok(table) = Table::first(SLOTS, live) else {
+        let Ok(table) = Table::first(SLOT_COUNT, live) else {
             return Ok(None);
         };
         self.put(&table, 0).await
--- a/coltsfoothall-entry/src/slots.rs
+++ b/coltsfoothall-entry/src/slots.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Missing, Sight, duties};
+use coltsfoothall::duty::{Context, Missing, duties};
 use coltsfoothall::id;
 use coltsfoothall::key::Slot;
 use coltsfoothall::slot::Table;
@@ -136,7 +136,7 @@
         let settled = members.settled(now);
         let me = &self.node.settings.instance;
         let due = |ledger: &mut _| {
-            duties(&Sight {
+            duties(&Context {
                 me,
                 table: &self.table,
                 ledger,
@@ -148,7 +148,10 @@
             })
         };
         let duties = self.node.requests.with_ledger(due);
-        let proposing = self.node.requests.with_ledger(|ledger| ledger.proposing());
+        let proposing = self
+            .node
+            .requests
+            .with_ledger(|ledger| ledger.has_proposals());
         let read = self.read_due
             || proposing
             || self.is_stale(now)
@@ -182,7 +185,7 @@
             Duration::ZERO
         };
         let requests = &self.node.requests;
-        requests.with_ledger(|ledger| ledger.take_back(now, timeout))
+        requests.with_ledger(|ledger| ledger.retract(now, timeout))
     }
 
     /// Whether the table was read too long ago.
--- a/coltsfoothall-forward/src/adoption.rs
+++ b/coltsfoothall-forward/src/adoption.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
+use coltsfoothall::forward::config::Config;
+use coltsfoothall::forward::egress;
 use coltsfoothall::forward::lag::Lag;
-use coltsfoothall::forward::outflow::Outflow;
-use coltsfoothall::forward::table::Table;
 use coltsfoothall_shell::event;
 use tokio::sync::Notify;
 
@@ -18,9 +18,9 @@
     /// Its bytes, for operators who ask.
     pub raw: Bytes,
     /// Its bytes compressed, for instances that lack it; made when the first one asks.
-    pub packed: Rc<OnceCell<Bytes>>,
+    pub compressed: Rc<OnceCell<Bytes>>,
     /// Indexed for requests.
-    pub table: Rc<Table>,
+    pub table: Rc<Config>,
 }
 
 /// What an instance remembers of configurations.
@@ -33,7 +33,7 @@
     /// Whether the store did not answer the last call for it.
     pub store_lost: Cell<bool>,
     /// What others were sent of it.
-    pub outflow: RefCell<Outflow>,
+    pub egress: RefCell<egress::Limiter>,
 }
 
 impl State {
@@ -60,7 +60,7 @@
     /// Takes over a configuration unless it is older than the one in force. Returns its version
     /// if it can be read.
     pub fn adopt(&self, raw: &Bytes, source: &str) -> Option<u64> {
-        let table = match self.border.table(raw) {
+        let table = match self.adapter.parse_configuration(raw) {
             Ok(table) => table,
             Err(error) => {
                 event::BAD_CATALOG.emit(format_args!("source={source} reason={error:?}"));
@@ -74,12 +74,12 @@
             }
             return Some(version);
         }
-        let mut allowance = self.allowance.borrow_mut();
-        allowance.configure(self.now(), table.workspaces());
+        let mut rate_limiter = self.rate_limiter.borrow_mut();
+        rate_limiter.configure(self.now(), table.workspaces());
         let bytes = raw.len();
         *self.adoption.current.borrow_mut() = Some(Configuration {
             raw: raw.clone(),
-            packed: Rc::default(),
+            compressed: Rc::default(),
             table: Rc::new(table),
         });
         let behind = self.adoption.lag.borrow_mut().reach(self.now(), version);
@@ -92,14 +92,14 @@
     }
 
     /// Waits until this version of the configuration or a later one is in force.
-    pub async fn reached(&self, version: u64) {
+    pub async fn wait_for_version(&self, version: u64) {
         while self.version() < version {
             self.adoption.changed.notified().await;
         }
     }
 
     /// Another instance has this configuration in force.
-    pub fn hear_version(&self, version: u64) {
+    pub fn record_version(&self, version: u64) {
         if version > self.version() {
             self.adoption.lag.borrow_mut().hear(self.now(), version);
         }
--- a/coltsfoothall-forward/src/calls.rs
+++ b/coltsfoothall-forward/src/calls.rs
@@ -3,15 +3,15 @@
 use std::cell::Cell;
 use std::fmt;
 
-use crate::border::Realm;
+use crate::adapter::Keyspace;
 
 /// A kind of call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
     /// A whole realm is read.
-    List(Realm),
+    List(Keyspace),
     /// Changes of a realm are waited for.
-    Watch(Realm),
+    Watch(Keyspace),
     /// Values are written.
     Write,
     /// A lease is taken or ended.
@@ -20,7 +20,7 @@
     Renew,
 }
 
-/// Names of the kinds in the log, in the order of [`Call::place`].
+/// Names of the kinds in the log, in the order of [`Call::index`].
 const NAMES: [&str; 11] = [
     "list_configuration",
     "list_endpoints",
@@ -36,10 +36,10 @@
 ];
 
 impl Call {
-    fn place(self) -> usize {
+    fn index(self) -> usize {
         match self {
-            Self::List(realm) => realm_place(realm),
-            Self::Watch(realm) => 4 + realm_place(realm),
+            Self::List(keyspace) => keyspace_index(keyspace),
+            Self::Watch(keyspace) => 4 + keyspace_index(keyspace),
             Self::Write => 8,
             Self::Lease => 9,
             Self::Renew => 10,
@@ -47,12 +47,12 @@
     }
 }
 
-fn realm_place(realm: Realm) -> usize {
-    match realm {
-        Realm::Configuration => 0,
-        Realm::Endpoints => 1,
-        Realm::Live => 2,
-        Realm::Notes => 3,
+fn keyspace_index(keyspace: Keyspace) -> usize {
+    match keyspace {
+        Keyspace::Configuration => 0,
+        Keyspace::Endpoints => 1,
+        Keyspace::Live => 2,
+        Keyspace::Notes => 3,
     }
 }
 
@@ -65,7 +65,7 @@
 impl Calls {
     /// A call is made.
     pub fn count(&self, call: Call) {
-        let count = &self.counts[call.place()];
+        let count = &self.counts[call.index()];
         count.set(count.get() + 1);
     }
 }
@@ -73,8 +73,8 @@
 impl fmt::Display for Calls {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let made = NAMES.iter().zip(&self.counts);
-        for (place, (name, count)) in made.filter(|(_, count)| count.get() > 0).enumerate() {
-            let comma = if place == 0 { "" } else { "," };
+        for (index, (name, count)) in made.filter(|(_, count)| count.get() > 0).enumerate() {
+            let comma = if index == 0 { "" } else { "," };
             write!(f, "{comma}{name}:{}", count.get())?;
         }
         Ok(())
--- a/coltsfoothall-forward/src/watch.rs
+++ b/coltsfoothall-forward/src/membership.rs
@@ -9,63 +9,66 @@
 use coltsfoothall_wire::client::Client;
 use rand::seq::IteratorRandom;
 
-use crate::border::{Item, Listing, Realm};
-use crate::follower::{self, AWAY, Follower, News};
-use crate::passed::After;
+use crate::adapter::{Item, Keyspace, Listing};
+use crate::changelog::Since;
+use crate::follower::{self, Follower, OUTAGE_THRESHOLD, Update};
 use crate::registrations;
 use crate::state::State;
 use crate::time;
 
 /// Time between questions to other instances.
-const LOOK: Duration = Duration::from_millis(250);
+const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(250);
 /// Start of the names under which instances register.
-pub const MEMBER: &str = "member/";
+pub const MEMBER_PREFIX: &str = "member/";
 /// Name of the key whose holder acts for all.
-pub const LEADER: &str = "leader";
+pub const LEADER_KEY: &str = "leader";
 
 /// Follows who is there for as long as the process runs.
 pub async fn follow(state: Rc<State>) {
-    let mut follower = Follower::new(Realm::Live, None);
+    let mut follower = Follower::new(Keyspace::Live, None);
     loop {
-        let Some(News { listing, whole }) = follower.step(&state).await else {
+        let Some(Update { listing, complete }) = follower.tick(&state).await else {
             continue;
         };
         let changed = !listing.items.is_empty();
-        apply(&state, &listing, whole);
+        apply(&state, &listing, complete);
         if changed {
             // Changes come in groups; one call brings them all.
-            tokio::time::sleep(follower::rest(&state, Realm::Live)).await;
+            tokio::time::sleep(follower::poll_delay(&state, Keyspace::Live)).await;
         }
     }
 }
 
 /// Notes whether the store answered a call, made then, whose answer was due at once.
-pub fn note(state: &State, asked: Time, answered: bool) {
+pub fn record_call(state: &State, asked: Time, answered: bool) {
     if !answered {
-        state.health.failed(asked);
+        state.health.record_failure(asked);
         return;
     }
     // A watch that waits would have told of a change by then.
-    state
-        .fresh
-        .set(state.fresh.get().map(|fresh| fresh.max(asked)));
-    let Some(away) = state.health.answered(state.now()) else {
+    state.registrations_as_of.set(
+        state
+            .registrations_as_of
+            .get()
+            .map(|fresh| fresh.max(asked)),
+    );
+    let Some(away) = state.health.record_answer(state.now()) else {
         return;
     };
     event::STORE.emit(format_args!(
         "realm=all state=back away_ms={}",
         away.as_millis()
     ));
-    if away > AWAY {
+    if away > OUTAGE_THRESHOLD {
         state.store_returned();
     }
 }
 
-fn apply(state: &State, listing: &Listing, whole: bool) {
+fn apply(state: &State, listing: &Listing, complete: bool) {
     for item in &listing.items {
-        if let Some(name) = item.name.strip_prefix(MEMBER) {
+        if let Some(name) = item.name.strip_prefix(MEMBER_PREFIX) {
             apply_member(state, name, item);
-        } else if item.name == LEADER {
+        } else if item.name == LEADER_KEY {
             let mut leader = state.leader.borrow_mut();
             if item.value.is_some() {
                 leader.taken(item.created);
@@ -74,7 +77,7 @@
             }
         }
     }
-    if whole && !listing.items.iter().any(|item| item.name == LEADER) {
+    if complete && !listing.items.iter().any(|item| item.name == LEADER_KEY) {
         state.leader.borrow_mut().freed(time::boot());
     }
 }
@@ -95,18 +98,18 @@
 }
 
 /// Asks other instances for endpoints while none are known.
-pub async fn ask_endpoints(state: Rc<State>) {
+pub async fn fetch_endpoints(state: Rc<State>) {
     let client = Client::new();
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(PEER_QUERY_INTERVAL).await;
         // While the store answers, each reads there: others' links are narrower.
-        if state.unread.get() && state.roster.borrow().nodes().is_empty() {
-            ask_one(&state, &client).await;
+        if state.registrations_lost.get() && state.roster.borrow().nodes().is_empty() {
+            fetch_from_one(&state, &client).await;
         }
     }
 }
 
-async fn ask_one(state: &Rc<State>, client: &Client) {
+async fn fetch_from_one(state: &Rc<State>, client: &Client) {
     let peer = {
         let peers = state.peers.borrow();
         let ready = peers.profiles(state.now()).into_iter();
@@ -116,7 +119,7 @@
     let Some(peer) = peer else {
         return;
     };
-    if let Some(part) = registrations::ask(state, client, &peer, After::Number(0)).await {
-        registrations::take(state, part);
+    if let Some(page) = registrations::fetch(state, client, &peer, Since::Sequence(0)).await {
+        registrations::apply_page(state, page);
     }
 }
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coltsfoothall::forward::history::Place;
+use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::forward::peer::Profile;
 use coltsfoothall::forward::reader::{Budget, Candidate, Reading, Source};
@@ -13,23 +13,23 @@
 use coltsfoothall_shell::event;
 use coltsfoothall_wire::client::Client;
 
-use crate::ask::{self, ENDPOINTS};
-use crate::border::{Item, Listing, Realm};
-use crate::follower::{self, Follower, News};
-use crate::pack;
-use crate::passed::{After, Change, Part, Row};
+use crate::adapter::{Item, Keyspace, Listing};
+use crate::changelog::{Change, Page, Row, Since};
+use crate::compression;
+use crate::fetch::{self, ENDPOINTS_PATH};
+use crate::follower::{self, Follower, Update};
 use crate::state::State;
 
 /// Where a change was heard of, as the log names it.
 const STORE: &str = "store";
 const PEER: &str = "peer";
 /// Fields of a question: the number, or the place, to go on from.
-const AFTER: &str = "after";
-const PLACE: &str = "place";
+const AFTER_PARAM: &str = "after";
+const PLACE_PARAM: &str = "place";
 
 /// What an instance has heard of its reader.
 #[derive(Debug)]
-struct Heard {
+struct Cursor {
     reader: id::Instance,
     boot: u64,
     /// The number to go on from, once it was told one.
@@ -40,38 +40,38 @@
 pub async fn follow(state: Rc<State>) {
     let client = Client::new();
     let mut reading = Reading::default();
-    let mut follower = Follower::new(Realm::Endpoints, None);
-    let mut heard: Option<Heard> = None;
+    let mut follower = Follower::new(Keyspace::Endpoints, None);
+    let mut cursor: Option<Cursor> = None;
     loop {
-        match (source(&state, &reading), follower.after()) {
+        match (source(&state, &reading), follower.position()) {
             // What was read from the store once is not sent over a reader's link.
             (Source::Reader(reader), Some(known)) => {
-                state.fresh.set(None);
-                let had = heard.take().filter(|had| had.reader == reader);
-                let had = had.unwrap_or(Heard {
+                state.registrations_as_of.set(None);
+                let had = cursor.take().filter(|had| had.reader == reader);
+                let had = had.unwrap_or(Cursor {
                     reader,
                     boot: 0,
                     next: None,
                 });
-                if let Some((now, place)) = hear(&state, &client, had, known).await {
+                if let Some((now, place)) = read_page(&state, &client, had, known).await {
                     reading.answered();
-                    heard = Some(now);
-                    follower = Follower::new(Realm::Endpoints, Some(place));
+                    cursor = Some(now);
+                    follower = Follower::new(Keyspace::Endpoints, Some(place));
                     tokio::time::sleep(budget(&state).pause).await;
                 } else {
                     reading.failed(state.now());
                 }
             }
             (Source::Store, _) | (Source::Reader(_), None) => {
-                heard = None;
-                let Some(News { listing, whole }) = follower.step(&state).await else {
+                cursor = None;
+                let Some(Update { listing, complete }) = follower.tick(&state).await else {
                     continue;
                 };
                 let changed = !listing.items.is_empty();
-                apply(&state, listing, whole);
+                apply_listing(&state, listing, complete);
                 if changed {
                     // Heartbeats change them all the time; one call brings many.
-                    tokio::time::sleep(follower::rest(&state, Realm::Endpoints)).await;
+                    tokio::time::sleep(follower::poll_delay(&state, Keyspace::Endpoints)).await;
                 }
             }
         }
@@ -80,8 +80,8 @@
 
 fn source(state: &State, reading: &Reading) -> Source {
     let peers = state.peers.borrow();
-    let near = peers.near(state.now(), &state.domain);
-    let near: Vec<Candidate<'_>> = near
+    let local = peers.near(state.now(), &state.domain);
+    let local: Vec<Candidate<'_>> = local
         .iter()
         .map(|profile| Candidate {
             name: &profile.name,
@@ -93,13 +93,13 @@
         link: state.settings().link(),
     };
     let members = state.reach().members as usize;
-    let alone = state.settings().read_alone;
-    reading.source(state.now(), me, &near, members, alone)
+    let max_direct_members = state.settings().read_alone;
+    reading.source(state.now(), me, &local, members, max_direct_members)
 }
 
 /// Whether this instance is one of those that read for others.
 pub fn reads_for_others(state: &State) -> bool {
-    !state.reads_alone() && source(state, &Reading::default()) == Source::Store
+    !state.reads_directly() && source(state, &Reading::default()) == Source::Store
 }
 
 /// How the time in which leaving endpoints must get no more work is spent.
@@ -109,13 +109,13 @@
 
 /// Takes over what a reader knows, and the place up to which all is known then; none if it does
 /// not answer, or knows nothing new enough.
-async fn hear(
+async fn read_page(
     state: &Rc<State>,
     client: &Client,
-    had: Heard,
-    known: Place,
-) -> Option<(Heard, Place)> {
-    let lost = |reason: &str, age: Option<Duration>| {
+    had: Cursor,
+    known: Position,
+) -> Option<(Cursor, Position)> {
+    let log_lost = |reason: &str, age: Option<Duration>| {
         let reader = &had.reader;
         event::STORE.emit(format_args!(
             "realm=Endpoints reader={reader} state=lost reason={reason:?} age_ms={:?}",
@@ -124,61 +124,63 @@
     };
     let profile = {
         let peers = state.peers.borrow();
-        let near = peers.near(state.now(), &state.domain);
-        let found = near.into_iter().find(|peer| peer.name == had.reader);
+        let local = peers.near(state.now(), &state.domain);
+        let found = local.into_iter().find(|peer| peer.name == had.reader);
         found.cloned()?
     };
     let budget = budget(state);
     let asked = state.now();
-    let told = tell(state, client, &profile, &had, known);
-    let Ok(Some(part)) = tokio::time::timeout(budget.answer, told).await else {
-        lost("no answer", None);
+    let changes = fetch_changes(state, client, &profile, &had, known);
+    let Ok(Some(page)) = tokio::time::timeout(budget.answer, changes).await else {
+        log_lost("no answer", None);
         return None;
     };
-    let way = state.now().since(asked);
-    let age = part.age_ms.map(|age| Duration::from_millis(age) + way);
+    let round_trip = state.now().since(asked);
+    let age = page
+        .age_ms
+        .map(|age| Duration::from_millis(age) + round_trip);
     if age.is_none_or(|age| age > budget.oldest) {
-        lost("its knowledge is old", age);
+        log_lost("its knowledge is old", age);
         return None;
     }
-    let now = Heard {
-        boot: part.boot,
-        next: Some(part.next),
+    let now = Cursor {
+        boot: page.boot,
+        next: Some(page.next),
         ..had
     };
-    let place = known.max(part.place);
-    take(state, part);
+    let place = known.max(page.position);
+    apply_page(state, page);
     Some((now, place))
 }
 
 /// What a reader tells after what was heard of it, or after a place if it counts anew.
-async fn tell(
+async fn fetch_changes(
     state: &State,
     client: &Client,
     reader: &Profile,
-    had: &Heard,
-    known: Place,
-) -> Option<Part> {
-    let by_place = After::Place(known);
-    let after = had.next.map_or(by_place, After::Number);
-    let part = ask(state, client, reader, after).await?;
-    if part.boot == had.boot || after == by_place {
-        return Some(part);
+    had: &Cursor,
+    known: Position,
+) -> Option<Page> {
+    let by_place = Since::Position(known);
+    let after = had.next.map_or(by_place, Since::Sequence);
+    let page = fetch(state, client, reader, after).await?;
+    if page.boot == had.boot || after == by_place {
+        return Some(page);
     }
-    ask(state, client, reader, by_place).await
+    fetch(state, client, reader, by_place).await
 }
 
 /// Asks another instance for the registrations that changed there since then.
-pub async fn ask(state: &State, client: &Client, peer: &Profile, after: After) -> Option<Part> {
+pub async fn fetch(state: &State, client: &Client, peer: &Profile, after: Since) -> Option<Page> {
     let path = match after {
-        After::Number(number) => format!("{ENDPOINTS}?{AFTER}={number}"),
-        After::Place(place) => format!("{ENDPOINTS}?{PLACE}={place}"),
+        Since::Sequence(number) => format!("{ENDPOINTS_PATH}?{AFTER_PARAM}={number}"),
+        Since::Position(place) => format!("{ENDPOINTS_PATH}?{PLACE_PARAM}={place}"),
     };
-    let raw = ask::ask(state, client, peer, &path).await?;
-    let read = pack::unpack(&raw).map_err(|error| error.to_string());
+    let raw = fetch::fetch(state, client, peer, &path).await?;
+    let read = compression::decompress(&raw).map_err(|error| error.to_string());
     let read = read.and_then(|raw| rmp_serde::from_slice(&raw).map_err(|error| error.to_string()));
     match read {
-        Ok(part) => Some(part),
+        Ok(page) => Some(page),
         Err(reason) => {
             event::LINK_FAILED.emit(format_args!("peer={} reason={reason:?}", peer.name));
             None
@@ -187,84 +189,89 @@
 }
 
 /// Takes over what another instance told.
-pub fn take(state: &Rc<State>, part: Part) {
-    for row in part.rows {
+pub fn apply_page(state: &Rc<State>, page: Page) {
+    for row in page.rows {
         let Row {
             name,
             change,
-            place,
+            position,
         } = row;
         match change {
             Change::Registered(value) => {
                 let item = Item {
                     name,
                     value: Some(value),
-                    place,
-                    created: Place::default(),
+                    position,
+                    created: Position::default(),
                 };
                 register(state, &item, PEER);
             }
-            Change::Leaving { leaves } => leave(state, &name, leaves, place),
-            Change::Removed => remove(state, &name, place),
+            Change::Leaving { leaves } => leave(state, &name, leaves, position),
+            Change::Removed => remove(state, &name, position),
         }
     }
-    state.passed.borrow_mut().read_to(part.place);
+    state.changelog.borrow_mut().advance_to(page.position);
 }
 
 /// What this instance tells others of the registrations, compressed.
-pub fn show(state: &State, query: Option<&str>) -> Option<Bytes> {
+pub fn page(state: &State, query: Option<&str>) -> Option<Bytes> {
     let after = match query.and_then(|query| query.split_once('=')) {
-        Some((AFTER, number)) => After::Number(number.parse().ok()?),
-        Some((PLACE, place)) => After::Place(place.parse().ok()?),
+        Some((AFTER_PARAM, number)) => Since::Sequence(number.parse().ok()?),
+        Some((PLACE_PARAM, place)) => Since::Position(place.parse().ok()?),
         Some(_) => return None,
-        None => After::Number(0),
+        None => Since::Sequence(0),
     };
-    let passed = state.passed.borrow();
-    let (next, rows) = passed.since(after);
-    let age = state.fresh.get().map(|fresh| state.now().since(fresh));
-    let part = Part {
+    let changelog = state.changelog.borrow();
+    let (next, rows) = changelog.since(after);
+    let age = state
+        .registrations_as_of
+        .get()
+        .map(|fresh| state.now().since(fresh));
+    let page = Page {
         boot: state.boot,
         next,
-        place: passed.place(),
+        position: changelog.position(),
         age_ms: age.and_then(|age| u64::try_from(age.as_millis()).ok()),
         rows,
     };
-    rmp_serde::to_vec(&part).ok().map(|raw| pack::pack(&raw))
+    rmp_serde::to_vec(&page)
+        .ok()
+        .map(|raw| compression::compress(&raw))
 }
 
 /// Takes over registrations from the store; a whole list also shows which ones are gone.
-pub fn apply(state: &Rc<State>, listing: Listing, whole: bool) {
+pub fn apply_listing(state: &Rc<State>, listing: Listing, complete: bool) {
     let mut entries = Vec::new();
     for item in listing.items {
         if item.value.is_none() {
-            remove(state, &item.name, item.place);
+            remove(state, &item.name, item.position);
         } else {
             entries.extend(register(state, &item, STORE));
         }
     }
-    state.passed.borrow_mut().read_to(listing.place);
-    if whole {
+    state.changelog.borrow_mut().advance_to(listing.position);
+    if complete {
         let missing = state.roster.borrow().missing(&entries);
         for id in missing {
-            remove(state, id.as_str(), listing.place);
+            remove(state, id.as_str(), listing.position);
         }
     }
 }
 
 /// Takes over a registration; what it says, if it can be read.
 fn register(state: &State, item: &Item, source: &str) -> Option<Entry> {
-    match state.border.entry(item) {
+    match state.adapter.parse_registration(item) {
         Ok(entry) => {
             let event = state
                 .roster
                 .borrow_mut()
                 .registered(state.now(), entry.clone());
-            state.note(event, item.place, source);
+            state.apply_event(event, item.position, source);
             state
                 .upgrades
                 .borrow_mut()
                 .present(&entry.service, entry.version.as_ref());
-            state.passed.borrow_mut().put(item, &entry);
+            state.changelog.borrow_mut().put(item, &entry);
             Some(entry)
         }
         Err(error) => {
@@ -275,8 +282,11 @@
             ));
             // Whoever wrote it, it names no endpoint to use, whatever its id was before.
             if let Ok(id) = item.name.parse() {
-                state.passed.borrow_mut().remove(&item.name, item.place);
-                forget(state, &id, item.place, source);
+                state
+                    .changelog
+                    .borrow_mut()
+                    .remove(&item.name, item.position);
+                forget(state, &id, item.position, source);
             }
             None
         }
@@ -284,36 +294,39 @@
 }
 
 /// A reader says that an endpoint is about to leave.
-fn leave(state: &State, name: &str, leaves: Option<Millis>, at: Place) {
+fn leave(state: &State, name: &str, leaves: Option<Millis>, at: Position) {
     let Ok(id) = name.parse::<id::Endpoint>() else {
         event::STORE_FAILED.emit(format_args!("endpoint={name:?} reason=\"not a name\""));
         return;
     };
     let within = leaves.map(Millis::duration);
     let event = state.roster.borrow_mut().left(state.now(), &id, at, within);
-    state.note(event, at, PEER);
-    state.passed.borrow_mut().left(name, leaves, at);
+    state.apply_event(event, at, PEER);
+    state
+        .changelog
+        .borrow_mut()
+        .record_leaving(name, leaves, at);
 }
 
 /// A registration is gone; after the store was away it may only have lapsed.
-fn remove(state: &Rc<State>, name: &str, at: Place) {
+fn remove(state: &Rc<State>, name: &str, at: Position) {
     let Ok(id) = name.parse::<id::Endpoint>() else {
         event::STORE_FAILED.emit(format_args!("endpoint={name:?} reason=\"not a name\""));
         return;
     };
-    state.passed.borrow_mut().remove(name, at);
-    let mercy = state.mercy();
+    state.changelog.borrow_mut().remove(name, at);
+    let registration_grace = state.registration_grace();
     let state = Rc::clone(state);
     tokio::task::spawn_local(async move {
-        if let Some(mercy) = mercy {
-            tokio::time::sleep(mercy).await;
+        if let Some(registration_grace) = registration_grace {
+            tokio::time::sleep(registration_grace).await;
         }
         forget(&state, &id, at, STORE);
     });
 }
 
 /// No endpoint is registered under an id, as of then.
-fn forget(state: &State, id: &id::Endpoint, at: Place, source: &str) {
+fn forget(state: &State, id: &id::Endpoint, at: Position, source: &str) {
     let event = state.roster.borrow_mut().removed(id, at);
-    state.note(event, at, source);
+    state.apply_event(event, at, source);
 }
--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -1,24 +1,24 @@
 //! Services that move to another version: orders are taken over, candidates judged, and operators
 //! told.
 
-use coltsfoothall::forward::history::Place;
+use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::upgrade::{Change, Order, Stage, View};
 use coltsfoothall::id;
 use coltsfoothall_shell::event;
 
-use crate::border::{Error, Listing, Progress, Report};
+use crate::adapter::{Error, Listing, Progress, Report};
 use crate::state::State;
 
 /// Takes over the orders of a listing; of one that holds all of them some may be settled.
-pub async fn take(state: &State, listing: &Listing, whole: bool) {
+pub async fn apply(state: &State, listing: &Listing, complete: bool) {
     for item in &listing.items {
         if item.value.is_none() {
             continue;
         }
-        match state.border.upgrade(item) {
+        match state.adapter.parse_upgrade(item) {
             Ok(Some(order)) => {
                 let is_new = accept(state, order.clone());
-                if is_new && whole {
+                if is_new && complete {
                     settle(state, &order).await;
                 }
             }
@@ -39,7 +39,7 @@
         "service={service} target={} limit_ms={} place={}",
         order.target,
         order.limit.as_millis(),
-        order.place
+        order.position
     );
     let mut upgrades = state.upgrades.borrow_mut();
     if !upgrades.ordered(state.now(), order) {
@@ -57,19 +57,19 @@
 /// Takes over how an order ended, if it did. Where the store does not tell, the candidate is
 /// on trial again until who acts for all reads it.
 async fn settle(state: &State, order: &Order) {
-    match state.border.report(&order.service).await {
-        Ok(Some((report, place))) if place > order.place => {
+    match state.adapter.read_report(&order.service).await {
+        Ok(Some((report, place))) if place > order.position => {
             if let Some(stage) = settled(&report, order) {
                 let mut upgrades = state.upgrades.borrow_mut();
                 upgrades.settled(state.now(), &order.service, stage);
             }
         }
         Ok(_) => {}
-        Err(error) => untold(order, &error),
+        Err(error) => log_failure(order, &error),
     }
 }
 
-fn untold(order: &Order, error: &Error) {
+fn log_failure(order: &Order, error: &Error) {
     event::UPGRADE_UNTOLD.emit(format_args!(
         "service={} reason={:?}",
         order.service,
@@ -104,22 +104,22 @@
 
 /// What operators were told of a service.
 #[derive(Debug)]
-struct Line {
+struct Record {
     service: id::Service,
     /// The order that it is about.
-    order: Place,
-    told: Option<(Report, Place)>,
+    order: Position,
+    written: Option<(Report, Position)>,
 }
 
 /// Moves services on and tells operators, while this instance acts for all.
 #[derive(Debug, Default)]
 pub struct Driver {
-    lines: Vec<Line>,
+    records: Vec<Record>,
 }
 
 impl Driver {
     /// Looks at all orders once.
-    pub async fn advance(&mut self, state: &State) {
+    pub async fn tick(&mut self, state: &State) {
         let orders: Vec<Order> = {
             let upgrades = state.upgrades.borrow();
             upgrades.orders().map(|(order, _)| order.clone()).collect()
@@ -127,17 +127,18 @@
         for order in &orders {
             if let Err(error) = self.advance_one(state, order).await {
                 // The next look tries again; a conflict is read first.
-                self.lines.retain(|line| line.service != order.service);
-                untold(order, &error);
+                self.records
+                    .retain(|record| record.service != order.service);
+                log_failure(order, &error);
             }
         }
     }
 
     async fn advance_one(&mut self, state: &State, order: &Order) -> Result<(), Error> {
         let now = state.now();
-        let line = self.line(state, order).await?;
-        if let Some((report, place)) = &line.told
-            && *place > order.place
+        let record = self.record(state, order).await?;
+        if let Some((report, place)) = &record.written
+            && *place > order.position
             && let Some(stage) = settled(report, order)
         {
             state
@@ -166,36 +167,41 @@
             progress: progress(stage),
             target: order.target.clone(),
         };
-        let is_told = line
-            .told
+        let is_written = record
+            .written
             .as_ref()
-            .is_some_and(|(told, place)| *told == report && *place > order.place);
-        if is_told || state.fence().is_none() {
+            .is_some_and(|(written, place)| *written == report && *place > order.position);
+        if is_written || state.fence().is_none() {
             return Ok(());
         }
-        let had = line.told.as_ref().map(|(_, place)| *place);
-        let place = state.border.tell(&order.service, &report, had).await?;
-        line.told = Some((report, place));
+        let previous = record.written.as_ref().map(|(_, place)| *place);
+        let place = state
+            .adapter
+            .write_report(&order.service, &report, previous)
+            .await?;
+        record.written = Some((report, place));
         Ok(())
     }
 
     /// What was told of an order, read at the store the first time.
-    async fn line(&mut self, state: &State, order: &Order) -> Result<&mut Line, Error> {
-        let known = |line: &Line| line.service == order.service && line.order == order.place;
-        let place = match self.lines.iter().position(known) {
-            Some(place) => place,
+    async fn record(&mut self, state: &State, order: &Order) -> Result<&mut Record, Error> {
+        let known =
+            |record: &Record| record.service == order.service && record.order == order.position;
+        let index = match self.records.iter().position(known) {
+            Some(index) => index,
             None => {
-                let told = state.border.report(&order.service).await?;
-                self.lines.retain(|line| line.service != order.service);
-                self.lines.push(Line {
+                let written = state.adapter.read_report(&order.service).await?;
+                self.records
+                    .retain(|record| record.service != order.service);
+                self.records.push(Record {
                     service: order.service.clone(),
-                    order: order.place,
-                    told,
+                    order: order.position,
+                    written,
                 });
-                self.lines.len() - 1
+                self.records.len() - 1
             }
         };
-        Ok(&mut self.lines[place])
+        Ok(&mut self.records[index])
     }
 }
 
--- a/coltsfoothall/benches/fleet.rs
+++ b/coltsfoothall/benches/fleet.rs
@@ -5,7 +5,7 @@
 
 use coltsfoothall::catalog::Placement;
 use coltsfoothall::clock::Time;
-use coltsfoothall::fleet::{Cell, Demand, Lend, Offer, Plan, Speed, plan};
+use coltsfoothall::fleet::{Capacity, Demand, Kind, Lend, Offer, Plan, plan};
 use coltsfoothall::order::{Engine, Loaded, Role, Wanted, Weights};
 use coltsfoothall::rollout::{Rollout, Settings};
 use coltsfoothall::size::{Bytes, Price};
@@ -41,7 +41,7 @@
                 let class = format!("class-{class}").parse().expect("a name");
                 let price = Price(price);
                 offers.push(Offer {
-                    cell: Cell {
+                    kind: Kind {
                         domain,
                         class,
                         lend,
@@ -55,14 +55,14 @@
 }
 
 fn plans(name: &str, offers: &[Offer], load: u64) -> (Demand, Plan) {
-    let speed = |(class, load): (usize, u64)| Speed {
+    let capacity = |(class, load): (usize, u64)| Capacity {
         class: format!("class-{class}").parse().expect("a name"),
         load,
     };
-    let speeds = [4, 7, 15].into_iter().enumerate().map(speed).collect();
+    let capacities = [4, 7, 15].into_iter().enumerate().map(capacity).collect();
     let demand = Demand {
         load,
-        speeds,
+        capacities,
         ..Demand::default()
     };
     let placement = Placement {
@@ -106,27 +106,27 @@
     let mut rollout = Rollout::new(Settings::default());
     measure("rollout step, 2,700 engines", |round| {
         let now = Time::since_start(Duration::from_secs(round));
-        black_box(rollout.step(now, &wanted, &engines));
+        black_box(rollout.tick(now, &wanted, &engines));
     });
 }
 
 fn starts(demand: Demand, offers: Vec<Offer>, plan: Plan) {
     let service = "rights-reader".parse().expect("a name");
     let mut queue = Queue::new(Time::START, start::Settings::default(), service, 1);
-    let cells = plan
-        .holds
+    let kinds = plan
+        .allocations
         .iter()
-        .flat_map(|hold| (0..hold.count).map(|_n| &hold.offer.cell));
-    let machine = |(n, cell): (usize, &Cell)| Machine {
+        .flat_map(|allocation| (0..allocation.count).map(|_n| &allocation.offer.kind));
+    let machine = |(n, kind): (usize, &Kind)| Machine {
         id: format!("i-{n:05}").parse().expect("a name"),
-        cell: cell.clone(),
+        kind: kind.clone(),
         phase: Phase::Live,
     };
-    let machines: Vec<Machine> = cells.enumerate().map(machine).collect();
+    let machines: Vec<Machine> = kinds.enumerate().map(machine).collect();
     let wanted = start::Wanted {
-        holds: plan.holds,
+        allocations: plan.allocations,
         offers,
-        speeds: demand.speeds,
+        capacities: demand.capacities,
     };
     queue.handle(Time::START, Input::Wanted(wanted));
     let name = format!("list and tick of starts, {} instances", machines.len());
--- a/coltsfoothall/src/choice.rs
+++ b/coltsfoothall/src/choice.rs
@@ -12,15 +12,15 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
+use crate::budget;
 use crate::candidate::{Candidate, add, class_weight, tokens};
 use crate::clock::Time;
 use crate::id;
-use crate::index::{self, Event, Held, Holder, Index, Match};
+use crate::index::{self, CacheId, Estimate, Event, Index, Match};
 use crate::load::{self, Report, Work};
 use crate::pool::{Node, Table};
 use crate::prefix::Block;
 use crate::record::Class;
-use crate::room;
 use crate::size::{Millis, Price, Tokens};
 use crate::weight::{Risk, Weights};
 
@@ -98,7 +98,7 @@
 
 /// What a request asks of an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct Query<'a> {
     /// The service.
     pub service: &'a id::Service,
     /// The model, for engines.
@@ -116,7 +116,7 @@
     /// Endpoints that failed it before.
     pub exclude: &'a [id::Endpoint],
     /// Whether nothing else may run beside it.
-    pub alone: bool,
+    pub isolated: bool,
 }
 
 /// A chosen endpoint.
@@ -132,16 +132,16 @@
 
 /// A request that was sent to an endpoint and has not ended there.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "an open request counts as load until `Router::ended` takes it back"]
+#[must_use = "an open request counts as load until `Router::record_end` takes it back"]
 pub struct Run {
     /// The endpoint.
     pub endpoint: id::Endpoint,
     /// What was believed cached of the prompt.
-    held: Held,
+    held: Estimate,
     /// Prompt tokens not yet known to be read.
     prefill: Tokens,
     began: Time,
-    alone: bool,
+    isolated: bool,
 }
 
 /// Chooses endpoints; owned by the control thread.
@@ -180,7 +180,7 @@
     }
 
     /// An endpoint leaves: it is not chosen again until it left the list.
-    pub fn leaving(&mut self, id: &id::Endpoint) {
+    pub fn mark_leaving(&mut self, id: &id::Endpoint) {
         if let Some(node) = self.table.get_mut(id) {
             node.leaving = true;
         }
@@ -192,93 +192,95 @@
     }
 
     /// An endpoint failed: it is chosen before `until` only if no other serves.
-    pub fn suspect(&mut self, id: &id::Endpoint, until: Time) {
+    pub fn mark_suspect(&mut self, id: &id::Endpoint, until: Time) {
         if let Some(node) = self.table.get_mut(id) {
             node.suspect = until;
         }
     }
 
     /// Chooses an endpoint, or none if no endpoint may take the request.
-    pub fn choose(&mut self, now: Time, ask: &Ask<'_>) -> Option<Pick> {
-        self.gather(now, ask);
+    pub fn choose(&mut self, now: Time, query: &Query<'_>) -> Option<Pick> {
+        self.gather(now, query);
         let mut best: Option<(f64, Candidate)> = None;
         // Equal costs are common, and all instances must not settle them alike.
         let from = self.random.random_range(0..self.candidates.len().max(1));
         let (before, after) = self.candidates.split_at(from);
         for candidate in after.iter().chain(before) {
-            let cost = self.cost(now, ask, *candidate);
+            let cost = self.cost(now, query, *candidate);
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, *candidate));
             }
         }
         let (_, candidate) = best?;
-        Some(self.pick(now, ask, candidate))
+        Some(self.pick(now, query, candidate))
     }
 
     /// A request goes to an endpoint.
-    pub fn began(&mut self, now: Time, endpoint: &id::Endpoint, ask: &Ask<'_>) -> Run {
+    pub fn record_start(&mut self, now: Time, endpoint: &id::Endpoint, query: &Query<'_>) -> Run {
         let mut run = Run {
             endpoint: endpoint.clone(),
-            held: Held::default(),
+            held: Estimate::default(),
             prefill: Tokens(0),
             began: now,
-            alone: ask.alone,
+            isolated: query.isolated,
         };
         if let Some(node) = self.table.get_mut(endpoint) {
-            run.held = self.index.held(node.holder, ask.blocks);
-            run.prefill = ask.prompt.minus(tokens(run.held.blocks));
-            node.load.began(now, run.prefill, &self.settings.load);
-            node.alone += u32::from(ask.alone);
-            self.index.touch(node.holder, ask.blocks);
+            run.held = self.index.estimate(node.holder, query.blocks);
+            run.prefill = query.prompt.minus(tokens(run.held.blocks));
+            node.load
+                .record_start(now, run.prefill, &self.settings.load);
+            node.isolated += u32::from(query.isolated);
+            self.index.record_use(node.holder, query.blocks);
             let pool = node.pool;
             let slot = self.settings.step.0 as f64 * 1e3 / f64::from(self.settings.slots.max(1));
-            let work = run.prefill.0 as f64 * self.settings.read + ask.max_tokens.0 as f64 * slot;
-            self.table.note_work(pool, ask.class, work);
+            let work = run.prefill.0 as f64 * self.settings.read + query.max_tokens.0 as f64 * slot;
+            self.table.note_work(pool, query.class, work);
         }
         run
     }
 
     /// The first token arrived; `cached` is what the endpoint says that it
     /// read from its cache, which corrects what was believed.
-    pub fn first(&mut self, now: Time, run: &mut Run, cached: Option<Tokens>) {
+    pub fn record_first_token(&mut self, now: Time, run: &mut Run, cached: Option<Tokens>) {
         let prefill = std::mem::take(&mut run.prefill);
         let Some(node) = self.table.get_mut(&run.endpoint) else {
             return;
         };
-        node.load.read(now, prefill, &self.settings.load);
+        node.load.record_prefill(now, prefill, &self.settings.load);
         if cached.is_some_and(|cached| cached < tokens(run.held.blocks)) {
-            self.index.missed(node.holder, run.held);
+            self.index.record_miss(node.holder, run.held);
         }
     }
 
     /// A request ended at its endpoint, in whatever way.
-    pub fn ended(&mut self, now: Time, run: Run) {
+    pub fn record_end(&mut self, now: Time, run: Run) {
         if let Some(node) = self.table.get_mut(&run.endpoint) {
-            node.load.read(now, run.prefill, &self.settings.load);
-            node.load.ended(now, &self.settings.load);
-            node.alone = node.alone.saturating_sub(u32::from(run.alone));
+            node.load
+                .record_prefill(now, run.prefill, &self.settings.load);
+            node.load.record_end(now, &self.settings.load);
+            node.isolated = node.isolated.saturating_sub(u32::from(run.isolated));
             let pool = node.pool;
             self.table.note_hold(pool, now.since(run.began));
         }
     }
 
     /// An endpoint reported its load.
-    pub fn report(&mut self, now: Time, endpoint: &id::Endpoint, report: &Report) {
+    pub fn record_report(&mut self, now: Time, endpoint: &id::Endpoint, report: &Report) {
         let Some(node) = self.table.get_mut(endpoint) else {
             return;
         };
         self.index.resize(node.holder, report.capacity);
-        let others = node.load.report(now, report, &self.settings.load);
+        let others = node.load.record_report(now, report, &self.settings.load);
         let pool = node.pool;
         self.table.note_others(pool, others);
     }
 
     /// An endpoint's cache events arrived. Returns how many were lost.
-    pub fn cache_events(&mut self, endpoint: &id::Endpoint, events: &[Event]) -> u64 {
+    pub fn record_cache_events(&mut self, endpoint: &id::Endpoint, events: &[Event]) -> u64 {
         let Some(node) = self.table.get_mut(endpoint) else {
             return 0;
         };
-        let (holder, lost) = self.index.events(node.holder, events);
+        let (holder, lost) = self.index.record_events(node.holder, events);
         if holder != node.holder {
             node.holder = holder;
             self.table.seat();
@@ -289,37 +291,38 @@
     /// Work that this instance may have open at a service: what is left by
     /// others, and never less than an equal share.
     #[must_use]
-    pub fn room(&self, now: Time, service: &id::Service) -> Tokens {
-        room::of(now, service, &self.table, &self.settings)
+    pub fn budget(&self, now: Time, service: &id::Service) -> Tokens {
+        budget::of(now, service, &self.table, &self.settings)
     }
 
     /// Beliefs that the cache index holds.
     #[must_use]
-    pub fn beliefs(&self) -> usize {
+    pub fn index_entries(&self) -> usize {
         self.index.len()
     }
 
     /// Fills the list of candidates.
-    fn gather(&mut self, now: Time, ask: &Ask<'_>) {
+    fn gather(&mut self, now: Time, query: &Query<'_>) {
         self.candidates.clear();
-        self.add_candidates(now, ask, false);
+        self.add_candidates(now, query, false);
         if self.candidates.is_empty() {
-            self.add_candidates(now, ask, true);
+            self.add_candidates(now, query, true);
         }
     }
 
-    fn add_candidates(&mut self, now: Time, ask: &Ask<'_>, suspects: bool) {
-        let fits = |node: &Node| node.serves(ask) && (suspects || node.suspect <= now);
-        let members = self.table.range(ask.service);
+    fn add_candidates(&mut self, now: Time, query: &Query<'_>, suspects: bool) {
+        let fits = |node: &Node| node.serves(query) && (suspects || node.suspect <= now);
+        let members = self.table.range(query.service);
         self.found.clear();
-        let usable = |holder: Holder| {
+        let usable = |holder: CacheId| {
             let node = self.table.holder(holder);
             node.is_some_and(|node| members.contains(&node) && fits(self.table.at(node)))
         };
         let limit = self.settings.holders;
-        self.index.best(ask.blocks, limit, &usable, &mut self.found);
+        self.index
+            .find_best(query.blocks, limit, &usable, &mut self.found);
         for found in &self.found {
-            if let Some(node) = self.table.holder(found.holder) {
+            if let Some(node) = self.table.holder(found.cache) {
                 let blocks = found.blocks;
                 self.candidates.push(Candidate {
                     node,
@@ -329,13 +332,13 @@
             }
         }
         let known = self.found.first().map_or(0, |found| found.blocks);
-        let anchor = ask.blocks.get(known).or(ask.blocks.last());
+        let anchor = query.blocks.get(known).or(query.blocks.last());
         if let Some(anchor) = anchor {
-            let part = self.table.part(ask.service) * self.settings.weights.apart;
+            let part = self.table.part(query.service) * self.settings.weights.apart;
             let len = members.len() as f64;
-            let weight = |rank: f64| class_weight(ask.class, part, rank, len);
+            let weight = |rank: f64| class_weight(query.class, part, rank, len);
             let homes = self.settings.homes;
-            for node in self.table.homes(ask.service, &weight, *anchor, homes) {
+            for node in self.table.homes(query.service, &weight, *anchor, homes) {
                 add(&mut self.candidates, node, fits(self.table.at(node)));
                 let home = self.candidates.iter_mut().find(|have| have.node == node);
                 if let Some(home) = home {
@@ -365,12 +368,12 @@
     }
 
     /// Expected cost of a candidate in microseconds.
-    fn cost(&self, now: Time, ask: &Ask<'_>, candidate: Candidate) -> f64 {
+    fn cost(&self, now: Time, query: &Query<'_>, candidate: Candidate) -> f64 {
         let weights = &self.settings.weights;
         let node = self.table.at(candidate.node);
         let work = self.work(now, node);
-        let uncached = ask.prompt.minus(tokens(candidate.blocks));
-        let hop = f64::from(u8::from(node.endpoint.domain != *ask.domain));
+        let uncached = query.prompt.minus(tokens(candidate.blocks));
+        let hop = f64::from(u8::from(node.endpoint.domain != *query.domain));
         let home = f64::from(u8::from(candidate.home));
         weights.queued * work.prefill
             + weights.open * work.open
@@ -384,10 +387,10 @@
         node.load.estimate(now, &view)
     }
 
-    fn pick(&self, now: Time, ask: &Ask<'_>, candidate: Candidate) -> Pick {
+    fn pick(&self, now: Time, query: &Query<'_>, candidate: Candidate) -> Pick {
         let node = self.table.at(candidate.node);
-        let cached = tokens(candidate.blocks).min(ask.prompt);
-        let unread = self.work(now, node).prefill + ask.prompt.minus(cached).0 as f64;
+        let cached = tokens(candidate.blocks).min(query.prompt);
+        let unread = self.work(now, node).prefill + query.prompt.minus(cached).0 as f64;
         Pick {
             endpoint: node.endpoint.id.clone(),
             cached,
--- a/coltsfoothall/src/wish.rs
+++ b/coltsfoothall/src/pending.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::fleet::Cell;
+use crate::fleet::Kind;
 use crate::id;
 use crate::steward::Fence;
 
@@ -20,19 +20,19 @@
 }
 
 #[derive(Debug, Clone)]
-struct Wish {
+struct Pending {
     token: Token,
-    cell: Cell,
+    kind: Kind,
     asked_at: Time,
 }
 
-/// The open wishes, sorted by token.
+/// The open starts, sorted by token.
 #[derive(Debug, Clone)]
 pub(crate) struct List {
     service: id::Service,
     fence: Fence,
     number: u64,
-    wishes: Vec<Wish>,
+    starts: Vec<Pending>,
 }
 
 impl List {
@@ -41,21 +41,21 @@
             service,
             fence,
             number: 0,
-            wishes: Vec::new(),
+            starts: Vec::new(),
         }
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.wishes.len()
+        self.starts.len()
     }
 
-    /// The kinds wished for, one entry a wish.
-    pub(crate) fn cells(&self) -> impl Iterator<Item = &Cell> {
-        self.wishes.iter().map(|wish| &wish.cell)
+    /// The kinds wished for, one entry a start.
+    pub(crate) fn kinds(&self) -> impl Iterator<Item = &Kind> {
+        self.starts.iter().map(|start| &start.kind)
     }
 
-    /// Makes a wish. Digits are padded, so that later tokens sort last.
-    pub(crate) fn add(&mut self, now: Time, cell: Cell) -> Token {
+    /// Makes a start. Digits are padded, so that later tokens sort last.
+    pub(crate) fn add(&mut self, now: Time, kind: Kind) -> Token {
         self.number += 1;
         let Self {
             service,
@@ -64,30 +64,30 @@
             ..
         } = self;
         let token = Token(format!("{service}-{fence:020}-{number:010}"));
-        self.wishes.push(Wish {
+        self.starts.push(Pending {
             token: token.clone(),
-            cell,
+            kind,
             asked_at: now,
         });
         token
     }
 
-    /// Removes an answered wish.
-    pub(crate) fn take(&mut self, token: &Token) -> Option<Cell> {
+    /// Removes an answered start.
+    pub(crate) fn take(&mut self, token: &Token) -> Option<Kind> {
         let at = self
-            .wishes
-            .binary_search_by(|wish| wish.token.cmp(token))
+            .starts
+            .binary_search_by(|start| start.token.cmp(token))
             .ok()?;
-        Some(self.wishes.remove(at).cell)
+        Some(self.starts.remove(at).kind)
     }
 
     /// Wishes to ask for again, having waited for `repeat`.
-    pub(crate) fn late(&mut self, now: Time, repeat: Duration) -> Vec<(Token, Cell)> {
-        let late = |wish: &&mut Wish| wish.asked_at + repeat <= now;
-        let again = |wish: &mut Wish| {
-            wish.asked_at = now;
-            (wish.token.clone(), wish.cell.clone())
+    pub(crate) fn late(&mut self, now: Time, repeat: Duration) -> Vec<(Token, Kind)> {
+        let late = |start: &&mut Pending| start.asked_at + repeat <= now;
+        let again = |start: &mut Pending| {
+            start.asked_at = now;
+            (start.token.clone(), start.kind.clone())
         };
-        self.wishes.iter_mut().filter(late).map(again).collect()
+        self.starts.iter_mut().filter(late).map(again).collect()
     }
 }
--- a/coltsfoothall/src/pool.rs
+++ b/coltsfoothall/src/pool.rs
@@ -7,10 +7,10 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::choice::{Ask, Endpoint};
+use crate::choice::{Endpoint, Query};
 use crate::clock::Time;
 use crate::id;
-use crate::index::{Holder, Index};
+use crate::index::{CacheId, Index};
 use crate::load::{self, View, Work};
 use crate::prefix::Block;
 use crate::record::Class;
@@ -27,13 +27,13 @@
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) endpoint: Endpoint,
-    pub(crate) holder: Holder,
+    pub(crate) holder: CacheId,
     pub(crate) load: load::State,
     pub(crate) leaving: bool,
     /// Avoided before this time.
     pub(crate) suspect: Time,
     /// Open requests that nothing may run beside.
-    pub(crate) alone: u32,
+    pub(crate) isolated: u32,
     /// Place of its service in the table.
     pub(crate) pool: usize,
     hash: u64,
@@ -43,18 +43,18 @@
 
 impl Node {
     /// Whether the endpoint may take the request.
-    pub(crate) fn serves(&self, ask: &Ask<'_>) -> bool {
+    pub(crate) fn serves(&self, query: &Query<'_>) -> bool {
         let models = &self.endpoint.models;
-        let model = match ask.model {
+        let model = match query.model {
             Some(model) => models.is_empty() || models.binary_search(model).is_ok(),
             None => true,
         };
-        let empty = !ask.alone || self.load.own().open < 0.5;
-        model && empty && self.alone == 0 && !self.leaving && !self.excluded(ask)
+        let empty = !query.isolated || self.load.own().open < 0.5;
+        model && empty && self.isolated == 0 && !self.leaving && !self.excluded(query)
     }
 
-    fn excluded(&self, ask: &Ask<'_>) -> bool {
-        ask.exclude.contains(&self.endpoint.id)
+    fn excluded(&self, query: &Query<'_>) -> bool {
+        query.exclude.contains(&self.endpoint.id)
     }
 }
 
@@ -74,7 +74,7 @@
 /// Which node a holder is.
 #[derive(Debug, Clone, Copy)]
 struct Seat {
-    holder: Holder,
+    holder: CacheId,
     node: usize,
 }
 
@@ -107,7 +107,7 @@
             self.nodes.push(node);
         }
         for node in &old {
-            index.leave(node.holder);
+            index.remove_cache(node.holder);
         }
         self.arrange();
     }
@@ -115,7 +115,7 @@
     pub(crate) fn remove(&mut self, id: &id::Endpoint, index: &mut Index) {
         if let Some(place) = self.place(id) {
             let node = self.nodes.remove(place);
-            index.leave(node.holder);
+            index.remove_cache(node.holder);
             self.arrange();
         }
     }
@@ -139,7 +139,7 @@
     }
 
     /// The node that a holder is.
-    pub(crate) fn holder(&self, holder: Holder) -> Option<usize> {
+    pub(crate) fn holder(&self, holder: CacheId) -> Option<usize> {
         let place = self.seats.binary_search_by_key(&holder, |seat| seat.holder);
         place.ok().map(|place| self.seats[place].node)
     }
@@ -285,11 +285,11 @@
 
 fn fresh(endpoint: Endpoint, index: &mut Index) -> Node {
     Node {
-        holder: index.join(),
+        holder: index.add_cache(),
         load: load::State::default(),
         leaving: false,
         suspect: Time::START,
-        alone: 0,
+        isolated: 0,
         pool: 0,
         rank: 0.0,
         hash: xxh3_64(endpoint.id.as_str().as_bytes()),
--- a/coltsfoothall/src/status.rs
+++ b/coltsfoothall/src/status.rs
@@ -31,7 +31,7 @@
     }
 
     /// Slots that this instance may serve, with their epochs.
-    pub fn owned(&self) -> impl Iterator<Item = (Slot, Epoch)> {
+    pub fn served_slots(&self) -> impl Iterator<Item = (Slot, Epoch)> {
         let serving = self.replicas.iter().filter(|replica| serves(replica));
         serving.map(|replica| (replica.slot, replica.epoch))
     }
@@ -45,7 +45,7 @@
 
     /// Whether a write of the table is noted that may still take effect.
     #[must_use]
-    pub fn proposing(&self) -> bool {
+    pub fn has_proposals(&self) -> bool {
         !self.proposals.is_empty()
     }
 
@@ -61,7 +61,7 @@
     pub fn keeps(&self, slot: Slot, epoch: Epoch) -> bool {
         let copy = self.replica(slot).filter(|replica| replica.epoch == epoch);
         copy.is_some_and(|replica| match replica.role {
-            Role::Owner(_) => !replica.sealed,
+            Role::Primary(_) => !replica.sealed,
             Role::Backup { .. } => true,
             Role::Learner { .. } => false,
         })
@@ -81,7 +81,7 @@
 
     /// Changes that took effect without a second copy.
     #[must_use]
-    pub fn alone(&self) -> u64 {
-        self.alone
+    pub fn unreplicated(&self) -> u64 {
+        self.unreplicated
     }
 }
--- a/coltsfoothall/tests/forward_parts.rs
+++ b/coltsfoothall/tests/forward_parts.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::choice::{Ask, Part, Settings};
-use coltsfoothall::forward::history::{Era, Place};
+use coltsfoothall::forward::choice::{Part, Query, Settings};
+use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::forward::roster::{End, Roster};
 use coltsfoothall::forward::upgrade::Versions;
@@ -30,9 +30,9 @@
     format!("e{number}").parse().unwrap()
 }
 
-fn place(revision: u64) -> Place {
+fn place(revision: u64) -> Position {
     let era = Era(0);
-    Place { era, revision }
+    Position { era, revision }
 }
 
 fn entry(number: u64, revision: u64) -> Entry {
@@ -47,7 +47,7 @@
         leaving: false,
         leaves: None,
         reclaimable: false,
-        place: place(revision),
+        position: place(revision),
     }
 }
 
@@ -105,7 +105,7 @@
     fn ask(&mut self, now: u64, mark: u64, random: &mut Pcg64Mcg) {
         let (service, domain) = ("reader".parse().unwrap(), "north".parse().unwrap());
         let parts = parts(mark, random.random());
-        let ask = Ask {
+        let ask = Query {
             service: &service,
             parts: &parts,
             prompt: Tokens(5_100),
--- a/coltsfoothall/tests/order.rs
+++ b/coltsfoothall/tests/order.rs
@@ -34,7 +34,7 @@
     let share = share::Settings {
         rate: Bytes(2 * GIGA),
         services: 1,
-        at_once: 3,
+        max_loads: 3,
     };
     Settings {
         share,
@@ -147,7 +147,7 @@
         for _second in 0..seconds {
             self.pass();
             let now = Time::since_start(Duration::from_secs(self.second));
-            for order in rollout.step(now, wanted, &self.engines) {
+            for order in rollout.tick(now, wanted, &self.engines) {
                 if !self.rng.random_bool(lost) {
                     self.obey(order);
                 }
