--- a/coltsfoothall-entry/src/claim.rs
+++ b/coltsfoothall-entry/src/claim.rs
@@ -22,12 +22,13 @@
 pub struct Claims {
     /// Sorted by number.
     admissions: Vec<Admission>,
-    /// Admissions that have been granted by the gate, sorted.
+    /// Admissions that the gate has granted, sorted.
     ready: Vec<Number>,
 }
 
 impl Claims {
-    /// Adds an admission that its request has to claim within [`CLAIM_TIMEOUT`].
+    /// Adds an admission, granted or still waiting, that its request has to claim within
+    /// [`CLAIM_TIMEOUT`].
     pub fn add(&mut self, now: Time, number: Number) {
         if let Err(index) = self.find(number) {
             self.admissions.insert(
--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -223,7 +223,7 @@
                     self.probe_endpoint(endpoint);
                 }
             }
-            Message::ProbeEnded(endpoint, found) => self.record_probe(now, &endpoint, found),
+            Message::ProbeEnded(endpoint, finding) => self.record_probe(now, &endpoint, finding),
             Message::Evidence { evidence, reply } => {
                 let answer = self.evidence(&evidence);
                 let _gone = reply.send(answer);
@@ -327,9 +327,9 @@
         match self.config.offer(source, catalog, now) {
             Outcome::Adopted { from, to } => {
                 event::ADOPTED.emit(format_args!("from={from} to={to} source={source:?}"));
-                if let Some(held) = self.config.current() {
-                    self.dispatch.set_workspaces(&held.workspaces);
-                    self.node.board.revision(held.revision.0);
+                if let Some(current) = self.config.current() {
+                    self.dispatch.set_workspaces(&current.workspaces);
+                    self.node.board.revision(current.revision.0);
                 }
                 self.publish();
             }
@@ -412,11 +412,11 @@
     }
 
     fn own_config(&self) -> Option<peer::Config> {
-        let held = self.config.current()?;
+        let current = self.config.current()?;
         Some(peer::Config {
             from: self.node.settings.instance.clone(),
             age: self.config.age(self.node.now()).map(Millis::from),
-            catalog: held.as_ref().clone(),
+            catalog: current.as_ref().clone(),
         })
     }
 }
--- a/coltsfoothall-entry/src/inventory.rs
+++ b/coltsfoothall-entry/src/inventory.rs
@@ -48,8 +48,8 @@
             now.since(notice.received) < UNLISTED_NOTICE_RETENTION
                 || listed(machines, &notice.instance)
         });
-        let gone = old.iter().filter(|machine| !listed(machines, &machine.id));
-        gone.cloned().collect()
+        let removed = old.iter().filter(|machine| !listed(machines, &machine.id));
+        removed.cloned().collect()
     }
 
     /// All instances, sorted by name.
--- a/coltsfoothall-entry/src/isolation.rs
+++ b/coltsfoothall-entry/src/isolation.rs
@@ -148,13 +148,13 @@
                 continue;
             }
             // The endpoint that is reserved already comes first.
-            let rank = if reserved.as_ref() == Some(&candidate.endpoint) {
+            let priority = if reserved.as_ref() == Some(&candidate.endpoint) {
                 0
             } else {
                 own + 1
             };
-            if in_share && spare.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
-                spare = Some((rank, candidate.endpoint.clone()));
+            if in_share && spare.as_ref().is_none_or(|(lowest, _)| priority < *lowest) {
+                spare = Some((priority, candidate.endpoint.clone()));
             }
             exclude.push(candidate.endpoint.clone());
         }
--- a/coltsfoothall-entry/src/probe.rs
+++ b/coltsfoothall-entry/src/probe.rs
@@ -25,8 +25,8 @@
         }
     }
 
-    /// The result of a probe, except that no answer from an endpoint that left the instance
-    /// list means that it is dead.
+    /// The result of a probe, corrected for endpoints that left the instance list: for them, no
+    /// answer means dead.
     fn resolve(&self, endpoint: &id::Endpoint, finding: Finding) -> Finding {
         let listed = self.inventory.find(endpoint).is_some();
         match finding {
--- a/coltsfoothall-entry/src/resend.rs
+++ b/coltsfoothall-entry/src/resend.rs
@@ -18,13 +18,13 @@
 impl Resend {
     /// Sends again the changes that were already unacknowledged at the last tick.
     pub fn tick(&mut self, node: &Node) {
-        let owed = node.requests.with_ledger(|ledger| ledger.lags());
-        for old in owed.iter().filter(|owed| self.last.contains(owed)) {
+        let lags = node.requests.with_ledger(|ledger| ledger.lags());
+        for lag in lags.iter().filter(|lag| self.last.contains(lag)) {
             let missing = node
                 .requests
-                .with_ledger(|ledger| ledger.resend(old.slot, &old.to));
-            node.links.send_all(&old.to, missing);
+                .with_ledger(|ledger| ledger.resend(lag.slot, &lag.to));
+            node.links.send_all(&lag.to, missing);
         }
-        self.last = owed;
+        self.last = lags;
     }
 }
