--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -1,7 +1,7 @@
-//! The control thread: it alone owns the state that decisions rest on.
+//! The control thread, which alone owns the state that decisions are based on.
 //!
-//! Traffic sends messages and never waits for the thread while it holds
-//! anything; what all of traffic reads is published as a [`View`].
+//! Tasks that serve requests send it messages, and never wait for it while they hold a
+//! lock. What all of them read is published as a [`View`].
 
 use std::sync::Arc;
 use std::thread;
@@ -25,34 +25,35 @@
 use coltsfoothall_wire::cloud::Machine;
 use coltsfoothall_wire::peer;
 
-use crate::census::Census;
 use crate::dispatch::Dispatch;
 use crate::fetch;
-use crate::keeper::Slots;
+use crate::inventory::Inventory;
 use crate::members::Members;
-use crate::message::{Held, Inbox, Message};
+use crate::message::{Configs, Inbox, Message};
 use crate::node::Node;
 use crate::resend::Resend;
 use crate::round::Round;
+use crate::slots::Slots;
 use crate::view::View;
 
-/// Between two looks at what waits.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval at which waiting requests are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Between two looks at members and slots; the lag of this timer tells an own stall.
-pub const LOOK: Duration = Duration::from_millis(200);
+/// Interval of the checks of members and slots. The lag of this timer shows that this
+/// process itself stalled.
+pub const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Looks between two repeats of evidence to a peer.
-const REPEAT: u64 = 25;
-/// Looks between two repeats of notices to some peers.
-const TELL: u64 = 5;
-/// Peers that an instance asks for evidence after its start.
-const ASKED: u32 = 3;
+/// Number of ticks between two repeats of evidence to a peer.
+const TICKS_PER_EVIDENCE_REPEAT: u64 = 25;
+/// Number of ticks between two repeats of notices to some peers.
+const TICKS_PER_NOTICE_REPEAT: u64 = 5;
+/// Number of times that an instance asks a peer for all evidence after its start.
+const MAX_EVIDENCE_REQUESTS: u32 = 3;
 
-/// Open requests that make an instance fully loaded.
-const OPEN: usize = 2000;
+/// Number of open requests at which an instance counts as fully loaded.
+const FULL_LOAD_REQUESTS: usize = 2000;
 
-/// The state that decisions rest on.
+/// The state that decisions are based on.
 pub(crate) struct Control {
     pub(crate) node: Arc<Node>,
     pub(crate) views: watch::Sender<Arc<View>>,
@@ -61,15 +62,15 @@
     pub(crate) members: Members,
     pub(crate) slots: Slots,
     resend: Resend,
-    pub(crate) census: Census,
-    /// Looks so far; it spaces what is done less often.
-    looks: u64,
-    /// Times that peers were asked for all evidence.
-    asked: u32,
+    pub(crate) inventory: Inventory,
+    /// Number of ticks so far; some work is done only every few ticks.
+    ticks: u64,
+    /// Number of times that a peer was asked for all evidence.
+    evidence_requests: u32,
     pub(crate) leaving: bool,
 }
 
-/// Starts the control thread; it ends when the process does.
+/// Starts the control thread, which runs until the process ends.
 ///
 /// # Errors
 /// The thread cannot be started.
@@ -97,19 +98,19 @@
             members: Members::new(Arc::clone(&node)),
             slots: Slots::new(Arc::clone(&node)),
             resend: Resend::default(),
-            census: Census::default(),
-            looks: 0,
-            asked: 0,
+            inventory: Inventory::default(),
+            ticks: 0,
+            evidence_requests: 0,
             leaving: false,
             node,
         }
     }
 
     async fn run(mut self, mut inbox: Inbox) {
-        let mut tick = interval(TICK);
-        let mut look = interval(LOOK);
-        let mut beat = interval(self.node.settings.times.heartbeat.duration());
-        for timer in [&mut tick, &mut look, &mut beat] {
+        let mut poll = interval(POLL_INTERVAL);
+        let mut tick = interval(TICK_INTERVAL);
+        let mut heartbeat = interval(self.node.settings.times.heartbeat.duration());
+        for timer in [&mut poll, &mut tick, &mut heartbeat] {
             timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
         }
         loop {
@@ -118,68 +119,68 @@
                     Some(message) => self.handle(message),
                     None => return,
                 },
-                _at = tick.tick() => self.dispatch.poll(self.node.now()),
-                _at = look.tick() => self.look(),
-                _at = beat.tick() => self.beat(),
+                _at = poll.tick() => self.dispatch.poll(self.node.now()),
+                _at = tick.tick() => self.tick(),
+                _at = heartbeat.tick() => self.send_heartbeats(),
             }
         }
     }
 
-    /// Looks after members and slots.
-    fn look(&mut self) {
+    /// Checks members, slots and endpoints.
+    fn tick(&mut self) {
         let now = self.node.now();
         if self.members.expire(now) {
             self.publish();
         }
-        self.resend.look(&self.node);
-        self.slots.look(now, &self.members, self.leaving);
-        let taken = self.slots.retract(now);
-        self.node.desk.adopt(&self.node, taken);
-        self.node.desk.with_ledger(|ledger| ledger.retire(now));
-        self.node.desk.flush_all();
-        self.look_at_endpoints(now);
-        self.gauge();
+        self.resend.tick(&self.node);
+        self.slots.tick(now, &self.members, self.leaving);
+        let events = self.slots.retract_unconfirmed(now);
+        self.node.requests.apply(&self.node, events);
+        self.node.requests.with_ledger(|ledger| ledger.retire(now));
+        self.node.requests.flush_all();
+        self.check_endpoints(now);
+        self.update_gauges();
     }
 
-    fn beat(&mut self) {
+    fn send_heartbeats(&mut self) {
         let load = self.load();
         let revision = self.config.revision();
         self.members
-            .beat(self.leaving, load, revision.0, self.slots.version());
-        let (place, count) = self.members.place();
-        self.dispatch.set_place(place, count);
+            .send_heartbeats(self.leaving, load, revision.0, self.slots.version());
+        let (rank, count) = self.members.rank();
+        self.dispatch.set_rank(rank, count);
         // Weights and ages of members change with each heartbeat.
         self.publish();
     }
 
-    /// How busy this instance is, in per cent of what it can have open.
+    /// The load of this instance, in per cent of [`FULL_LOAD_REQUESTS`].
     fn load(&self) -> u32 {
-        u32::try_from(self.node.desk.count() * 100 / OPEN)
+        u32::try_from(self.node.requests.count() * 100 / FULL_LOAD_REQUESTS)
             .unwrap_or(100)
             .min(100)
     }
 
-    fn gauge(&self) {
+    fn update_gauges(&self) {
         let board = &self.node.board;
         board.members(self.members.count() as u64);
         board.queued(self.dispatch.queued() as u64);
         board.slots(
             self.node
-                .desk
+                .requests
                 .with_ledger(|ledger| ledger.served_slots().count()) as u64,
         );
     }
 
-    /// Takes in what a peer said of itself and others.
-    fn hear(&mut self, heartbeat: Heartbeat) {
+    /// Merges a heartbeat of a peer, and fetches from it what is newer there.
+    fn merge_heartbeat(&mut self, heartbeat: Heartbeat) {
         let now = self.node.now();
         let Some(sender) = heartbeat.digests.first().cloned() else {
             return;
         };
-        if self.members.hear(now, heartbeat) {
+        if self.members.merge_heartbeat(now, heartbeat) {
             self.publish();
         }
-        for instance in self.members.restarted() {
+        for instance in self.members.take_restarted() {
             self.slots.restarted(&instance);
         }
         let source = Source::Peer {
@@ -194,7 +195,7 @@
             fetch::config(Arc::clone(&self.node), sender.instance.clone());
         }
         if sender.slots > self.slots.version() {
-            fetch::table(Arc::clone(&self.node), sender.instance);
+            fetch::slot_table(Arc::clone(&self.node), sender.instance);
         }
     }
 
@@ -204,8 +205,8 @@
             Message::Admit { ticket, reply } => {
                 let admitted = self.dispatch.admit(now, &ticket);
                 if let Err(Ok(number)) = reply.send(admitted) {
-                    // The caller left meanwhile.
-                    self.dispatch.over(now, number);
+                    // The requester has gone away meanwhile.
+                    self.dispatch.release(now, number);
                 }
             }
             Message::Pick { pick, reply } => self.dispatch.pick(now, pick, reply),
@@ -214,23 +215,25 @@
                 attempts,
                 reply,
             } => self.retry(&service, attempts, reply),
-            Message::First { attempt, cached } => self.dispatch.first(now, attempt, cached),
+            Message::First { attempt, cached } => {
+                self.dispatch.record_first_piece(now, attempt, cached)
+            }
             Message::Ended { attempt, ended } => {
-                if let Some(endpoint) = self.dispatch.ended(now, attempt, ended) {
-                    self.try_endpoint(endpoint);
+                if let Some(endpoint) = self.dispatch.record_end(now, attempt, ended) {
+                    self.probe_endpoint(endpoint);
                 }
             }
-            Message::Tried(endpoint, found) => self.tried(now, &endpoint, found),
-            Message::Evidence { told, reply } => {
-                let answer = self.evidence(&told);
+            Message::ProbeEnded(endpoint, finding) => self.record_probe(now, &endpoint, finding),
+            Message::Evidence { evidence, reply } => {
+                let answer = self.evidence(&evidence);
                 let _gone = reply.send(answer);
             }
-            Message::Over(number) => self.dispatch.over(now, number),
+            Message::Release(number) => self.dispatch.release(now, number),
             Message::Machines(machines) => self.set_machines(machines),
-            Message::Notice(instance) => self.notice(&instance),
+            Message::Notice(instance) => self.handle_notice(&instance),
             Message::Load(endpoint, report, boot) => {
                 if let Some(boot) = boot {
-                    self.dispatch.judge().saw(&endpoint, boot);
+                    self.dispatch.detector().record_boot(&endpoint, boot);
                 }
                 self.dispatch.report(now, &endpoint, &report);
             }
@@ -241,66 +244,66 @@
                     .record_cache_events(&endpoint, &events);
             }
             Message::Catalog(source, catalog) => self.adopt(&source, catalog),
-            Message::Held { base, reply } => {
-                let held = self.config.current().cloned().unwrap_or_default();
+            Message::Configs { base, reply } => {
+                let current = self.config.current().cloned().unwrap_or_default();
                 let base = self.config.at(base).cloned();
-                let _gone = reply.send(Held { held, base });
+                let _gone = reply.send(Configs { current, base });
             }
             Message::Table(table) => self.observe(&table, None),
-            Message::ReadTable => self.slots.read_soon(),
-            Message::Round(round) => self.round(round),
-            Message::Beat { heartbeat, reply } => {
+            Message::ReadTable => self.slots.request_read(),
+            Message::RoundEnded(round) => self.end_round(round),
+            Message::Heartbeat { heartbeat, reply } => {
                 let sender = heartbeat.digests.first().cloned();
-                self.hear(heartbeat);
+                self.merge_heartbeat(heartbeat);
                 let _gone = reply.send(self.members.answer(sender.as_ref()));
             }
-            Message::Heard(heartbeat) => self.hear(heartbeat),
+            Message::HeartbeatAnswer(heartbeat) => self.merge_heartbeat(heartbeat),
             Message::Config(reply) => {
                 let _gone = reply.send(self.own_config());
             }
             Message::Handoff { handoff, reply } => {
-                let taken = self
+                let accepted = self
                     .node
-                    .desk
+                    .requests
                     .with_ledger(|ledger| ledger.accept(now, handoff));
-                if taken {
-                    self.node.desk.carry_on(&self.node, handoff.slot);
+                if accepted {
+                    self.node.requests.resume_open(&self.node, handoff.slot);
                 }
-                let _gone = reply.send(taken);
+                let _gone = reply.send(accepted);
             }
             Message::CopyLost { slot, at } => self.slots.copy_lost(slot, at),
-            Message::Unreached(peer) => self.members.unreached(&peer),
+            Message::Unreachable(peer) => self.members.log_unreachable(&peer),
             Message::Status(reply) => {
                 let _gone = reply.send(self.status());
             }
             Message::Leave => {
                 self.leaving = true;
                 self.dispatch.leave();
-                self.beat();
+                self.send_heartbeats();
             }
         }
     }
 
-    /// Repeats what peers may have missed, and tries dead endpoints again.
-    fn look_at_endpoints(&mut self, now: Time) {
-        self.looks += 1;
-        for endpoint in self.dispatch.judge().due(now) {
-            self.try_endpoint(endpoint);
+    /// Repeats what peers may have missed, and probes dead endpoints again.
+    fn check_endpoints(&mut self, now: Time) {
+        self.ticks += 1;
+        for endpoint in self.dispatch.detector().due_probes(now) {
+            self.probe_endpoint(endpoint);
         }
-        if self.looks.is_multiple_of(TELL) {
-            for instance in self.census.recent(now) {
-                self.members.pass_on(instance);
+        if self.ticks.is_multiple_of(TICKS_PER_NOTICE_REPEAT) {
+            for instance in self.inventory.recent(now) {
+                self.members.forward_notice(instance);
             }
         }
-        if self.asked < ASKED && self.members.count() > 1 {
-            self.asked += 1;
-            self.members.tell(&[], 1);
+        if self.evidence_requests < MAX_EVIDENCE_REQUESTS && self.members.count() > 1 {
+            self.evidence_requests += 1;
+            self.members.send_evidence(&[], 1);
         }
-        if self.looks.is_multiple_of(REPEAT) {
-            self.dispatch.judge().expire(now);
-            let newest = self.dispatch.judge().newest(now);
+        if self.ticks.is_multiple_of(TICKS_PER_EVIDENCE_REPEAT) {
+            self.dispatch.detector().expire(now);
+            let newest = self.dispatch.detector().newest_evidence(now);
             if !newest.is_empty() {
-                self.members.tell(&newest, 1);
+                self.members.send_evidence(&newest, 1);
             }
         }
     }
@@ -324,9 +327,9 @@
         match self.config.offer(source, catalog, now) {
             Outcome::Adopted { from, to } => {
                 event::ADOPTED.emit(format_args!("from={from} to={to} source={source:?}"));
-                if let Some(held) = self.config.current() {
-                    self.dispatch.set_workspaces(&held.workspaces);
-                    self.node.board.revision(held.revision.0);
+                if let Some(current) = self.config.current() {
+                    self.dispatch.set_workspaces(&current.workspaces);
+                    self.node.board.revision(current.revision.0);
                 }
                 self.publish();
             }
@@ -336,7 +339,7 @@
             }
             Outcome::Fork { revision } => {
                 self.node
-                    .broken("config_fork", &format_args!("revision {revision}"));
+                    .report_violation("config_fork", &format_args!("revision {revision}"));
             }
             Outcome::Bad(error) => {
                 event::BAD_CATALOG.emit(format_args!("error=\"{error}\""));
@@ -345,31 +348,32 @@
     }
 
     fn set_machines(&mut self, machines: Vec<Machine>) {
-        let gone = self.census.set(self.node.now(), machines);
-        self.try_gone(&gone);
-        self.dispatch.set_endpoints(self.census.choices());
-        self.members.set_seeds(self.census.machines());
-        for instance in self.census.leaving() {
-            self.leave(&instance);
+        let removed = self.inventory.set(self.node.now(), machines);
+        self.probe_removed(&removed);
+        self.dispatch.set_endpoints(self.inventory.choices());
+        self.members.set_seeds(self.inventory.machines());
+        for instance in self.inventory.leaving() {
+            self.drain(&instance);
         }
         self.dispatch.poll(self.node.now());
         self.publish();
     }
 
-    fn notice(&mut self, instance: &id::Instance) {
+    fn handle_notice(&mut self, instance: &id::Instance) {
         if *instance == self.node.settings.instance {
             self.node.stop.cancel();
             return;
         }
-        if self.census.note(self.node.now(), instance) {
-            self.members.pass_on(instance);
+        if self.inventory.add_notice(self.node.now(), instance) {
+            self.members.forward_notice(instance);
         }
-        self.leave(instance);
+        self.drain(instance);
         self.publish();
     }
 
-    /// An instance was given notice: no new work, and what runs goes on elsewhere.
-    fn leave(&mut self, instance: &id::Instance) {
+    /// Handles the notice of an instance: it gets no new work, and its requests continue
+    /// elsewhere.
+    fn drain(&mut self, instance: &id::Instance) {
         let Ok(endpoint) = instance.as_str().parse::<id::Endpoint>() else {
             return;
         };
@@ -378,39 +382,41 @@
             endpoint,
             finishes: false,
         };
-        self.node.desk.tell_all(&input);
+        self.node.requests.notify_all(&input);
     }
 
-    /// Takes in a slot table, from the service or from a peer.
+    /// Applies a slot table that was read from the service or received from a peer. `asked` is
+    /// when the service was asked for it.
     fn observe(&mut self, table: &Arc<Table>, asked: Option<Time>) {
         let events = self.slots.observe(self.node.now(), table, asked);
         if let Some(events) = events {
             self.publish();
-            self.node.desk.adopt(&self.node, events);
+            self.node.requests.apply(&self.node, events);
         }
         if asked.is_some() {
-            // What the read confirmed leaves at once, while the read is young.
-            self.node.desk.flush_all();
+            // Changes that the read confirmed can be released now, while the read is recent.
+            self.node.requests.flush_all();
         }
     }
 
-    fn round(&mut self, round: Round) {
-        self.slots.ended(self.node.now(), &round);
+    fn end_round(&mut self, round: Round) {
+        self.slots.record_round(self.node.now(), &round);
         if let Some(table) = &round.table {
             self.observe(table, Some(round.asked));
         }
-        // Those named fetch the table. Without that a slot whose owner dies before
-        // the next heartbeat has nobody who knows that it may go on, if the
-        // service fails as well.
-        self.members.beat_to(&round.named, self.slots.version());
+        // The instances that got a slot fetch the table. Without that, if the owner of a slot dies
+        // before the next heartbeat and the service fails as well, no instance would know that it
+        // may take the slot over.
+        self.members
+            .send_heartbeats_to(&round.assigned, self.slots.version());
     }
 
     fn own_config(&self) -> Option<peer::Config> {
-        let held = self.config.current()?;
+        let current = self.config.current()?;
         Some(peer::Config {
             from: self.node.settings.instance.clone(),
             age: self.config.age(self.node.now()).map(Millis::from),
-            catalog: held.as_ref().clone(),
+            catalog: current.as_ref().clone(),
         })
     }
 }
--- a/coltsfoothall-entry/src/lib.rs
+++ b/coltsfoothall-entry/src/lib.rs
@@ -1,5 +1,5 @@
-//! One entry instance: it takes callers' requests, passes them to endpoints and
-//! brings the answers back.
+//! An entry instance: it accepts callers' requests, forwards them to endpoints and returns
+//! the answers.
 //!
 //! [`run::run`] starts one from its settings:
 //!
@@ -13,13 +13,11 @@
 pub mod answer;
 mod attempt;
 pub mod busy;
-mod census;
 mod claim;
 pub mod config;
 pub mod control;
 pub mod death;
 mod demand;
-pub mod desk;
 pub mod dispatch;
 mod ending;
 pub mod endpoint;
@@ -27,7 +25,8 @@
 mod fetch;
 pub mod front;
 pub mod intake;
-mod keeper;
+mod inventory;
+pub mod isolation;
 mod lease;
 pub mod link;
 mod members;
@@ -37,23 +36,24 @@
 mod open;
 pub mod operator;
 mod order;
+pub mod owned;
 pub mod path;
 pub mod peer;
 pub mod pick;
 pub mod platform;
+mod probe;
 mod queue;
 mod refusal;
 pub mod relay;
 mod resend;
 mod retries;
-pub mod room;
 mod round;
 pub mod run;
 pub mod settings;
+mod slots;
 pub mod source;
 mod start;
 mod status;
 pub mod steward;
 pub mod store;
-mod trial;
 pub mod view;
--- a/coltsfoothall-entry/src/peer.rs
+++ b/coltsfoothall-entry/src/peer.rs
@@ -1,4 +1,4 @@
-//! The side of an entry instance that other entry instances talk to.
+//! The HTTP and RPC interface for other entry instances.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -36,21 +36,21 @@
 use crate::message::Message;
 use crate::node::Node;
 
-/// Answers other entry instances.
+/// The HTTP handler for other entry instances.
 #[derive(Debug)]
-pub struct Back {
+pub struct Server {
     node: Arc<Node>,
 }
 
-impl Back {
-    /// The side of an entry instance that others talk to.
+impl Server {
+    /// Creates the handler of an entry instance.
     #[must_use]
     pub fn new(node: Arc<Node>) -> Self {
         Self { node }
     }
 }
 
-impl Handler for Back {
+impl Handler for Server {
     fn call(self: Arc<Self>, request: Request<Incoming>, _peer: SocketAddr) -> Answer {
         let node = Arc::clone(&self.node);
         Box::pin(async move {
@@ -84,7 +84,7 @@
         Err(_elapsed) => return Err(Fault::field("body", "did not arrive in time")),
     };
     let follow: Follow = peer::decode(&bytes).map_err(|error| Fault::field("body", error))?;
-    let pieces = match node.desk.follow(node, &follow).await {
+    let pieces = match node.requests.follow(node, &follow).await {
         Ok(follower) => Pieces::Follow(follower),
         Err(fault) => Pieces::Fault(Box::new(fault)),
     };
@@ -96,25 +96,25 @@
     Ok(Response::new(StreamBody::new(frames).boxed_unsync()))
 }
 
-/// What is still to be sent of an answer.
+/// The rest of an answer that is still to be sent.
 enum Pieces {
     Follow(Follower),
     Fault(Box<Fault>),
-    Over,
+    End,
 }
 
 impl Pieces {
     async fn next(self) -> Option<(Piece, Self)> {
         match self {
-            Self::Over => None,
-            Self::Fault(fault) => Some((Piece::Fault(fault), Self::Over)),
+            Self::End => None,
+            Self::Fault(fault) => Some((Piece::Fault(fault), Self::End)),
             Self::Follow(mut follower) => {
                 let piece = follower.next().await;
                 let last = matches!(piece, Piece::End { .. } | Piece::Moved);
                 Some((
                     piece,
                     if last {
-                        Self::Over
+                        Self::End
                     } else {
                         Self::Follow(follower)
                     },
@@ -124,7 +124,7 @@
     }
 }
 
-/// Turns the connection into one for [`Peer`] calls.
+/// Upgrades the connection to one for [`Peer`] calls.
 fn upgrade(node: &Arc<Node>, request: Request<Incoming>) -> Response<Body> {
     let node = Arc::clone(node);
     tokio::spawn(async move {
@@ -144,14 +144,14 @@
     let framed = Framed::new(TokioIo::new(upgraded), peer::codec());
     let transport = serde_transport::new(framed, MessagePack::default());
     let channel = BaseChannel::with_defaults(transport);
-    // One call after another: changes of a record must not overtake each other.
+    // Calls run one after another: changes of a record must not overtake each other.
     channel
         .execute(Calls { node }.serve())
         .for_each(|call| call)
         .await;
 }
 
-/// Carries out calls.
+/// Handles the calls of one connection.
 #[derive(Debug, Clone)]
 struct Calls {
     node: Arc<Node>,
@@ -161,8 +161,8 @@
     async fn beat(self, _: Context, heartbeat: Heartbeat) -> Heartbeat {
         let board = &self.node.board;
         board.peer_bytes(Flow::In, peer::encode(&heartbeat).len() as u64);
-        let ask = |reply| Message::Beat { heartbeat, reply };
-        let answer = self.node.control.ask(ask).await.unwrap_or_default();
+        let message = |reply| Message::Heartbeat { heartbeat, reply };
+        let answer = self.node.control.ask(message).await.unwrap_or_default();
         board.peer_bytes(Flow::Out, peer::encode(&answer).len() as u64);
         answer
     }
@@ -176,23 +176,23 @@
     }
 
     async fn update(self, _: Context, from: id::Instance, updates: Vec<Update>) -> Vec<Ack> {
-        self.node.desk.receive(&self.node, &from, updates)
+        self.node.requests.receive(&self.node, &from, updates)
     }
 
     async fn import(self, _: Context, chunk: Chunk) -> Taken {
         let now = self.node.now();
         self.node
-            .desk
+            .requests
             .with_ledger(|ledger| ledger.import(now, chunk))
     }
 
     async fn hand_over(self, _: Context, handoff: Handoff) -> bool {
-        let ask = |reply| Message::Handoff { handoff, reply };
-        self.node.control.ask(ask).await.unwrap_or(false)
+        let message = |reply| Message::Handoff { handoff, reply };
+        self.node.control.ask(message).await.unwrap_or(false)
     }
 
     async fn cede(self, _: Context, slot: Slot, epoch: Epoch) -> bool {
-        let sealed = self.node.desk.with_ledger(|ledger| {
+        let sealed = self.node.requests.with_ledger(|ledger| {
             ledger.keeps(slot, epoch) && (ledger.seal(slot).is_some() || ledger.serving(slot))
         });
         self.node.control.send(Message::ReadTable);
@@ -200,17 +200,20 @@
     }
 
     async fn dismiss(self, _: Context, slot: Slot, epoch: Epoch) -> Option<Life> {
-        let desk = &self.node.desk;
-        desk.with_ledger(|ledger| ledger.resign(slot, epoch))
+        let requests = &self.node.requests;
+        requests.with_ledger(|ledger| ledger.resign(slot, epoch))
     }
 
     async fn cancel(self, _: Context, name: Name) -> bool {
-        self.node.desk.cancel(&name)
+        self.node.requests.cancel(&name)
     }
 
     async fn evidence(self, _: Context, told: Vec<Evidence>) -> Vec<Evidence> {
-        let ask = |reply| Message::Evidence { told, reply };
-        self.node.control.ask(ask).await.unwrap_or_default()
+        let message = |reply| Message::Evidence {
+            evidence: told,
+            reply,
+        };
+        self.node.control.ask(message).await.unwrap_or_default()
     }
 
     async fn notice(self, _: Context, instance: id::Instance) {
--- a/coltsfoothall-entry/src/resend.rs
+++ b/coltsfoothall-entry/src/resend.rs
@@ -1,29 +1,30 @@
-//! Sends changes again whose acknowledgement does not come.
+//! Sends changes again that are not acknowledged.
 //!
-//! An acknowledgement that arrives after the slot's epoch has risen counts for
-//! nothing, and in a quiet slot no later one makes up for it. What is still
-//! missing one look later is therefore sent again; a copy that has it says so.
+//! An acknowledgement that arrives after the slot's epoch has risen does not count, and in
+//! a slot without further changes no later one makes up for it. A change that is still
+//! unacknowledged one tick later is therefore sent again; a copy that has it acknowledges
+//! it again.
 
 use coltsfoothall::ledger::Lag;
 
 use crate::node::Node;
 
-/// What was missing at the last look.
+/// The acknowledgements that were missing at the last tick.
 #[derive(Debug, Default)]
 pub struct Resend {
     last: Vec<Lag>,
 }
 
 impl Resend {
-    /// Sends again what was missing at the last look already.
-    pub fn look(&mut self, node: &Node) {
-        let owed = node.desk.with_ledger(|ledger| ledger.lags());
-        for old in owed.iter().filter(|owed| self.last.contains(owed)) {
+    /// Sends again the changes that were already unacknowledged at the last tick.
+    pub fn tick(&mut self, node: &Node) {
+        let lags = node.requests.with_ledger(|ledger| ledger.lags());
+        for lag in lags.iter().filter(|lag| self.last.contains(lag)) {
             let missing = node
-                .desk
-                .with_ledger(|ledger| ledger.resend(old.slot, &old.to));
-            node.links.send_all(&old.to, missing);
+                .requests
+                .with_ledger(|ledger| ledger.resend(lag.slot, &lag.to));
+            node.links.send_all(&lag.to, missing);
         }
-        self.last = owed;
+        self.last = lags;
     }
 }
--- a/coltsfoothall-entry/src/status.rs
+++ b/coltsfoothall-entry/src/status.rs
@@ -1,5 +1,5 @@
-//! What the control thread tells of itself: the snapshot for traffic, and the
-//! status for operators.
+//! What the control thread publishes: the snapshot for request handling, and the status for
+//! operators.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,53 +16,53 @@
 use crate::view::{Token, View};
 
 impl Control {
-    /// Publishes what traffic reads.
+    /// Publishes a new snapshot of the control state.
     pub fn publish(&self) {
         let catalog = self.config.current().cloned().unwrap_or_default();
         let tokens = tokens(&catalog);
-        let places = self.census.places(&catalog);
+        let locations = self.inventory.locations(&catalog);
         let view = View {
             catalog,
             tokens,
-            places,
+            locations,
             addresses: self.addresses(),
             table: Arc::clone(self.slots.table()),
             peers: self.members.peers(),
             leaving: self.leaving,
             watches: self.members.watches(),
-            machines: Arc::clone(self.census.machines()),
-            noticed: self.census.noticed(),
-            busy: self.dispatch.busy(self.census.machines()),
+            machines: Arc::clone(self.inventory.machines()),
+            noticed: self.inventory.noticed(),
+            busy: self.dispatch.busy(self.inventory.machines()),
         };
         self.views.send_replace(Arc::new(view));
     }
 
-    /// Addresses for callers; none before there is a configuration.
+    /// Addresses for callers; `None` before there is a configuration.
     fn addresses(&self) -> Option<Addresses> {
         self.config.current()?;
         Some(self.members.addresses(self.node.now()))
     }
 
-    /// What this instance knows, for operators.
+    /// The status of this instance, for operators.
     pub fn status(&self) -> Status {
         let settings = &self.node.settings;
         let now = self.node.now();
         let revision = self.config.revision();
         let members = self.members.status(now, revision);
-        let held: Vec<Revision> = members.iter().map(|member| member.revision).collect();
-        let broken = self.node.broken.load(Ordering::Relaxed);
+        let revisions: Vec<Revision> = members.iter().map(|member| member.revision).collect();
+        let broken = self.node.violations.load(Ordering::Relaxed);
         Status {
             instance: settings.instance.clone(),
             revision,
             age_ms: self.config.age(now).map(Millis::from),
-            in_force: u32::try_from(in_force(revision, &held)).unwrap_or(u32::MAX),
+            in_force: u32::try_from(in_force(revision, &revisions)).unwrap_or(u32::MAX),
             members,
             endpoints: self
-                .census
+                .inventory
                 .endpoints()
                 .filter_map(|m| self.endpoint_status(m))
                 .collect(),
-            open: u32::try_from(self.node.desk.count()).unwrap_or(u32::MAX),
+            open: u32::try_from(self.node.requests.count()).unwrap_or(u32::MAX),
             broken,
         }
     }
@@ -74,7 +74,7 @@
             id,
             service: machine.service.clone(),
             domain: machine.domain.clone(),
-            state: self.census.state(machine).into(),
+            state: self.inventory.state(machine).into(),
             open,
         })
     }
--- a/coltsfoothall-entry/tests/dispatch.rs
+++ b/coltsfoothall-entry/tests/dispatch.rs
@@ -14,7 +14,7 @@
 use coltsfoothall::size::{Millis, Price, Tokens};
 use coltsfoothall::step::Input;
 use coltsfoothall::weight::Risk;
-use coltsfoothall_entry::death::Found;
+use coltsfoothall_entry::death::Finding;
 use coltsfoothall_entry::dispatch::{Dispatch, Pick, ticket};
 use coltsfoothall_entry::endpoint::Ended;
 use rand::{Rng, SeedableRng};
@@ -69,7 +69,7 @@
         let mut dispatch = Dispatch::new("karlin".parse().unwrap(), seed);
         dispatch.set_endpoints((0..ENDPOINTS).map(endpoint).collect());
         dispatch.set_workspaces(&[workspace("film"), workspace("theatre")]);
-        dispatch.set_place(0, 2);
+        dispatch.set_rank(0, 2);
         Self {
             random: Pcg64Mcg::seed_from_u64(seed),
             dispatch,
@@ -142,8 +142,8 @@
                 .set_endpoints((0..ENDPOINTS).map(endpoint).collect()),
             _ => self.dispatch.poll(self.now),
         }
-        for endpoint in self.dispatch.judge().due(self.now) {
-            self.settle(&endpoint, Found::Alive);
+        for endpoint in self.dispatch.detector().due_probes(self.now) {
+            self.settle(&endpoint, Finding::Alive);
         }
         self.hear();
     }
@@ -162,7 +162,7 @@
         let carried = self.random.random_bool(0.1);
         if carried {
             // Carried on here: it has no place of its own.
-            self.dispatch.over(self.now, number);
+            self.dispatch.release(self.now, number);
         }
         let number = Some(number).filter(|_| !carried);
         self.callers.push(Caller {
@@ -228,27 +228,28 @@
         let at = open[self.random.random_range(0..open.len())];
         let attempt = self.callers[at].running.pop().unwrap();
         let ended = [
-            Ended::Whole,
-            Ended::Whole,
+            Ended::Complete,
+            Ended::Complete,
             Ended::Refused,
             Ended::Unsent,
             Ended::Broke,
         ][self.random.random_range(0..5)];
-        self.dispatch.first(self.now, attempt, Tokens(0));
-        let tried = self.dispatch.ended(self.now, attempt, ended);
+        self.dispatch
+            .record_first_piece(self.now, attempt, Tokens(0));
+        let tried = self.dispatch.record_end(self.now, attempt, ended);
         if let Some(endpoint) = tried {
             let found = [
-                Found::Alive,
-                Found::Silent,
-                Found::Dead { domain: false },
-                Found::Alive,
+                Finding::Alive,
+                Finding::Silent,
+                Finding::Dead { domain: false },
+                Finding::Alive,
             ][self.random.random_range(0..4)];
             self.settle(&endpoint, found);
         }
         match ended {
-            Ended::Whole => self.over(at),
+            Ended::Complete => self.over(at),
             Ended::Refused | Ended::Unsent => self.pick(at),
-            Ended::Broke | Ended::Unheard => {}
+            Ended::Broke | Ended::Abandoned => {}
         }
     }
 
@@ -261,15 +262,15 @@
 
     fn die(&mut self, at: usize) {
         let endpoint = endpoint(at).id;
-        if self.dispatch.judge().accuse(&endpoint, None) {
-            self.settle(&endpoint, Found::Dead { domain: false });
+        if self.dispatch.detector().start_probe(&endpoint, None) {
+            self.settle(&endpoint, Finding::Dead { domain: false });
         }
     }
 
-    fn settle(&mut self, endpoint: &coltsfoothall::id::Endpoint, found: Found) {
-        if self.dispatch.rule(self.now, endpoint, found) {
+    fn settle(&mut self, endpoint: &coltsfoothall::id::Endpoint, found: Finding) {
+        if self.dispatch.record_probe(self.now, endpoint, found) {
             let announced = self.random.random_bool(0.5);
-            self.dispatch.died(self.now, endpoint, announced);
+            self.dispatch.record_death(self.now, endpoint, announced);
         }
     }
 
@@ -286,10 +287,11 @@
             .collect();
         let number = caller.number;
         for attempt in attempts {
-            self.dispatch.ended(self.now, attempt, Ended::Unheard);
+            self.dispatch
+                .record_end(self.now, attempt, Ended::Abandoned);
         }
         if let Some(number) = number {
-            self.dispatch.over(self.now, number);
+            self.dispatch.release(self.now, number);
         }
     }
 }
@@ -311,13 +313,13 @@
             world.hear();
         }
         let left = (
-            world.dispatch.held(),
+            world.dispatch.admitted(),
             world.dispatch.waiting(),
             world.dispatch.running(),
         );
         assert_eq!(left, (0, 0, 0), "seed {seed}: places, picks, attempts");
         assert_eq!(world.dispatch.queued(), 0, "seed {seed}");
-        assert_eq!(world.dispatch.judge().running(), 0, "seed {seed}");
+        assert_eq!(world.dispatch.detector().running(), 0, "seed {seed}");
     }
 }
 
@@ -357,19 +359,25 @@
     let (blamed, innocent) = (world.asking("blamed"), world.asking("innocent"));
     assert_eq!(world.chosen(&blamed, 1, &[1, 2]), Some(endpoint(0).id));
     assert_eq!(world.chosen(&innocent, 2, &[1, 2]), Some(endpoint(0).id));
-    world.dispatch.ended(world.now, 1, Ended::Broke);
-    world.dispatch.ended(world.now, 2, Ended::Broke);
-    let dead = Found::Dead { domain: false };
-    assert!(world.dispatch.rule(world.now, &endpoint(0).id, dead));
-    world.dispatch.died(world.now, &endpoint(0).id, false);
+    world.dispatch.record_end(world.now, 1, Ended::Broke);
+    world.dispatch.record_end(world.now, 2, Ended::Broke);
+    let dead = Finding::Dead { domain: false };
+    assert!(
+        world
+            .dispatch
+            .record_probe(world.now, &endpoint(0).id, dead)
+    );
+    world
+        .dispatch
+        .record_death(world.now, &endpoint(0).id, false);
     world.now = world.now + Duration::from_secs(1);
     assert_eq!(world.chosen(&blamed, 3, &[]), Some(endpoint(2).id), "alone");
-    world.dispatch.ended(world.now, 3, Ended::Broke);
+    world.dispatch.record_end(world.now, 3, Ended::Broke);
     assert_eq!(world.chosen(&innocent, 4, &[]), None, "it is on trial");
     assert!(
         !world
             .dispatch
-            .rule(world.now, &endpoint(2).id, Found::Alive)
+            .record_probe(world.now, &endpoint(2).id, Finding::Alive)
     );
     assert_eq!(world.chosen(&innocent, 5, &[]), Some(endpoint(2).id));
 }
