--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -223,7 +223,10 @@
         .allowance
         .borrow_mut()
         .merge_granted(boot, &heartbeat.spent);
-    state.usage.borrow_mut().hear(boot, &heartbeat.counts);
+    state
+        .usage
+        .borrow_mut()
+        .merge_counts(boot, &heartbeat.counts);
     state.hear_work(boot, &heartbeat.work);
     state
         .upgrades
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -103,7 +103,7 @@
     /// Services that move to another version.
     pub upgrades: RefCell<upgrade::Book>,
     /// Requests that began to run.
-    pub usage: RefCell<usage::Book>,
+    pub usage: RefCell<usage::Counter>,
     /// Other instances.
     pub peers: RefCell<Peers>,
     /// The election of who acts for all.
@@ -164,7 +164,7 @@
             pool: RefCell::default(),
             allowance: RefCell::default(),
             upgrades: RefCell::new(upgrade::Book::new(upgrade::Settings::default(), boot)),
-            usage: RefCell::new(usage::Book::new(
+            usage: RefCell::new(usage::Counter::new(
                 boot,
                 settings.bounds.usage_window.duration(),
             )),
@@ -285,7 +285,7 @@
         let time = self.true_time();
         let mut usage = self.usage.borrow_mut();
         let window = usage.window(time);
-        usage.began(window, workspace);
+        usage.record_start(window, workspace);
     }
 
     /// A run ended. One that broke off is evidence if its endpoint turns out to be gone; a
--- a/coltsfoothall/benches/gossip.rs
+++ b/coltsfoothall/benches/gossip.rs
@@ -110,7 +110,7 @@
 }
 
 fn counts(instances: u64) {
-    let mut book = usage::Book::new(0, Duration::from_secs(5));
+    let mut counter = usage::Counter::new(0, Duration::from_secs(5));
     let workspaces: Vec<id::Workspace> = (0..WORKSPACES).map(|at| name("film", at)).collect();
     let mut took = Duration::ZERO;
     for round in 0..ROUNDS as u64 {
@@ -124,7 +124,7 @@
                 })
                 .collect();
             let begun = Instant::now();
-            book.hear(boot, &counts);
+            counter.merge_counts(boot, &counts);
             took += begun.elapsed();
         }
     }
@@ -132,7 +132,7 @@
     print("counts_heard", &size, instances * ROUNDS as u64, took);
     let begun = Instant::now();
     for _ in 0..100 {
-        book.began(ROUNDS as u64, &workspaces[3]);
+        counter.record_start(ROUNDS as u64, &workspaces[3]);
     }
     print("run_counted", &size, 100, begun.elapsed());
 }
--- a/coltsfoothall/src/forward/usage.rs
+++ b/coltsfoothall/src/forward/usage.rs
@@ -59,14 +59,14 @@
 
 /// The counts of all instances, as far as they are known here.
 #[derive(Debug, Clone)]
-pub struct Book {
+pub struct Counter {
     boot: u64,
     length: Duration,
     /// Sorted by number.
     windows: Vec<Window>,
 }
 
-impl Book {
+impl Counter {
     /// An empty book of the instance with this boot number.
     #[must_use]
     pub fn new(boot: u64, length: Duration) -> Self {
@@ -90,14 +90,14 @@
     }
 
     /// A request of `workspace` began to run here.
-    pub fn began(&mut self, window: u64, workspace: &id::Workspace) {
+    pub fn record_start(&mut self, window: u64, workspace: &id::Workspace) {
         let boot = self.boot;
         self.raise(window, workspace, boot, |runs| runs + 1);
         self.windows.retain(|have| have.number + KEPT > window);
     }
 
     /// Takes the counts that another instance tells; a lower one than before is old.
-    pub fn hear(&mut self, boot: u64, counts: &[Count]) {
+    pub fn merge_counts(&mut self, boot: u64, counts: &[Count]) {
         for count in counts {
             self.raise(count.window, &count.workspace, boot, |runs| {
                 runs.max(count.runs)
--- a/coltsfoothall/tests/forward_usage.rs
+++ b/coltsfoothall/tests/forward_usage.rs
@@ -4,15 +4,15 @@
 
 use std::time::Duration;
 
-use coltsfoothall::forward::usage::{Book, Count};
+use coltsfoothall::forward::usage::{Count, Counter};
 use coltsfoothall::id;
 
 fn film() -> id::Workspace {
     "film".parse().unwrap()
 }
 
-fn book(boot: u64) -> Book {
-    Book::new(boot, Duration::from_secs(5))
+fn book(boot: u64) -> Counter {
+    Counter::new(boot, Duration::from_secs(5))
 }
 
 #[test]
@@ -27,10 +27,10 @@
 fn dead_one_counts() {
     let (mut one, mut two) = (book(1), book(2));
     for _ in 0..3 {
-        one.began(7, &film());
+        one.record_start(7, &film());
     }
-    two.began(7, &film());
-    two.hear(1, &one.own(7));
+    two.record_start(7, &film());
+    two.merge_counts(1, &one.own(7));
     drop(one);
     let runs: Vec<u64> = two.sum(7).iter().map(|count| count.runs).collect();
     assert_eq!(runs, [4]);
@@ -39,12 +39,12 @@
 #[test]
 fn notes_restored() {
     let (mut one, mut two) = (book(1), book(2));
-    one.began(7, &film());
-    two.began(7, &film());
-    two.hear(1, &one.own(0));
+    one.record_start(7, &film());
+    two.record_start(7, &film());
+    two.merge_counts(1, &one.own(0));
     let snapshot = two.snapshot(7);
     let mut three = book(3);
-    three.began(7, &film());
+    three.record_start(7, &film());
     three.restore(&snapshot);
     three.restore(&snapshot);
     assert_eq!(three.sum(7)[0].runs, 3, "each boot counts once");
@@ -60,8 +60,8 @@
             runs,
         }]
     };
-    two.hear(1, &count(5));
-    two.hear(1, &count(3));
+    two.merge_counts(1, &count(5));
+    two.merge_counts(1, &count(3));
     assert_eq!(two.sum(7)[0].runs, 5);
 }
 
@@ -70,8 +70,8 @@
     let mut holder = book(9);
     for boot in [1, 2] {
         let mut one = book(boot);
-        one.began(7, &film());
-        holder.hear(boot, &one.own(0));
+        one.record_start(7, &film());
+        holder.merge_counts(boot, &one.own(0));
     }
     assert_eq!(holder.sum(7)[0].runs, 2);
 }
@@ -79,8 +79,8 @@
 #[test]
 fn old_windows_dropped() {
     let mut book = book(1);
-    book.began(1, &film());
-    book.began(40, &film());
+    book.record_start(1, &film());
+    book.record_start(40, &film());
     assert!(book.sum(1).is_empty());
     assert_eq!(book.own(0).len(), 1);
 }
@@ -101,7 +101,7 @@
                 runs: 40 + at,
             };
             let counts: Vec<Count> = (0..19).map(count).collect();
-            holder.hear(boot, &counts);
+            holder.merge_counts(boot, &counts);
         }
     }
     let note = serde_json::to_vec(&holder.snapshot(353_445_127)).unwrap();
