--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -102,7 +102,7 @@
         state
             .upgrades
             .borrow_mut()
-            .sent(&job.service, route, version);
+            .record_sent(&job.service, route, version);
         Self {
             state: Rc::clone(state),
             run: Some(run),
@@ -123,7 +123,7 @@
             let took = self.state.now().since(self.began);
             let (route, version) = (&self.route.name, self.version.as_ref());
             let mut upgrades = self.state.upgrades.borrow_mut();
-            upgrades.answered(&self.service, route, version, took, failed);
+            upgrades.record_answer(&self.service, route, version, took, failed);
         }
     }
 
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -13,7 +13,7 @@
 use coltsfoothall::forward::peer::{MAX_HEARTBEATS_PER_BATCH, Profile};
 use coltsfoothall::forward::rate_limit::Granted;
 use coltsfoothall::forward::roster::Ended;
-use coltsfoothall::forward::upgrade::Told;
+use coltsfoothall::forward::upgrade::Status;
 use coltsfoothall::forward::usage::Count;
 use coltsfoothall::id;
 use coltsfoothall::suspicion::Evidence;
@@ -66,7 +66,7 @@
     reported: Option<u64>,
     /// Services that move to another version.
     #[serde(default)]
-    upgrades: Vec<Told>,
+    upgrades: Vec<Status>,
 }
 
 impl Heartbeat {
@@ -99,7 +99,7 @@
             evidence: state.docket.borrow().part(now, rows, round),
             era: state.era(),
             reported: state.reported(),
-            upgrades: state.upgrades.borrow().told(now),
+            upgrades: state.upgrades.borrow().statuses(now),
         }
     }
 }
@@ -231,7 +231,7 @@
     state
         .upgrades
         .borrow_mut()
-        .hear(now, boot, heartbeat.upgrades);
+        .merge_statuses(now, boot, heartbeat.upgrades);
     for ended in &heartbeat.ended {
         let event = state.roster.borrow_mut().ended(ended);
         state.note(event, ended.position, "peer");
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -263,7 +263,7 @@
             state
                 .upgrades
                 .borrow_mut()
-                .present(&entry.service, entry.version.as_ref());
+                .record_present(&entry.service, entry.version.as_ref());
             state.passed.borrow_mut().put(item, &entry);
             Some(entry)
         }
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -101,7 +101,7 @@
     /// How long answers take.
     pub durations: RefCell<duration::Table>,
     /// Services that move to another version.
-    pub upgrades: RefCell<upgrade::Book>,
+    pub upgrades: RefCell<upgrade::Registry>,
     /// Requests that began to run.
     pub usage: RefCell<usage::Counter>,
     /// Other instances.
@@ -163,7 +163,7 @@
             roster: RefCell::new(Roster::new(choice::Settings::default())),
             pool: RefCell::default(),
             allowance: RefCell::default(),
-            upgrades: RefCell::new(upgrade::Book::new(upgrade::Settings::default(), boot)),
+            upgrades: RefCell::new(upgrade::Registry::new(upgrade::Settings::default(), boot)),
             usage: RefCell::new(usage::Counter::new(
                 boot,
                 settings.bounds.usage_window.duration(),
--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -49,7 +49,7 @@
     let roster = state.roster.borrow();
     let entries = roster.nodes().iter().map(|node| &node.entry);
     for entry in entries.filter(|entry| entry.service == service) {
-        upgrades.present(&service, entry.version.as_ref());
+        upgrades.record_present(&service, entry.version.as_ref());
     }
     true
 }
--- a/coltsfoothall/benches/verdict.rs
+++ b/coltsfoothall/benches/verdict.rs
@@ -93,7 +93,7 @@
         let failed = rng.random_bool(kind.usual) || rng.random_bool(harm);
         let had = candidate;
         candidate.add(took, failed, Count::default());
-        detector.saw(candidate.since(had), baseline);
+        detector.record(candidate.since(had), baseline);
         let part = |count: Count| f64::from(count.bad) / f64::from(count.runs);
         let above = candidate.runs >= ENOUGH && part(candidate) > part(baseline) + ABOVE;
         let ways = [detector.is_certain(), above];
--- a/coltsfoothall/src/forward/upgrade.rs
+++ b/coltsfoothall/src/forward/upgrade.rs
@@ -123,7 +123,7 @@
 
 /// What an instance tells the others of an upgrade.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Status {
     service: id::Service,
     #[serde(rename = "place")]
     position: Position,
@@ -195,14 +195,14 @@
 
 /// All upgrades, sorted by service.
 #[derive(Debug, Clone, Default)]
-pub struct Book {
+pub struct Registry {
     settings: Settings,
     /// Differs between instances.
     seed: u64,
     upgrades: Vec<Upgrade>,
 }
 
-impl Book {
+impl Registry {
     /// No order yet; the seed differs between instances.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
@@ -266,7 +266,7 @@
     }
 
     /// An endpoint of a version is there.
-    pub fn present(&mut self, service: &id::Service, version: Option<&id::Version>) {
+    pub fn record_present(&mut self, service: &id::Service, version: Option<&id::Version>) {
         if let Ok(place) = self.find(service) {
             let upgrade = &mut self.upgrades[place];
             upgrade.had_baseline |= version != Some(&upgrade.order.target);
@@ -297,7 +297,12 @@
     }
 
     /// A request on a route goes to an endpoint of a version.
-    pub fn sent(&mut self, service: &id::Service, route: &str, version: Option<&id::Version>) {
+    pub fn record_sent(
+        &mut self,
+        service: &id::Service,
+        route: &str,
+        version: Option<&id::Version>,
+    ) {
         let Ok(place) = self.find(service) else {
             return;
         };
@@ -312,7 +317,7 @@
 
     /// An endpoint answered a request: in which time, to the first event of a stream, and
     /// whether with a failure of its own.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         service: &id::Service,
         route: &str,
@@ -338,10 +343,10 @@
 
     /// What this instance tells the others; answers only while they may still decide.
     #[must_use]
-    pub fn told(&self, now: Time) -> Vec<Told> {
-        let told = self.upgrades.iter().map(|had| {
+    pub fn statuses(&self, now: Time) -> Vec<Status> {
+        let statuses = self.upgrades.iter().map(|had| {
             let tallies = had.tallies.iter().filter(|_lane| !had.stage.is_final());
-            Told {
+            Status {
                 service: had.order.service.clone(),
                 position: had.order.position,
                 stage: had.stage,
@@ -351,26 +356,26 @@
                     .collect(),
             }
         });
-        told.collect()
+        statuses.collect()
     }
 
     /// Another instance tells of its upgrades; those of other orders than are known here say
     /// nothing.
-    pub fn hear(&mut self, now: Time, boot: u64, told: Vec<Told>) {
-        for told in told {
-            let Ok(place) = self.find(&told.service) else {
+    pub fn merge_statuses(&mut self, now: Time, boot: u64, statuses: Vec<Status>) {
+        for status in statuses {
+            let Ok(place) = self.find(&status.service) else {
                 continue;
             };
             let upgrade = &mut self.upgrades[place];
-            if upgrade.order.position != told.position {
+            if upgrade.order.position != status.position {
                 continue;
             }
-            upgrade.since = upgrade.since.min(now - told.age.duration());
-            upgrade.enter(now, told.stage);
+            upgrade.since = upgrade.since.min(now - status.age.duration());
+            upgrade.enter(now, status.stage);
             let heard = Heard {
                 boot,
-                stage: told.stage,
-                answers: told.answers,
+                stage: status.stage,
+                answers: status.answers,
             };
             match upgrade.heard.binary_search_by_key(&boot, |had| had.boot) {
                 Ok(place) => upgrade.heard[place] = heard,
@@ -533,7 +538,7 @@
             let tally = self.tally(&route);
             let new = sum.candidate.since(tally.judged.candidate);
             tally.judged = sum;
-            tally.detector.saw(new, sum.baseline);
+            tally.detector.record(new, sum.baseline);
             if tally.detector.is_certain() {
                 found = Some(sum);
             }
--- a/coltsfoothall/src/forward/verdict.rs
+++ b/coltsfoothall/src/forward/verdict.rs
@@ -83,7 +83,7 @@
 
 impl Detector {
     /// The candidate gave these answers more; `baseline` are all of the baseline's.
-    pub fn saw(&mut self, new: Count, baseline: Count) {
+    pub fn record(&mut self, new: Count, baseline: Count) {
         let (bad, runs) = PRIOR;
         let sound = (f64::from(baseline.bad) + bad) / (f64::from(baseline.runs) + runs);
         let sound = sound.min(0.95);
--- a/coltsfoothall/tests/forward_upgrade.rs
+++ b/coltsfoothall/tests/forward_upgrade.rs
@@ -6,7 +6,7 @@
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::history::{Era, Position};
-use coltsfoothall::forward::upgrade::{Book, Order, Settings, Stage, Told, Versions, View};
+use coltsfoothall::forward::upgrade::{Order, Registry, Settings, Stage, Status, Versions, View};
 use coltsfoothall::id;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -81,7 +81,7 @@
 
 /// A fleet of instances before the endpoints of both versions.
 struct Fleet {
-    books: Vec<Book>,
+    books: Vec<Registry>,
     /// Instances that neither hear nor are heard.
     silent: usize,
     rng: StdRng,
@@ -96,11 +96,11 @@
 
 impl Fleet {
     fn new(count: usize, silent: usize, fault: Fault, seed: u64) -> Self {
-        let book = |number| Book::new(Settings::default(), seed ^ number << 32);
-        let mut books: Vec<Book> = (0..count as u64).map(book).collect();
+        let book = |number| Registry::new(Settings::default(), seed ^ number << 32);
+        let mut books: Vec<Registry> = (0..count as u64).map(book).collect();
         for book in &mut books {
             assert!(book.ordered(at(0), order(12, 5)));
-            book.present(&service(), Some(&old()));
+            book.record_present(&service(), Some(&old()));
         }
         Self {
             books,
@@ -151,7 +151,7 @@
         let versions = self.books[instance].versions(&service(), name);
         let is_candidate = versions[0].has(Some(&new()));
         let run = version(if is_candidate { "v2" } else { "v1" });
-        self.books[instance].sent(&service(), name, Some(&run));
+        self.books[instance].record_sent(&service(), name, Some(&run));
         let mut failed = self.rng.random_bool(usual);
         // Times of the baseline differ by a factor of three either way.
         let spread: f64 = self.rng.random_range(-1.0..1.0);
@@ -173,17 +173,17 @@
                 }
             }
         }
-        self.books[instance].answered(&service(), name, Some(&run), took, failed);
+        self.books[instance].record_answer(&service(), name, Some(&run), took, failed);
     }
 
     fn gossip(&mut self, now: Time, turn: usize) {
         let count = self.books.len();
-        let told: Vec<Vec<Told>> = self.books.iter().map(|book| book.told(now)).collect();
+        let told: Vec<Vec<Status>> = self.books.iter().map(|book| book.statuses(now)).collect();
         for (speaker, told) in told.iter().enumerate().skip(self.silent) {
             for step in 0..TOGETHER.min(count) {
                 let listener = (speaker + 1 + turn * TOGETHER + step) % count;
                 if listener != speaker && listener >= self.silent {
-                    self.books[listener].hear(now, speaker as u64, told.clone());
+                    self.books[listener].merge_statuses(now, speaker as u64, told.clone());
                 }
             }
         }
@@ -306,9 +306,9 @@
     for (instances, requests) in [(1, 1_000), (82, 50), (300, 10), (1_000, 5)] {
         let mut all = 0;
         for seed in 0..instances {
-            let mut book = Book::new(Settings::default(), seed);
+            let mut book = Registry::new(Settings::default(), seed);
             book.ordered(at(0), order(12, 5));
-            book.present(&service(), Some(&old()));
+            book.record_present(&service(), Some(&old()));
             let mut exposed = 0;
             for asked in 1..=requests {
                 let run = match &book.versions(&service(), "letters")[0] {
@@ -316,7 +316,7 @@
                     _ => old(),
                 };
                 exposed += u64::from(run == new());
-                book.sent(&service(), "letters", Some(&run));
+                book.record_sent(&service(), "letters", Some(&run));
                 let most = (asked as f64 * EXPOSED) as u64 + 1;
                 assert!(exposed <= most, "{exposed} of {asked}");
             }
@@ -331,15 +331,15 @@
 /// A candidate that starts late gets no more at once than what is due.
 #[test]
 fn start_not_flooded() {
-    let mut book = Book::new(Settings::default(), 1);
+    let mut book = Registry::new(Settings::default(), 1);
     book.ordered(at(0), order(12, 5));
-    book.present(&service(), Some(&old()));
+    book.record_present(&service(), Some(&old()));
     for _ in 0..1_000 {
-        book.sent(&service(), "letters", Some(&old()));
+        book.record_sent(&service(), "letters", Some(&old()));
     }
     let mut at_once = 0;
     while book.versions(&service(), "letters")[0].has(Some(&new())) {
-        book.sent(&service(), "letters", Some(&new()));
+        book.record_sent(&service(), "letters", Some(&new()));
         at_once += 1;
     }
     assert_eq!(at_once, 2);
@@ -347,7 +347,7 @@
 
 #[test]
 fn later_order_holds() {
-    let mut book = Book::new(Settings::default(), 1);
+    let mut book = Registry::new(Settings::default(), 1);
     assert!(book.ordered(at(0), order(12, 5)));
     assert!(!book.ordered(at(1), order(12, 5)), "the same one");
     assert!(!book.ordered(at(1), order(12, 4)), "an older one");
@@ -363,7 +363,7 @@
 /// What stands at the store is final.
 #[test]
 fn final_stays() {
-    let mut book = Book::new(Settings::default(), 1);
+    let mut book = Registry::new(Settings::default(), 1);
     book.ordered(at(0), order(12, 5));
     book.settled(at(1), &service(), Stage::Complete);
     book.settled(at(2), &service(), Stage::RolledBack);
@@ -375,9 +375,9 @@
 /// A version that never starts is given up at the limit.
 #[test]
 fn nobody_came() {
-    let mut book = Book::new(Settings::default(), 1);
+    let mut book = Registry::new(Settings::default(), 1);
     book.ordered(at(0), order(12, 5));
-    book.present(&service(), Some(&old()));
+    book.record_present(&service(), Some(&old()));
     let view = View::default();
     assert_eq!(book.advance(at(11_999), &service(), &view), None);
     let change = book.advance(at(12_000), &service(), &view).unwrap();
@@ -388,12 +388,12 @@
 /// It is complete only when each instance has moved and nothing is open at the old endpoints.
 #[test]
 fn complete_when_moved() {
-    let mut book = Book::new(Settings::default(), 1);
+    let mut book = Registry::new(Settings::default(), 1);
     book.ordered(at(0), order(12, 5));
-    book.present(&service(), Some(&old()));
+    book.record_present(&service(), Some(&old()));
     for _ in 0..100 {
         let took = Duration::from_millis(100);
-        book.answered(&service(), "letters", Some(&new()), took, false);
+        book.record_answer(&service(), "letters", Some(&new()), took, false);
     }
     let mut other = book.clone();
     let busy = View {
@@ -413,8 +413,8 @@
         None,
         "one has not moved"
     );
-    other.hear(now, 1, book.told(now));
-    book.hear(now, 7, other.told(now));
+    other.merge_statuses(now, 1, book.statuses(now));
+    book.merge_statuses(now, 7, other.statuses(now));
     let change = book.advance(now, &service(), &free).unwrap();
     assert_eq!(change.stage, Stage::Complete);
 }
@@ -422,13 +422,13 @@
 /// A target that serves already and alone is complete once it has shown itself.
 #[test]
 fn already_there() {
-    let mut book = Book::new(Settings::default(), 1);
+    let mut book = Registry::new(Settings::default(), 1);
     book.ordered(at(0), order(12, 5));
-    book.present(&service(), Some(&new()));
+    book.record_present(&service(), Some(&new()));
     assert_eq!(book.versions(&service(), "letters"), [Versions::Any]);
     for _ in 0..30 {
         let took = Duration::from_millis(100);
-        book.answered(&service(), "letters", Some(&new()), took, false);
+        book.record_answer(&service(), "letters", Some(&new()), took, false);
     }
     let change = book
         .advance(at(1_000), &service(), &View::default())
--- a/coltsfoothall/tests/forward_verdict.rs
+++ b/coltsfoothall/tests/forward_verdict.rs
@@ -46,8 +46,8 @@
         micros: 0,
     };
     let mut detector = Detector::default();
-    detector.saw(sound, baseline);
+    detector.record(sound, baseline);
     assert!(!detector.is_suspect());
-    detector.saw(bad, baseline);
+    detector.record(bad, baseline);
     assert!(detector.is_certain());
 }
