--- a/coltsfoothall-forward/src/settings.rs
+++ b/coltsfoothall-forward/src/settings.rs
@@ -117,7 +117,7 @@
             store_history: Millis(20_000),
             cloud: None,
             duties: Vec::new(),
-            read_alone: reader::ALONE,
+            read_alone: reader::MAX_DIRECT_MEMBERS,
             link: 0.0,
             bounds: Bounds::default(),
             log: Log::default(),
--- a/coltsfoothall/src/forward/reader.rs
+++ b/coltsfoothall/src/forward/reader.rs
@@ -20,17 +20,17 @@
 use crate::size::Megabits;
 
 /// Instances of a failure domain that read for it: any two may be lost or slow at once.
-pub const READERS: usize = 3;
+pub const READERS_PER_DOMAIN: usize = 3;
 /// Most members of a fleet in which each instance reads for itself.
-pub const ALONE: usize = 48;
+pub const MAX_DIRECT_MEMBERS: usize = 48;
 /// Time for which an instance whose readers failed reads for itself.
-const HOLD: Duration = Duration::from_secs(3);
+const DIRECT_PERIOD: Duration = Duration::from_secs(3);
 /// Readers asked in a row before an instance reads for itself: small machines' links do not
 /// carry the writes of thousands of endpoints.
-const TRIES: usize = 2;
+const MAX_FAILED_READERS: usize = 2;
 
 /// How the time in which a leaving endpoint must get no more work is spent on the way of the
-/// news. The last tenth is for a reading at the store after [`TRIES`] readers failed.
+/// news. The last tenth is for a reading at the store after [`MAX_FAILED_READERS`] readers failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Budget {
     /// Oldest that a reader's knowledge may be when its answer is there.
@@ -91,7 +91,7 @@
 
 impl Reading {
     /// Where this instance has registrations from, of so many members. `near` are the others of
-    /// its failure domain that are heard and ready; `alone` is [`ALONE`] unless it is set.
+    /// its failure domain that are heard and ready; `alone` is [`MAX_DIRECT_MEMBERS`] unless it is set.
     #[must_use]
     pub fn source(
         &self,
@@ -106,12 +106,12 @@
         }
         let mut near: Vec<&Candidate<'_>> = near.iter().collect();
         near.sort_unstable_by_key(|candidate| candidate.order());
-        if near.partition_point(|candidate| candidate.order() < me.order()) < READERS {
+        if near.partition_point(|candidate| candidate.order() < me.order()) < READERS_PER_DOMAIN {
             return Source::Store;
         }
         // Followers share the readers evenly, and each knows its own without asking.
         let first = xxh3_64(me.name.as_str().as_bytes()) as usize;
-        let place = first.wrapping_add(self.failed) % READERS;
+        let place = first.wrapping_add(self.failed) % READERS_PER_DOMAIN;
         Source::Reader(near[place].name.clone())
     }
 
@@ -124,9 +124,9 @@
     pub fn failed(&mut self, now: Time) {
         self.failed = self.failed.wrapping_add(1);
         self.in_a_row += 1;
-        if self.in_a_row >= TRIES {
+        if self.in_a_row >= MAX_FAILED_READERS {
             self.in_a_row = 0;
-            self.hold = Some(now + HOLD);
+            self.hold = Some(now + DIRECT_PERIOD);
         }
     }
 }
--- a/coltsfoothall/tests/forward_reader.rs
+++ b/coltsfoothall/tests/forward_reader.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::reader::{ALONE, Budget, Candidate, READERS, Reading, Source};
+use coltsfoothall::forward::reader::{MAX_DIRECT_MEMBERS, Budget, Candidate, READERS_PER_DOMAIN, Reading, Source};
 use coltsfoothall::id;
 use coltsfoothall::size::Megabits;
 use proptest::prelude::*;
@@ -50,7 +50,7 @@
         candidate(me),
         &near(fleet, me, &[]),
         fleet.len(),
-        ALONE,
+        MAX_DIRECT_MEMBERS,
     )
 }
 
@@ -77,9 +77,9 @@
                 }
             }
         }
-        assert_eq!(reads, DOMAINS * READERS, "of {count}");
+        assert_eq!(reads, DOMAINS * READERS_PER_DOMAIN, "of {count}");
         let busiest = asked.iter().map(|(_, count)| *count).max().unwrap();
-        let mean = count / DOMAINS / READERS;
+        let mean = count / DOMAINS / READERS_PER_DOMAIN;
         assert!(
             busiest <= mean * 2 + 4,
             "{busiest} of {count} ask one reader"
@@ -89,7 +89,7 @@
 
 #[test]
 fn small_fleets_read() {
-    let fleet = fleet(ALONE);
+    let fleet = fleet(MAX_DIRECT_MEMBERS);
     for me in &fleet {
         assert_eq!(
             source(&Reading::default(), at(0), &fleet, me),
@@ -156,7 +156,7 @@
             name,
             link: link(name),
         };
-        let source = Reading::default().source(at(0), me, &candidates(name), 300, ALONE);
+        let source = Reading::default().source(at(0), me, &candidates(name), 300, MAX_DIRECT_MEMBERS);
         match source {
             Source::Store => assert_eq!(me.link, Megabits(200), "{name}"),
             Source::Reader(reader) => assert_eq!(link(&reader), Megabits(200), "{reader}"),
@@ -170,18 +170,18 @@
     let fleet = fleet(195);
     let me = fleet.last().unwrap();
     let all = near(&fleet, me, &[]);
-    let lost = &all[..READERS];
-    let heir = all[READERS].name;
+    let lost = &all[..READERS_PER_DOMAIN];
+    let heir = all[READERS_PER_DOMAIN].name;
     let reading = Reading::default();
     let role = reading.source(
         at(0),
         candidate(heir),
         &near(&fleet, heir, lost),
         195,
-        ALONE,
+        MAX_DIRECT_MEMBERS,
     );
     assert_eq!(role, Source::Store);
-    let asked = reading.source(at(0), candidate(me), &near(&fleet, me, lost), 195, ALONE);
+    let asked = reading.source(at(0), candidate(me), &near(&fleet, me, lost), 195, MAX_DIRECT_MEMBERS);
     assert!(matches!(asked, Source::Reader(name) if !lost.contains(&candidate(&name))));
 }
 
@@ -192,7 +192,7 @@
     let me: id::Instance = "entry-9-001".parse().unwrap();
     let reading = Reading::default();
     assert_eq!(
-        reading.source(at(0), candidate(&me), &[], fleet.len(), ALONE),
+        reading.source(at(0), candidate(&me), &[], fleet.len(), MAX_DIRECT_MEMBERS),
         Source::Store
     );
 }
@@ -214,7 +214,7 @@
 fn longest_unknown(
     count: usize,
     drain: Duration,
-    health: &[Vec<Health>; READERS],
+    health: &[Vec<Health>; READERS_PER_DOMAIN],
     delays: &[f64],
 ) -> Duration {
     let fleet = fleet(count);
