--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -73,7 +73,7 @@
         return None;
     }
     let peers = state.peers.borrow();
-    let ahead = peers.ahead(now, state.version(), &state.domain);
+    let ahead = peers.with_newer_config(now, state.version(), &state.domain);
     ahead.into_iter().choose(&mut rand::rng()).cloned()
 }
 
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -80,7 +80,7 @@
 
 fn source(state: &State, reading: &Reading) -> Source {
     let peers = state.peers.borrow();
-    let near = peers.near(state.now(), &state.domain);
+    let near = peers.same_domain(state.now(), &state.domain);
     let near: Vec<Candidate<'_>> = near
         .iter()
         .map(|profile| Candidate {
@@ -124,7 +124,7 @@
     };
     let profile = {
         let peers = state.peers.borrow();
-        let near = peers.near(state.now(), &state.domain);
+        let near = peers.same_domain(state.now(), &state.domain);
         let found = near.into_iter().find(|peer| peer.name == had.reader);
         found.cloned()?
     };
--- a/coltsfoothall/src/forward/peer.rs
+++ b/coltsfoothall/src/forward/peer.rs
@@ -94,7 +94,7 @@
     }
 
     /// An instance was heard. Returns the boot that it replaces, if it started anew.
-    pub fn heard(&mut self, now: Time, profile: Profile) -> Option<u64> {
+    pub fn receive(&mut self, now: Time, profile: Profile) -> Option<u64> {
         if profile.name == self.me {
             return None;
         }
@@ -124,7 +124,7 @@
     }
 
     /// Another instance told of one; it is told heartbeats, and counts once it is heard.
-    pub fn introduced(&mut self, now: Time, profile: Profile) {
+    pub fn introduce(&mut self, now: Time, profile: Profile) {
         if profile.name == self.me {
             return;
         }
@@ -189,7 +189,7 @@
     /// Boots of those that are silent now, whose open requests no longer count.
     #[must_use]
     pub fn silent(&self, now: Time) -> Vec<u64> {
-        let silent = self.peers.iter().filter(|peer| !self.is_heard(now, peer));
+        let silent = self.peers.iter().filter(|peer| !self.is_alive(now, peer));
         silent.map(|peer| peer.profile.boot).collect()
     }
 
@@ -202,15 +202,15 @@
     /// Profiles that are told on to others: those heard lately.
     #[must_use]
     pub fn profiles(&self, now: Time) -> Vec<&Profile> {
-        let heard = self.peers.iter().filter(|peer| self.is_heard(now, peer));
+        let heard = self.peers.iter().filter(|peer| self.is_alive(now, peer));
         heard.map(|peer| &peer.profile).collect()
     }
 
     /// Those of a failure domain that are heard and take callers.
     #[must_use]
-    pub fn near(&self, now: Time, domain: &id::Domain) -> Vec<&Profile> {
+    pub fn same_domain(&self, now: Time, domain: &id::Domain) -> Vec<&Profile> {
         let near = self.peers.iter().filter(|peer| {
-            peer.profile.ready && peer.profile.domain == *domain && self.is_heard(now, peer)
+            peer.profile.ready && peer.profile.domain == *domain && self.is_alive(now, peer)
         });
         near.map(|peer| &peer.profile).collect()
     }
@@ -218,8 +218,8 @@
     /// The heard instances with the newest configuration above `version`: those of this failure
     /// domain where there are some, as bytes between domains are paid for.
     #[must_use]
-    pub fn ahead(&self, now: Time, version: u64, domain: &id::Domain) -> Vec<&Profile> {
-        let heard = self.peers.iter().filter(|peer| self.is_heard(now, peer));
+    pub fn with_newer_config(&self, now: Time, version: u64, domain: &id::Domain) -> Vec<&Profile> {
+        let heard = self.peers.iter().filter(|peer| self.is_alive(now, peer));
         let profiles = heard.map(|peer| &peer.profile);
         let newest = profiles.clone().map(|profile| profile.version).max();
         let Some(newest) = newest.filter(|newest| *newest > version) else {
@@ -230,13 +230,13 @@
             .collect();
         let near = ahead.iter().filter(|profile| profile.domain == *domain);
         let near: Vec<&Profile> = near.copied().collect();
-        if near.len() < ENOUGH { ahead } else { near }
+        if near.len() < MIN_LOCAL_SOURCES { ahead } else { near }
     }
 
     /// Members that share the rates, and those heard, this instance included.
     #[must_use]
     pub fn coverage(&self, now: Time) -> Coverage {
-        let heard = self.peers.iter().filter(|peer| self.is_heard(now, peer));
+        let heard = self.peers.iter().filter(|peer| self.is_alive(now, peer));
         Coverage {
             members: self.peers.len() as u32 + 1,
             heard: heard.count() as u32 + 1,
@@ -248,7 +248,7 @@
     /// Those of the caller's domain come alone where there are two or more: bytes between
     /// domains are paid for, and one alone would leave nothing to go to when it is lost.
     #[must_use]
-    pub fn fronts(
+    pub fn front_addresses(
         &self,
         now: Time,
         domain: &str,
@@ -257,7 +257,7 @@
         let ready = self
             .peers
             .iter()
-            .filter(|peer| peer.profile.ready && self.is_heard(now, peer));
+            .filter(|peer| peer.profile.ready && self.is_alive(now, peer));
         let mut all: Vec<(SocketAddr, &str)> = ready
             .map(|peer| (peer.profile.front, peer.profile.domain.as_str()))
             .collect();
@@ -265,7 +265,7 @@
         if all.is_empty() {
             // Cut off and stopping: whoever was last known is better than nobody.
             let known = self.peers.iter().map(|peer| peer.profile.front);
-            return known.take(FRONTS).collect();
+            return known.take(MAX_FRONT_ADDRESSES).collect();
         }
         let near: Vec<SocketAddr> = all
             .iter()
@@ -273,11 +273,11 @@
             .map(|(address, _)| *address)
             .collect();
         if near.len() > 1 {
-            return near.into_iter().take(FRONTS).collect();
+            return near.into_iter().take(MAX_FRONT_ADDRESSES).collect();
         }
         all.into_iter()
             .map(|(address, _)| address)
-            .take(FRONTS)
+            .take(MAX_FRONT_ADDRESSES)
             .collect()
     }
 
@@ -290,7 +290,7 @@
         let mut skews: Vec<Duration> = self
             .peers
             .iter()
-            .filter(|peer| self.is_heard(now, peer))
+            .filter(|peer| self.is_alive(now, peer))
             .map(|peer| peer.skew)
             .collect();
         skews.push(clock.saturating_sub(running));
@@ -302,12 +302,12 @@
     #[must_use]
     pub fn rank(&self, now: Time) -> usize {
         let before = self.peers.iter().filter(|peer| {
-            peer.profile.ready && self.is_heard(now, peer) && peer.profile.name < self.me
+            peer.profile.ready && self.is_alive(now, peer) && peer.profile.name < self.me
         });
         before.count()
     }
 
-    fn is_heard(&self, now: Time, peer: &Peer) -> bool {
+    fn is_alive(&self, now: Time, peer: &Peer) -> bool {
         // Three heartbeats, where the fleet is so large that they come less often.
         let turns = turn::turns(self.peers.len(), MAX_HEARTBEATS_PER_BATCH) as u32;
         let silent = self.settings.silent.max(self.settings.turn * turns * 3);
@@ -322,6 +322,6 @@
 
 /// Instances of a failure domain that have a configuration, from which on the others of the
 /// domain ask these alone.
-const ENOUGH: usize = 3;
+const MIN_LOCAL_SOURCES: usize = 3;
 /// Most addresses that one answer holds.
-const FRONTS: usize = 64;
+const MAX_FRONT_ADDRESSES: usize = 64;
--- a/coltsfoothall/tests/forward_peer.rs
+++ b/coltsfoothall/tests/forward_peer.rs
@@ -41,18 +41,18 @@
 fn near_ones_alone() {
     let mut peers = peers();
     for (last, domain) in [(2, "north"), (3, "south"), (4, "south")] {
-        peers.heard(at(0), profile(last, 1, domain));
+        peers.receive(at(0), profile(last, 1, domain));
     }
     let own = Some((front(1), "north"));
-    assert_eq!(peers.fronts(at(0), "south", own), [front(3), front(4)]);
-    assert_eq!(peers.fronts(at(0), "north", own), [front(2), front(1)]);
+    assert_eq!(peers.front_addresses(at(0), "south", own), [front(3), front(4)]);
+    assert_eq!(peers.front_addresses(at(0), "north", own), [front(2), front(1)]);
     assert_eq!(
-        peers.fronts(at(0), "west", own).len(),
+        peers.front_addresses(at(0), "west", own).len(),
         4,
         "a stranger gets all"
     );
-    peers.heard(at(1_000), profile(3, 1, "south"));
-    let all = peers.fronts(at(2_000), "south", own);
+    peers.receive(at(1_000), profile(3, 1, "south"));
+    let all = peers.front_addresses(at(2_000), "south", own);
     assert_eq!(
         all,
         [front(3), front(1)],
@@ -63,28 +63,28 @@
 #[test]
 fn never_empty() {
     let mut peers = peers();
-    peers.heard(at(0), profile(2, 1, "north"));
-    assert_eq!(peers.fronts(at(9_000), "north", None), [front(2)]);
+    peers.receive(at(0), profile(2, 1, "north"));
+    assert_eq!(peers.front_addresses(at(9_000), "north", None), [front(2)]);
 }
 
 #[test]
 fn stopping_left_out() {
     let mut peers = peers();
-    peers.heard(at(0), profile(2, 1, "north"));
-    peers.heard(at(0), profile(3, 1, "north"));
+    peers.receive(at(0), profile(2, 1, "north"));
+    peers.receive(at(0), profile(3, 1, "north"));
     let stopping = Profile {
         ready: false,
         ..profile(2, 1, "north")
     };
-    peers.heard(at(10), stopping);
-    assert_eq!(peers.fronts(at(10), "north", None), [front(3)]);
+    peers.receive(at(10), stopping);
+    assert_eq!(peers.front_addresses(at(10), "north", None), [front(3)]);
 }
 
 #[test]
 fn members_kept() {
     let mut peers = peers();
     peers.registered(profile(2, 1, "north"));
-    peers.heard(at(0), profile(3, 1, "north"));
+    peers.receive(at(0), profile(3, 1, "north"));
     let coverage = |heard| Coverage { members: 3, heard };
     assert_eq!(peers.coverage(at(0)), coverage(2));
     assert_eq!(peers.coverage(at(2_000)), coverage(1));
@@ -102,10 +102,10 @@
 #[test]
 fn restart_seen() {
     let mut peers = peers();
-    assert_eq!(peers.heard(at(0), profile(2, 1, "north")), None);
-    assert_eq!(peers.heard(at(1), profile(2, 8, "north")), Some(1));
+    assert_eq!(peers.receive(at(0), profile(2, 1, "north")), None);
+    assert_eq!(peers.receive(at(1), profile(2, 8, "north")), Some(1));
     assert_eq!(
-        peers.heard(at(2), profile(1, 8, "north")),
+        peers.receive(at(2), profile(1, 8, "north")),
         None,
         "itself is no peer"
     );
@@ -115,7 +115,7 @@
 #[test]
 fn introduced_is_no_news() {
     let mut peers = peers();
-    peers.introduced(at(0), profile(2, 1, "north"));
+    peers.introduce(at(0), profile(2, 1, "north"));
     assert_eq!(peers.addresses(), [front(2)], "it gets heartbeats");
     assert_eq!(peers.coverage(at(0)).heard, 1, "but is not heard");
     peers.expire(at(5_000));
@@ -131,7 +131,7 @@
             clock: Duration::from_secs(clock),
             ..profile(last, 1, "north")
         };
-        peers.heard(at(0), profile);
+        peers.receive(at(0), profile);
     }
     let time = peers.true_time(at(500), Duration::from_secs(9_999));
     assert_eq!(
@@ -147,8 +147,8 @@
         version: 9,
         ..profile(3, 1, "north")
     };
-    peers.heard(at(0), profile(2, 1, "north"));
-    peers.heard(at(0), newer);
+    peers.receive(at(0), profile(2, 1, "north"));
+    peers.receive(at(0), newer);
     assert_eq!(ahead(&peers, at(0), 4), [3], "the newest alone");
     assert!(ahead(&peers, at(0), 9).is_empty());
     assert!(
@@ -159,7 +159,7 @@
 
 /// Who can be asked for a newer configuration by an instance in the north.
 fn ahead(peers: &Peers, now: Time, version: u64) -> Vec<u8> {
-    let ahead = peers.ahead(now, version, &"north".parse().unwrap());
+    let ahead = peers.with_newer_config(now, version, &"north".parse().unwrap());
     let last = |profile: &Profile| match profile.front.ip() {
         IpAddr::V4(ip) => ip.octets()[3],
         IpAddr::V6(_) => 0,
@@ -173,10 +173,10 @@
     let mut peers = peers();
     for last in 2..8 {
         let domain = if last < 4 { "north" } else { "south" };
-        peers.heard(at(0), profile(last, 1, domain));
+        peers.receive(at(0), profile(last, 1, domain));
     }
     assert_eq!(ahead(&peers, at(0), 0), [2, 3, 4, 5, 6, 7], "few are near");
-    peers.heard(at(0), profile(8, 1, "north"));
+    peers.receive(at(0), profile(8, 1, "north"));
     assert_eq!(ahead(&peers, at(0), 0), [2, 3, 8], "enough are near");
 }
 
