--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -96,7 +96,7 @@
 impl Share {
     fn new(state: &Rc<State>, pick: &Pick, ask: &Query<'_>, job: &Job) -> Self {
         let now = state.now();
-        let run = state.roster.borrow_mut().began(now, pick, ask);
+        let run = state.roster.borrow_mut().begin(now, pick, ask);
         let version = pick.version.as_ref();
         let route = &job.route.name;
         state
@@ -131,14 +131,14 @@
     pub fn first(&mut self) {
         if let Some(run) = &mut self.run {
             let now = self.state.now();
-            self.state.roster.borrow_mut().first(now, run);
+            self.state.roster.borrow_mut().record_first_event(now, run);
         }
     }
 
     /// More events of the answer came.
     pub fn wrote(&self, events: u64) {
         if let Some(run) = &self.run {
-            self.state.roster.borrow_mut().wrote(run, events);
+            self.state.roster.borrow_mut().record_events(run, events);
         }
     }
 
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -80,7 +80,7 @@
             let time = state.true_time();
             state.usage.borrow().window(time)
         };
-        let placed = state.roster.borrow_mut().placed(now, span);
+        let placed = state.roster.borrow_mut().placements(now, span);
         let introduced = {
             let peers = state.peers.borrow();
             let profiles = peers.profiles(now).into_iter().cloned();
@@ -89,12 +89,12 @@
         Self {
             profile: state.profile(),
             introduced,
-            loads: state.roster.borrow().own(),
+            loads: state.roster.borrow().own_loads(),
             spent: state.allowance.borrow().granted(),
             counts: state.usage.borrow().own(window.saturating_sub(WINDOWS)),
             ended: turn::due(&state.news(), rows, round),
             work: state.roster.borrow().work().to_vec(),
-            failed: turn::due(&state.roster.borrow().failed(), rows, round),
+            failed: turn::due(&state.roster.borrow().failure_counts(), rows, round),
             placed,
             evidence: state.docket.borrow().part(now, rows, round),
             era: state.era(),
@@ -202,18 +202,18 @@
     state.hear_version(heartbeat.profile.version);
     {
         let mut peers = state.peers.borrow_mut();
-        let replaced = peers.heard(now, heartbeat.profile);
+        let replaced = peers.receive(now, heartbeat.profile);
         if let Some(old) = replaced {
             state.roster.borrow_mut().forget(old);
         }
         for profile in heartbeat.introduced {
-            peers.introduced(now, profile);
+            peers.introduce(now, profile);
         }
     }
     let mut roster = state.roster.borrow_mut();
-    let restarted = roster.hear(now, boot, &heartbeat.loads);
-    roster.hear_failures(now, boot, &heartbeat.failed);
-    roster.hear_placed(now, &heartbeat.placed);
+    let restarted = roster.merge_loads(now, boot, &heartbeat.loads);
+    roster.merge_failures(now, boot, &heartbeat.failed);
+    roster.merge_placements(now, &heartbeat.placed);
     drop(roster);
     for event in restarted {
         state.note(Some(event), Position::default(), "peer");
@@ -233,7 +233,7 @@
         .borrow_mut()
         .merge_statuses(now, boot, heartbeat.upgrades);
     for ended in &heartbeat.ended {
-        let event = state.roster.borrow_mut().ended(ended);
+        let event = state.roster.borrow_mut().merge_ended(ended);
         state.note(event, ended.position, "peer");
     }
 }
--- a/coltsfoothall-forward/src/relay.rs
+++ b/coltsfoothall-forward/src/relay.rs
@@ -120,7 +120,7 @@
             job.service,
             job.route.aim.0,
             took.as_millis(),
-            state.roster.borrow().taken(&job.service),
+            state.roster.borrow().utilization(&job.service),
         ));
     }
 }
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -206,7 +206,10 @@
         let own = state
             .is_ready()
             .then(|| (state.front(), state.domain.as_str()));
-        let fronts = state.peers.borrow().front_addresses(state.now(), &domain, own);
+        let fronts = state
+            .peers
+            .borrow()
+            .front_addresses(state.now(), &domain, own);
         if fronts.is_empty() {
             return plain(StatusCode::SERVICE_UNAVAILABLE);
         }
--- a/coltsfoothall/benches/gossip.rs
+++ b/coltsfoothall/benches/gossip.rs
@@ -96,7 +96,7 @@
         for boot in 0..instances {
             let said = said(boot, round);
             let begun = Instant::now();
-            black_box(roster.hear(Time::START, boot, &said));
+            black_box(roster.merge_loads(Time::START, boot, &said));
             took += begun.elapsed();
         }
     }
--- a/coltsfoothall/src/forward/gossip.rs
+++ b/coltsfoothall/src/forward/gossip.rs
@@ -24,7 +24,7 @@
 
 /// What another instance told that it has open.
 #[derive(Debug, Clone)]
-pub(super) struct Told {
+pub(super) struct Peer {
     pub(super) boot: u64,
     rows: Vec<Row>,
 }
@@ -54,29 +54,32 @@
 impl Roster {
     /// What this instance has open at each endpoint where that is not nothing.
     #[must_use]
-    pub fn own(&self) -> Vec<Count<Load>> {
+    pub fn own_loads(&self) -> Vec<Count<Load>> {
         let busy = self.nodes.iter().filter(|node| node.own.open > 0);
         busy.map(|node| node.count(node.own)).collect()
     }
 
     /// Another instance tells what it has open, endpoints without work left out. Of an
     /// endpoint that started again meanwhile it may be the first to tell.
-    pub fn hear(&mut self, now: Time, boot: u64, loads: &[Count<Load>]) -> Vec<Event> {
+    pub fn merge_loads(&mut self, now: Time, boot: u64, loads: &[Count<Load>]) -> Vec<Event> {
         let restarted = loads
             .iter()
-            .filter_map(|said| self.told_start(now, &said.id, said.born));
+            .filter_map(|said| self.merge_start(now, &said.id, said.born));
         let restarted = restarted.collect();
-        let _had = self.take_back(boot);
-        let rows = loads.iter().filter_map(|said| self.add(said)).collect();
-        match self.told.binary_search_by_key(&boot, |told| told.boot) {
-            Ok(place) => self.told[place].rows = rows,
-            Err(place) => self.told.insert(place, Told { boot, rows }),
+        let _had = self.subtract_loads(boot);
+        let rows = loads
+            .iter()
+            .filter_map(|said| self.add_load(said))
+            .collect();
+        match self.peers.binary_search_by_key(&boot, |peer| peer.boot) {
+            Ok(place) => self.peers[place].rows = rows,
+            Err(place) => self.peers.insert(place, Peer { boot, rows }),
         }
         restarted
     }
 
     /// Adds what another instance has open at an endpoint, unless it speaks of another start.
-    fn add(&mut self, said: &Count<Load>) -> Option<Row> {
+    fn add_load(&mut self, said: &Count<Load>) -> Option<Row> {
         let place = self.place(&said.id).ok()?;
         let node = &mut self.nodes[place];
         if said.born != node.entry.born {
@@ -91,10 +94,10 @@
     }
 
     /// Subtracts what an instance told last. Returns its place, if it told anything.
-    fn take_back(&mut self, boot: u64) -> Option<usize> {
-        let place = self.told.binary_search_by_key(&boot, |told| told.boot);
+    fn subtract_loads(&mut self, boot: u64) -> Option<usize> {
+        let place = self.peers.binary_search_by_key(&boot, |peer| peer.boot);
         let place = place.ok()?;
-        for row in std::mem::take(&mut self.told[place].rows) {
+        for row in std::mem::take(&mut self.peers[place].rows) {
             let Ok(at) = self.place(&row.endpoint) else {
                 continue;
             };
@@ -108,12 +111,12 @@
 
     /// Loads that others told and that are held here.
     #[must_use]
-    pub fn told(&self) -> usize {
-        self.told.iter().map(|told| told.rows.len()).sum()
+    pub fn peer_load_count(&self) -> usize {
+        self.peers.iter().map(|peer| peer.rows.len()).sum()
     }
 
     /// Another instance names the start of an endpoint.
-    fn told_start(&mut self, now: Time, id: &id::Endpoint, born: Millis) -> Option<Event> {
+    fn merge_start(&mut self, now: Time, id: &id::Endpoint, born: Millis) -> Option<Event> {
         let place = self.place(id).ok()?;
         let node = &mut self.nodes[place];
         if born <= node.entry.born {
@@ -124,7 +127,7 @@
     }
 
     /// Shared parts were sent to an endpoint, as far as that is news to others.
-    pub(super) fn note_placed(&mut self, now: Time, run: &Run, chains: &[u64]) {
+    pub(super) fn record_placements(&mut self, now: Time, run: &Run, chains: &[u64]) {
         let room = PLACED.saturating_sub(self.placed.len());
         for chain in chains.iter().take(room) {
             let said = Count {
@@ -137,14 +140,14 @@
     }
 
     /// Shared parts that were sent from here within `span`, for others to know.
-    pub fn placed(&mut self, now: Time, span: Duration) -> Vec<Count<u64>> {
+    pub fn placements(&mut self, now: Time, span: Duration) -> Vec<Count<u64>> {
         self.placed.retain(|placed| placed.at >= now - span);
         let said = self.placed.iter().map(|placed| placed.said.clone());
         said.collect()
     }
 
     /// Another instance tells where it sent shared parts lately.
-    pub fn hear_placed(&mut self, now: Time, placed: &[Count<u64>]) {
+    pub fn merge_placements(&mut self, now: Time, placed: &[Count<u64>]) {
         for said in placed {
             let Ok(place) = self.place(&said.id) else {
                 continue;
@@ -158,13 +161,13 @@
 
     /// Failures seen here since the boot, where there were any.
     #[must_use]
-    pub fn failed(&self) -> Vec<Count<u32>> {
+    pub fn failure_counts(&self) -> Vec<Count<u32>> {
         let failing = self.nodes.iter().filter(|node| node.failed > 0);
         failing.map(|node| node.count(node.failed)).collect()
     }
 
     /// Another instance tells of the failures that it saw since its boot.
-    pub fn hear_failures(&mut self, now: Time, boot: u64, failed: &[Count<u32>]) {
+    pub fn merge_failures(&mut self, now: Time, boot: u64, failed: &[Count<u32>]) {
         for said in failed {
             let Ok(place) = self.place(&said.id) else {
                 continue;
@@ -190,15 +193,15 @@
                 }
             };
             for _ in 0..more.min(TOLD) {
-                node.note_failure(now);
+                node.record_failure(now);
             }
         }
     }
 
     /// Another instance is gone, and its requests with it.
     pub fn forget(&mut self, boot: u64) {
-        if let Some(place) = self.take_back(boot) {
-            self.told.remove(place);
+        if let Some(place) = self.subtract_loads(boot) {
+            self.peers.remove(place);
         }
     }
 }
--- a/coltsfoothall/src/forward/node.rs
+++ b/coltsfoothall/src/forward/node.rs
@@ -207,7 +207,7 @@
         self.failures * (-age / HALF).exp2()
     }
 
-    pub(super) fn note_failure(&mut self, now: Time) {
+    pub(super) fn record_failure(&mut self, now: Time) {
         let before = self.unsound(now);
         self.failures = before + FAILURE * (1.0 - before);
         self.failures_at = now;
--- a/coltsfoothall/src/forward/peer.rs
+++ b/coltsfoothall/src/forward/peer.rs
@@ -230,7 +230,11 @@
             .collect();
         let near = ahead.iter().filter(|profile| profile.domain == *domain);
         let near: Vec<&Profile> = near.copied().collect();
-        if near.len() < MIN_LOCAL_SOURCES { ahead } else { near }
+        if near.len() < MIN_LOCAL_SOURCES {
+            ahead
+        } else {
+            near
+        }
     }
 
     /// Members that share the rates, and those heard, this instance included.
--- a/coltsfoothall/src/forward/roster.rs
+++ b/coltsfoothall/src/forward/roster.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::Time;
 use crate::forward::choice::{Pick, Query, Settings, chains, pairs};
-use crate::forward::gossip::{PLACED_AGAIN, Placed, Told};
+use crate::forward::gossip::{PLACED_AGAIN, Peer, Placed};
 use crate::forward::history::Position;
 use crate::forward::latency::{Model, Sample};
 use crate::forward::node::{Entry, Listing, Load, NEWEST, Node, Open, SLOWNESS, SUCCESS};
@@ -76,7 +76,7 @@
     /// Endpoints listed so far, restarted and returned ones anew.
     pub(super) listings: Listing,
     /// What other instances have open; sorted by boot.
-    pub(super) told: Vec<Told>,
+    pub(super) peers: Vec<Peer>,
     runs: u64,
     /// Shared parts that were sent from here lately, the oldest first, for others to know.
     pub(super) placed: Vec<Placed>,
@@ -103,7 +103,7 @@
             settings,
             nodes: Vec::new(),
             listings: Listing::default(),
-            told: Vec::new(),
+            peers: Vec::new(),
             runs: 0,
             placed: Vec::new(),
             work: Vec::new(),
@@ -128,7 +128,7 @@
         let id = entry.id.clone();
         let leaving = entry.leaving || self.is_ended(&id, entry.position);
         if leaving {
-            self.note_ended(&id, entry.position);
+            self.record_ended(&id, entry.position);
         }
         let entry = Entry { leaving, ..entry };
         match self.place(&id) {
@@ -175,7 +175,7 @@
         leaves: Option<Duration>,
     ) -> Option<Event> {
         let Some(node) = self.node(id) else {
-            self.note_ended(id, at);
+            self.record_ended(id, at);
             return None;
         };
         let entry = Entry {
@@ -188,11 +188,11 @@
     }
 
     /// Another instance says that an endpoint left or was leaving.
-    pub fn ended(&mut self, ended: &Ended) -> Option<Event> {
+    pub fn merge_ended(&mut self, ended: &Ended) -> Option<Event> {
         if self.is_ended(&ended.id, ended.position) {
             return None;
         }
-        self.note_ended(&ended.id, ended.position);
+        self.record_ended(&ended.id, ended.position);
         let place = self.place(&ended.id).ok()?;
         let node = &mut self.nodes[place];
         if node.entry.leaving || node.entry.position > ended.position {
@@ -204,7 +204,7 @@
 
     /// A registration was removed then.
     pub fn removed(&mut self, id: &id::Endpoint, at: Position) -> Option<Event> {
-        self.note_ended(id, at);
+        self.record_ended(id, at);
         let place = self.place(id).ok()?;
         if self.nodes[place].entry.position > at {
             return None;
@@ -225,7 +225,7 @@
 
     /// Share of the places of a service that are taken, over all endpoints that take work.
     #[must_use]
-    pub fn taken(&self, service: &id::Service) -> f64 {
+    pub fn utilization(&self, service: &id::Service) -> f64 {
         let nodes = self
             .nodes
             .iter()
@@ -240,7 +240,7 @@
     }
 
     /// A request goes to the picked endpoint.
-    pub fn began(&mut self, now: Time, pick: &Pick, query: &Query<'_>) -> Run {
+    pub fn begin(&mut self, now: Time, pick: &Pick, query: &Query<'_>) -> Run {
         self.runs += 1;
         let load = Load {
             open: 1,
@@ -253,7 +253,7 @@
             let work = self
                 .latency_model(query.service)
                 .prefill(load.unread, load.pairs);
-            self.note_work(query.service, work as u64);
+            self.record_work(query.service, work as u64);
         }
         let mut born = Millis(0);
         let mut placed = Vec::new();
@@ -286,12 +286,12 @@
             sample: query.memory.map(|_engine| pick.sample),
             first: false,
         };
-        self.note_placed(now, &run, &placed);
+        self.record_placements(now, &run, &placed);
         run
     }
 
     /// The first part of the answer came.
-    pub fn first(&mut self, now: Time, run: &mut Run) {
+    pub fn record_first_event(&mut self, now: Time, run: &mut Run) {
         if std::mem::replace(&mut run.first, true) {
             return;
         }
@@ -304,7 +304,7 @@
         if let Some(sample) = run.sample {
             self.latency_model_mut(&run.service).record(sample, took);
         }
-        let Some(node) = self.runs_at(run) else {
+        let Some(node) = self.endpoint_of(run) else {
             return;
         };
         run.load = run.load.minus(read);
@@ -317,10 +317,10 @@
     }
 
     /// More events of a run's answer came.
-    pub fn wrote(&mut self, run: &Run, events: u64) {
+    pub fn record_events(&mut self, run: &Run, events: u64) {
         if run.sample.is_some() {
             let work = self.latency_model(&run.service).event() * events as f64;
-            self.note_work(&run.service, work as u64);
+            self.record_work(&run.service, work as u64);
         }
     }
 
@@ -348,7 +348,7 @@
     /// A run ended at its endpoint.
     pub fn finish(&mut self, now: Time, run: &Run, end: End) {
         let avoid = self.settings.avoid;
-        let Some(node) = self.runs_at(run) else {
+        let Some(node) = self.endpoint_of(run) else {
             return;
         };
         node.own = node.own.minus(run.load);
@@ -357,7 +357,7 @@
             End::Whole => node.failures -= SUCCESS * node.failures,
             End::Failed => {
                 node.failed += 1;
-                node.note_failure(now);
+                node.record_failure(now);
             }
             End::Refused => node.full = now + avoid / 5,
             End::Unreachable => node.avoided = now + avoid,
@@ -371,7 +371,7 @@
         &self.work
     }
 
-    fn note_work(&mut self, service: &id::Service, micros: u64) {
+    fn record_work(&mut self, service: &id::Service, micros: u64) {
         match self.work.binary_search_by(|(have, _)| have.cmp(service)) {
             Ok(place) => self.work[place].1 += micros,
             Err(place) => self.work.insert(place, (service.clone(), micros)),
@@ -379,7 +379,7 @@
     }
 
     /// The endpoint of a run, unless it started again since.
-    fn runs_at(&mut self, run: &Run) -> Option<&mut Node> {
+    fn endpoint_of(&mut self, run: &Run) -> Option<&mut Node> {
         let place = self.place(&run.endpoint).ok()?;
         let node = &mut self.nodes[place];
         (node.entry.born == run.born).then_some(node)
@@ -387,7 +387,7 @@
 
     /// How much of what it is asked an endpoint is believed to fail, 0 to 1.
     #[must_use]
-    pub fn doubt(&self, now: Time, id: &id::Endpoint) -> f64 {
+    pub fn failure_rate(&self, now: Time, id: &id::Endpoint) -> f64 {
         self.node(id).map_or(0.0, |node| node.unsound(now))
     }
 
@@ -397,7 +397,7 @@
         found.is_ok_and(|place| self.ended[place].position >= at)
     }
 
-    fn note_ended(&mut self, id: &id::Endpoint, at: Position) {
+    fn record_ended(&mut self, id: &id::Endpoint, at: Position) {
         if self.ended.len() >= ENDED {
             let nodes = &self.nodes;
             self.ended
--- a/coltsfoothall/tests/forward_gossip.rs
+++ b/coltsfoothall/tests/forward_gossip.rs
@@ -67,13 +67,13 @@
     }
     for boot in 0..300 {
         let first = boot as usize * 3;
-        roster.hear(at(1), boot, &[open(first, 1, 1), open(first + 1, 1, 2)]);
+        roster.merge_loads(at(1), boot, &[open(first, 1, 1), open(first + 1, 1, 2)]);
     }
-    assert_eq!(roster.told(), 600);
+    assert_eq!(roster.peer_load_count(), 600);
     for boot in 0..300 {
         roster.forget(boot);
     }
-    assert_eq!(roster.told(), 0);
+    assert_eq!(roster.peer_load_count(), 0);
     assert!(roster.nodes().iter().all(|node| node.load().open == 0));
 }
 
@@ -119,7 +119,7 @@
                         .iter()
                         .map(|(number, count)| open(*number, born[*number], *count))
                         .collect();
-                    roster.hear(at(revision), boot, &said);
+                    roster.merge_loads(at(revision), boot, &said);
                     told[boot as usize] = [0; 4];
                     for (number, count) in loads {
                         told[boot as usize][number] = count;
--- a/coltsfoothall/tests/forward_parts.rs
+++ b/coltsfoothall/tests/forward_parts.rs
@@ -92,10 +92,11 @@
 
     fn tell(&mut self, now: u64, random: &mut Pcg64Mcg) {
         for from in 0..INSTANCES {
-            let placed = self.rosters[from].placed(at(now), Duration::from_millis(3 * HEARTBEAT));
+            let placed =
+                self.rosters[from].placements(at(now), Duration::from_millis(3 * HEARTBEAT));
             for to in (0..INSTANCES).filter(|to| *to != from) {
                 if random.random_bool(0.95) {
-                    self.rosters[to].hear_placed(at(now), &placed);
+                    self.rosters[to].merge_placements(at(now), &placed);
                 }
             }
         }
@@ -117,8 +118,8 @@
         };
         let roster = &mut self.rosters[random.random_range(0..INSTANCES)];
         let pick = roster.choose(at(now), &ask).unwrap();
-        let mut run = roster.began(at(now), &pick, &ask);
-        roster.first(at(now + 60), &mut run);
+        let mut run = roster.begin(at(now), &pick, &ask);
+        roster.record_first_event(at(now + 60), &mut run);
         roster.finish(at(now + 60), &run, End::Whole);
         let held = (pick.endpoint, mark);
         if !self.read.contains(&held) {
--- a/coltsfoothall/tests/forward_peer.rs
+++ b/coltsfoothall/tests/forward_peer.rs
@@ -44,8 +44,14 @@
         peers.receive(at(0), profile(last, 1, domain));
     }
     let own = Some((front(1), "north"));
-    assert_eq!(peers.front_addresses(at(0), "south", own), [front(3), front(4)]);
-    assert_eq!(peers.front_addresses(at(0), "north", own), [front(2), front(1)]);
+    assert_eq!(
+        peers.front_addresses(at(0), "south", own),
+        [front(3), front(4)]
+    );
+    assert_eq!(
+        peers.front_addresses(at(0), "north", own),
+        [front(2), front(1)]
+    );
     assert_eq!(
         peers.front_addresses(at(0), "west", own).len(),
         4,
--- a/coltsfoothall/tests/forward_reader.rs
+++ b/coltsfoothall/tests/forward_reader.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::reader::{MAX_DIRECT_MEMBERS, Budget, Candidate, READERS_PER_DOMAIN, Reading, Source};
+use coltsfoothall::forward::reader::{
+    Budget, Candidate, MAX_DIRECT_MEMBERS, READERS_PER_DOMAIN, Reading, Source,
+};
 use coltsfoothall::id;
 use coltsfoothall::size::Megabits;
 use proptest::prelude::*;
@@ -156,7 +158,8 @@
             name,
             link: link(name),
         };
-        let source = Reading::default().source(at(0), me, &candidates(name), 300, MAX_DIRECT_MEMBERS);
+        let source =
+            Reading::default().source(at(0), me, &candidates(name), 300, MAX_DIRECT_MEMBERS);
         match source {
             Source::Store => assert_eq!(me.link, Megabits(200), "{name}"),
             Source::Reader(reader) => assert_eq!(link(&reader), Megabits(200), "{reader}"),
@@ -181,7 +184,13 @@
         MAX_DIRECT_MEMBERS,
     );
     assert_eq!(role, Source::Store);
-    let asked = reading.source(at(0), candidate(me), &near(&fleet, me, lost), 195, MAX_DIRECT_MEMBERS);
+    let asked = reading.source(
+        at(0),
+        candidate(me),
+        &near(&fleet, me, lost),
+        195,
+        MAX_DIRECT_MEMBERS,
+    );
     assert!(matches!(asked, Source::Reader(name) if !lost.contains(&candidate(&name))));
 }
 
--- a/coltsfoothall/tests/forward_roster.rs
+++ b/coltsfoothall/tests/forward_roster.rs
@@ -129,7 +129,11 @@
         id: id("a"),
         position: place(5),
     };
-    assert_eq!(roster.ended(&ended), None, "nothing is known of it yet");
+    assert_eq!(
+        roster.merge_ended(&ended),
+        None,
+        "nothing is known of it yet"
+    );
     let event = roster.registered(at(0), entry("a", "north", 4));
     assert_eq!(event, Some(Event::Leaving(id("a"))), "older than the news");
 }
@@ -174,13 +178,13 @@
     for _ in 0..8 {
         let ask = case.ask(&[]);
         let pick = roster.choose(at(0), &ask).unwrap();
-        runs.push(roster.began(at(0), &pick, &ask));
+        runs.push(roster.begin(at(0), &pick, &ask));
     }
-    assert!(roster.own().iter().all(|said| said.value.open == 2));
+    assert!(roster.own_loads().iter().all(|said| said.value.open == 2));
     for run in &runs {
         roster.finish(at(1), run, End::Whole);
     }
-    assert!(roster.own().is_empty());
+    assert!(roster.own_loads().is_empty());
 }
 
 #[test]
@@ -193,13 +197,13 @@
         pairs: 0,
         memory: 60_000,
     };
-    let _ = roster.hear(at(0), 1, &[count(id("a"), busy)]);
+    let _ = roster.merge_loads(at(0), 1, &[count(id("a"), busy)]);
     assert_eq!(
         roster.choose(at(0), &case.ask(&[])).unwrap().endpoint,
         id("b")
     );
-    let _ = roster.hear(at(0), 2, &[count(id("b"), busy)]);
-    let _ = roster.hear(at(0), 1, &[]);
+    let _ = roster.merge_loads(at(0), 2, &[count(id("b"), busy)]);
+    let _ = roster.merge_loads(at(0), 1, &[]);
     assert_eq!(
         roster.choose(at(0), &case.ask(&[])).unwrap().endpoint,
         id("a")
@@ -216,7 +220,7 @@
     loop {
         let ask = case.ask(&[]);
         match roster.choose(at(0), &ask) {
-            Ok(pick) => runs.push(roster.began(at(0), &pick, &ask)),
+            Ok(pick) => runs.push(roster.begin(at(0), &pick, &ask)),
             Err(nobody) => {
                 assert_eq!(nobody, Unavailable::Full);
                 break;
@@ -291,7 +295,7 @@
     let mut roster = roster(&["a", "b", "c"]);
     let ask = case.ask(&[]);
     let first = roster.choose(at(0), &ask).unwrap();
-    let run = roster.began(at(0), &first, &ask);
+    let run = roster.begin(at(0), &first, &ask);
     roster.finish(at(100), &run, End::Whole);
     let again = roster.choose(at(200), &ask).unwrap();
     assert_eq!(again.endpoint, first.endpoint);
@@ -306,7 +310,7 @@
         let ask = case.ask(&[]);
         let mut pick = roster.choose(at(n), &ask).unwrap();
         pick.endpoint = id("a");
-        let run = roster.began(at(n), &pick, &ask);
+        let run = roster.begin(at(n), &pick, &ask);
         roster.finish(at(n), &run, End::Failed);
     }
     assert_eq!(
@@ -321,7 +325,7 @@
     let mut roster = roster(&["a", "b"]);
     let ask = case.ask(&[]);
     let pick = roster.choose(at(0), &ask).unwrap();
-    let _run = roster.began(at(0), &pick, &ask);
+    let _run = roster.begin(at(0), &pick, &ask);
     let busy = Load {
         open: 3,
         unread: 20_000,
@@ -333,7 +337,7 @@
     } else {
         id("a")
     };
-    let _ = roster.hear(at(0), 1, &[count(other.clone(), busy)]);
+    let _ = roster.merge_loads(at(0), 1, &[count(other.clone(), busy)]);
     assert_eq!(
         roster.choose(at(100), &ask).unwrap().endpoint,
         pick.endpoint
@@ -370,7 +374,7 @@
             match kind {
                 0 => drop(roster.registered(at(0), entry("a", "north", revision))),
                 1 => drop(roster.registered(at(0), leaving("a", revision))),
-                _ => drop(roster.ended(&Ended { id: id("a"), position: place(revision) })),
+                _ => drop(roster.merge_ended(&Ended { id: id("a"), position: place(revision) })),
             }
         }
         let works = roster.choose(at(0), &Case::new().ask(&[])).is_ok();
@@ -388,20 +392,20 @@
         let ask = case.ask(&[]);
         let mut pick = roster.choose(at(now), &ask).unwrap();
         pick.endpoint = id("a");
-        let run = roster.began(at(now), &pick, &ask);
+        let run = roster.begin(at(now), &pick, &ask);
         roster.finish(at(now), &run, End::Failed);
     };
     fail(&mut one, 0);
     fail(&mut one, 1);
-    two.hear_failures(at(2), 7, &one.failed());
+    two.merge_failures(at(2), 7, &one.failure_counts());
     assert_eq!(
         two.choose(at(2), &case.ask(&[])).unwrap().endpoint,
         id("b"),
         "before any of its own"
     );
     let before = two.clone();
-    two.hear_failures(at(3), 7, &one.failed());
-    let wait = |roster: &Roster| roster.doubt(at(3), &id("a"));
+    two.merge_failures(at(3), 7, &one.failure_counts());
+    let wait = |roster: &Roster| roster.failure_rate(at(3), &id("a"));
     assert_eq!(wait(&before), wait(&two), "the same news count once");
 }
 
@@ -413,7 +417,7 @@
         let ask = case.ask(&[]);
         let mut pick = roster.choose(at(now), &ask).unwrap();
         pick.endpoint = id("a");
-        let run = roster.began(at(now), &pick, &ask);
+        let run = roster.begin(at(now), &pick, &ask);
         roster.finish(at(now), &run, End::Failed);
     }
     let busy = Load {
@@ -422,7 +426,7 @@
         pairs: 0,
         memory: 4_000,
     };
-    let _ = roster.hear(at(0), 1, &[count(id("b"), busy)]);
+    let _ = roster.merge_loads(at(0), 1, &[count(id("b"), busy)]);
     assert_eq!(
         roster.choose(at(100), &case.ask(&[])).unwrap().endpoint,
         id("b")
@@ -455,9 +459,9 @@
     roster.registered(at(0), reborn("a", 1_000, 1));
     let ask = case.ask(&[]);
     let pick = roster.choose(at(0), &ask).unwrap();
-    let old = roster.began(at(0), &pick, &ask);
+    let old = roster.begin(at(0), &pick, &ask);
     for now in 1..6 {
-        let run = roster.began(at(now), &pick, &ask);
+        let run = roster.begin(at(now), &pick, &ask);
         roster.finish(at(now), &run, End::Failed);
     }
     let left = Entry {
@@ -467,19 +471,19 @@
     roster.registered(at(10), left);
     let event = roster.registered(at(20), reborn("a", 2_000, 3));
     assert_eq!(event, Some(Event::Restarted(id("a"))));
-    assert_eq!(roster.doubt(at(20), &id("a")), 0.0);
+    assert_eq!(roster.failure_rate(at(20), &id("a")), 0.0);
     let node = roster.node(&id("a")).unwrap();
     assert_eq!(node.load(), Load::default());
     let pick = roster.choose(at(20), &ask).unwrap();
     assert_eq!(pick.unread, Tokens(3_000), "its memory is empty");
-    let new = roster.began(at(20), &pick, &ask);
+    let new = roster.begin(at(20), &pick, &ask);
     roster.finish(at(30), &old, End::Failed);
     assert_eq!(
         roster.node(&id("a")).unwrap().load().open,
         1,
         "a run of the former life ends there"
     );
-    assert_eq!(roster.doubt(at(30), &id("a")), 0.0);
+    assert_eq!(roster.failure_rate(at(30), &id("a")), 0.0);
     roster.finish(at(40), &new, End::Whole);
     assert_eq!(
         roster.registered(at(50), reborn("a", 1_000, 9)),
@@ -506,13 +510,13 @@
         born: Millis(born),
         value,
     };
-    assert_eq!(roster.hear(at(1), 7, &[said(500)]), []);
+    assert_eq!(roster.merge_loads(at(1), 7, &[said(500)]), []);
     assert_eq!(roster.node(&id("a")).unwrap().load().open, 0);
-    let told = roster.hear(at(2), 8, &[said(2_000)]);
+    let told = roster.merge_loads(at(2), 8, &[said(2_000)]);
     assert_eq!(told, [Event::Restarted(id("a"))]);
     let node = roster.node(&id("a")).unwrap();
     assert_eq!((node.load().open, node.entry.leaving), (1, false));
-    assert_eq!(roster.hear(at(3), 9, &[said(1_000)]), []);
+    assert_eq!(roster.merge_loads(at(3), 9, &[said(1_000)]), []);
     assert_eq!(roster.node(&id("a")).unwrap().load().open, 1);
 }
 
@@ -536,20 +540,20 @@
                 1 => drop(roster.registered(at(0), Entry { leaving: true, ..reborn("a", 1_000, 2) })),
                 2 => drop(roster.removed(&id("a"), place(3))),
                 3 => drop(roster.registered(at(0), reborn("a", 2_000, 4))),
-                4 => drop(roster.hear(at(0), 7, &[said(1_000, 5)])),
-                5 => drop(roster.hear(at(0), 8, &[said(2_000, 2)])),
-                6 => roster.hear_failures(at(0), 7, &[failed(1_000)]),
-                _ => drop(roster.ended(&Ended { id: id("a"), position: place(2) })),
+                4 => drop(roster.merge_loads(at(0), 7, &[said(1_000, 5)])),
+                5 => drop(roster.merge_loads(at(0), 8, &[said(2_000, 2)])),
+                6 => roster.merge_failures(at(0), 7, &[failed(1_000)]),
+                _ => drop(roster.merge_ended(&Ended { id: id("a"), position: place(2) })),
             }
         }
         // Heartbeats hold all that their sender says, and the next one follows soon.
-        drop(roster.hear(at(1), 7, &[said(1_000, 5)]));
-        drop(roster.hear(at(1), 8, &[said(2_000, 2)]));
+        drop(roster.merge_loads(at(1), 7, &[said(1_000, 5)]));
+        drop(roster.merge_loads(at(1), 8, &[said(2_000, 2)]));
         let node = roster.node(&id("a")).unwrap();
         prop_assert_eq!(node.entry.born, Millis(2_000));
         prop_assert_eq!(node.load().open, 2);
         prop_assert!(!node.entry.leaving);
-        prop_assert_eq!(roster.doubt(at(1), &id("a")), 0.0);
+        prop_assert_eq!(roster.failure_rate(at(1), &id("a")), 0.0);
     }
 }
 
@@ -569,7 +573,7 @@
         id: id("a"),
         position: place(95),
     };
-    assert_eq!(roster.ended(&ended), Some(Event::Leaving(id("a"))));
+    assert_eq!(roster.merge_ended(&ended), Some(Event::Leaving(id("a"))));
     assert_eq!(
         roster.registered(at(1), again(0, 40)),
         None,
