--- a/coltsfoothall/src/forward/duration.rs
+++ b/coltsfoothall/src/forward/duration.rs
@@ -22,15 +22,15 @@
 
 /// The answers of all routes.
 #[derive(Debug, Clone, Default)]
-pub struct Table {
+pub struct History {
     /// Sorted by route.
     rows: Vec<Row>,
 }
 
-impl Table {
+impl History {
     /// A request on a route took this time until its answer was whole, or was given up after
     /// it.
-    pub fn saw(&mut self, route: &str, took: Duration) {
+    pub fn record(&mut self, route: &str, took: Duration) {
         let place = match self.place(route) {
             Ok(place) => place,
             Err(_) if self.rows.len() >= MOST => return,
--- a/coltsfoothall/tests/forward_stop.rs
+++ b/coltsfoothall/tests/forward_stop.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::duration::Table;
+use coltsfoothall::forward::duration::History;
 use coltsfoothall::forward::stop::{Need, Stop};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -47,13 +47,13 @@
 
 /// What drafts need after 64 of them were seen.
 fn need(random: &mut Pcg64Mcg, elsewhere: bool) -> Need {
-    let mut table = Table::default();
+    let mut history = History::default();
     for _ in 0..64 {
-        table.saw("draft", draft(random));
+        history.record("draft", draft(random));
     }
     Need {
         limit: LIMIT,
-        longest: table.longest("draft"),
+        longest: history.longest("draft"),
         elsewhere,
     }
 }
@@ -100,41 +100,41 @@
 /// One answer in twenty is long: short ones do not make it forgotten.
 #[test]
 fn rare_long_ones() {
-    let mut table = Table::default();
+    let mut history = History::default();
     for n in 0..640 {
         let took = if n % 20 == 0 { SECOND * 5 } else { SECOND / 10 };
-        table.saw("r", took);
-        assert!(table.longest("r") >= Some(SECOND * 5), "after {n}");
+        history.record("r", took);
+        assert!(history.longest("r") >= Some(SECOND * 5), "after {n}");
     }
 }
 
 #[test]
 fn unknown_route() {
-    let mut table = Table::default();
-    table.saw("b", SECOND);
-    assert_eq!(table.longest("a"), None, "each route has its own");
+    let mut history = History::default();
+    history.record("b", SECOND);
+    assert_eq!(history.longest("a"), None, "each route has its own");
     let need = Need {
         limit: LIMIT,
-        longest: table.longest("a"),
+        longest: history.longest("a"),
         elsewhere: false,
     };
     assert_eq!(need.time(), LIMIT);
     for n in 0..5_000 {
-        table.saw(&format!("route {n}"), SECOND);
+        history.record(&format!("route {n}"), SECOND);
     }
-    assert_eq!(table.longest("route 4999"), None, "memory is bounded");
-    assert!(table.longest("b").is_some());
+    assert_eq!(history.longest("route 4999"), None, "memory is bounded");
+    assert!(history.longest("b").is_some());
 }
 
 proptest! {
     /// The longest expected time is that of the last answers.
     #[test]
     fn any_answers(seen in prop::collection::vec(any::<u32>(), 1..300)) {
-        let mut table = Table::default();
+        let mut history = History::default();
         for millis in &seen {
-            table.saw("r", Duration::from_millis(u64::from(*millis)));
+            history.record("r", Duration::from_millis(u64::from(*millis)));
         }
-        let longest = table.longest("r").expect("answers were seen");
+        let longest = history.longest("r").expect("answers were seen");
         let last = seen.iter().rev().take(64).max().expect("one at least");
         let last = Duration::from_millis(u64::from(*last));
         prop_assert_eq!(longest, last);
