--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -247,7 +247,10 @@
     route: &Route,
     call: &Call,
 ) -> Result<(Option<id::Workspace>, u8), Refusal> {
-    let holder = call.key.as_deref().and_then(|key| table.holder(key));
+    let holder = call
+        .key
+        .as_deref()
+        .and_then(|key| table.workspace_by_key(key));
     match holder {
         Some(workspace) => {
             let rank = workspace.rank.unwrap_or(route.rank);
--- a/coltsfoothall/src/forward/config.rs
+++ b/coltsfoothall/src/forward/config.rs
@@ -260,7 +260,7 @@
 
     /// The workspace that holds a key.
     #[must_use]
-    pub fn holder(&self, key: &str) -> Option<&Workspace> {
+    pub fn workspace_by_key(&self, key: &str) -> Option<&Workspace> {
         let found = self
             .keys
             .binary_search_by(|have| have.text.as_str().cmp(key));
--- a/coltsfoothall/tests/forward_config.rs
+++ b/coltsfoothall/tests/forward_config.rs
@@ -88,7 +88,11 @@
         workspace("alpha", &["k2"]),
     ];
     let table = Config::new(1, Limits::default(), Vec::new(), Vec::new(), workspaces);
-    let name = |key: &str| table.holder(key).map(|have| have.name.to_string());
+    let name = |key: &str| {
+        table
+            .workspace_by_key(key)
+            .map(|have| have.name.to_string())
+    };
     assert_eq!(name("k1"), Some("zeta".into()));
     assert_eq!(name("k2"), Some("alpha".into()));
     assert_eq!(name("k"), None);
