--- a/coltsfoothall-forward/src/adoption.rs
+++ b/coltsfoothall-forward/src/adoption.rs
@@ -82,7 +82,11 @@
             packed: Rc::default(),
             table: Rc::new(table),
         });
-        let behind = self.adoption.lag.borrow_mut().reach(self.now(), version);
+        let behind = self
+            .adoption
+            .lag
+            .borrow_mut()
+            .record_applied(self.now(), version);
         event::ADOPTED.emit(format_args!(
             "version={version} had={had} source={source} bytes={bytes} behind_ms={}",
             behind.unwrap_or_default().as_millis()
@@ -101,7 +105,10 @@
     /// Another instance has this configuration in force.
     pub fn hear_version(&self, version: u64) {
         if version > self.version() {
-            self.adoption.lag.borrow_mut().hear(self.now(), version);
+            self.adoption
+                .lag
+                .borrow_mut()
+                .record_known(self.now(), version);
         }
     }
 }
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -37,7 +37,7 @@
             continue;
         }
         if let Some(version) = take(&state, &listing) {
-            backlog.brought(version);
+            backlog.record_delivered(version);
         }
         upgrades::take(&state, &listing, whole).await;
         // Changes come in groups; one call brings them all.
@@ -69,7 +69,7 @@
 fn source(state: &State) -> Option<Profile> {
     let now = state.now();
     let waits = state.version() > 0 && !state.adoption.store_lost.get();
-    if !state.adoption.lag.borrow().asks_peer(now, waits) {
+    if !state.adoption.lag.borrow().should_ask_peer(now, waits) {
         return None;
     }
     let peers = state.peers.borrow();
@@ -129,7 +129,7 @@
 }
 
 fn report_lag(state: &State) {
-    let overdue = state.adoption.lag.borrow_mut().overdue(state.now());
+    let overdue = state.adoption.lag.borrow_mut().take_overdue(state.now());
     if let Some((newest, age)) = overdue {
         event::BEHIND.emit(format_args!(
             "version={} newest={newest} behind_ms={} store_lost={}",
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -99,7 +99,7 @@
     /// Rates of workspaces.
     pub allowance: RefCell<rate_limit::Limiter>,
     /// How long answers take.
-    pub durations: RefCell<duration::Table>,
+    pub durations: RefCell<duration::History>,
     /// Services that move to another version.
     pub upgrades: RefCell<upgrade::Registry>,
     /// Requests that began to run.
@@ -370,7 +370,7 @@
     /// A request on a route took this time until its answer was whole or given up.
     pub fn note_duration(&self, route: &Route, begun: Time) {
         let took = self.now().since(begun);
-        self.durations.borrow_mut().saw(&route.name, took);
+        self.durations.borrow_mut().record(&route.name, took);
     }
 
     /// Acts on a change in the list of endpoints.
@@ -471,7 +471,7 @@
             return;
         };
         event::STORE_ERA.emit(format_args!("from={known} to={era}"));
-        self.leader.borrow_mut().rose(era);
+        self.leader.borrow_mut().record_era(era);
         self.store_returned();
         self.risen.notify_waiters();
     }
--- a/coltsfoothall/src/forward/history.rs
+++ b/coltsfoothall/src/forward/history.rs
@@ -142,7 +142,7 @@
 
     /// An answer names its era, or none. Returns the era that it is from: without a name the
     /// newest that is known.
-    pub fn saw(&mut self, named: Option<Era>) -> Era {
+    pub fn record(&mut self, named: Option<Era>) -> Era {
         let era = named.or(self.newest).unwrap_or_default();
         if self.newest.is_none_or(|known| known < era) {
             *self = Self {
--- a/coltsfoothall/src/forward/lag.rs
+++ b/coltsfoothall/src/forward/lag.rs
@@ -30,7 +30,7 @@
 
 impl Lag {
     /// Another instance has a version in force that is newer than the one here.
-    pub fn hear(&mut self, now: Time, version: u64) {
+    pub fn record_known(&mut self, now: Time, version: u64) {
         let full = self.heard.len() == REMEMBERED;
         match self.heard.last_mut() {
             Some(last) if last.version >= version => {}
@@ -40,7 +40,7 @@
     }
 
     /// A version is in force. Returns how long it, or one before it, had been known to exist.
-    pub fn reach(&mut self, now: Time, version: u64) -> Option<Duration> {
+    pub fn record_applied(&mut self, now: Time, version: u64) -> Option<Duration> {
         let known = self.heard.partition_point(|heard| heard.version <= version);
         let first = self.heard.drain(..known).next()?;
         self.reported &= !self.heard.is_empty();
@@ -56,7 +56,7 @@
     /// Whether to ask a peer for the newest configuration. `waits` if there is one in force and the
     /// store answered the last call for it.
     #[must_use]
-    pub fn asks_peer(&self, now: Time, waits: bool) -> bool {
+    pub fn should_ask_peer(&self, now: Time, waits: bool) -> bool {
         let patience = if waits { PATIENCE } else { Duration::ZERO };
         self.age(now).is_some_and(|age| age >= patience)
     }
@@ -69,7 +69,7 @@
 
     /// The newest version known to exist, and the age of the lag, once it is overdue; told once
     /// until the instance has caught up.
-    pub fn overdue(&mut self, now: Time) -> Option<(u64, Duration)> {
+    pub fn take_overdue(&mut self, now: Time) -> Option<(u64, Duration)> {
         let age = self.age(now).filter(|age| *age > OVERDUE)?;
         let newest = self.newest()?;
         let first = !std::mem::replace(&mut self.reported, true);
@@ -91,7 +91,7 @@
 
 impl Backlog {
     /// The store brought a version.
-    pub fn brought(&mut self, version: u64) {
+    pub fn record_delivered(&mut self, version: u64) {
         self.brought = self.brought.max(version);
     }
 
--- a/coltsfoothall/src/forward/leader.rs
+++ b/coltsfoothall/src/forward/leader.rs
@@ -100,7 +100,7 @@
 
     /// The store came back from a copy. A lease of an earlier one may have gone with what was
     /// written since; its holder acts no more until it has claimed again.
-    pub fn rose(&mut self, era: Era) {
+    pub fn record_era(&mut self, era: Era) {
         if self.held.is_some_and(|held| held.lease.era < era) {
             self.held = None;
         }
--- a/coltsfoothall/tests/forward_history.rs
+++ b/coltsfoothall/tests/forward_history.rs
@@ -53,14 +53,18 @@
 #[test]
 fn copy_dated_before() {
     let mut eras = Eras::default();
-    let first = eras.saw(Some(Era(3)));
+    let first = eras.record(Some(Era(3)));
     assert_eq!(eras.at(first, 90).revision, 90);
     assert_eq!(eras.written(first, 20).era, Era(3), "no return was seen");
-    let next = eras.saw(Some(Era(4)));
+    let next = eras.record(Some(Era(4)));
     assert!(eras.at(next, 40) > eras.at(first, 90));
     assert_eq!(eras.written(next, 40).era, Era(3));
     assert_eq!(eras.written(next, 41).era, Era(4));
-    assert_eq!(eras.saw(None), Era(4), "the newest, if none is named");
-    assert_eq!(eras.saw(Some(Era(3))), Era(3), "an answer that comes late");
+    assert_eq!(eras.record(None), Era(4), "the newest, if none is named");
+    assert_eq!(
+        eras.record(Some(Era(3))),
+        Era(3),
+        "an answer that comes late"
+    );
     assert_eq!(eras.newest(), Some(Era(4)));
 }
--- a/coltsfoothall/tests/forward_lag.rs
+++ b/coltsfoothall/tests/forward_lag.rs
@@ -17,53 +17,57 @@
 fn oldest_counts() {
     let mut lag = Lag::default();
     assert_eq!(lag.age(at(0)), None);
-    lag.hear(at(100), 5);
-    lag.hear(at(300), 7);
-    lag.hear(at(400), 5);
+    lag.record_known(at(100), 5);
+    lag.record_known(at(300), 7);
+    lag.record_known(at(400), 5);
     assert_eq!(lag.age(at(1_000)), millis(900), "since version 5");
-    assert_eq!(lag.reach(at(1_000), 5), millis(900));
+    assert_eq!(lag.record_applied(at(1_000), 5), millis(900));
     assert_eq!(
         lag.age(at(1_000)),
         millis(700),
         "version 7 is still missing"
     );
-    assert_eq!(lag.reach(at(1_100), 9), millis(800), "a later one holds it");
+    assert_eq!(
+        lag.record_applied(at(1_100), 9),
+        millis(800),
+        "a later one holds it"
+    );
     assert_eq!(lag.age(at(1_100)), None);
 }
 
 #[test]
 fn overdue_once() {
     let mut lag = Lag::default();
-    lag.hear(at(0), 5);
-    lag.hear(at(500), 6);
-    assert_eq!(lag.overdue(at(1_900)), None);
+    lag.record_known(at(0), 5);
+    lag.record_known(at(500), 6);
+    assert_eq!(lag.take_overdue(at(1_900)), None);
     assert_eq!(
-        lag.overdue(at(2_100)),
+        lag.take_overdue(at(2_100)),
         Some((6, Duration::from_millis(2_100)))
     );
-    assert_eq!(lag.overdue(at(3_000)), None, "told before");
-    lag.reach(at(3_000), 6);
-    lag.hear(at(4_000), 8);
-    assert!(lag.overdue(at(7_000)).is_some(), "another lag");
+    assert_eq!(lag.take_overdue(at(3_000)), None, "told before");
+    lag.record_applied(at(3_000), 6);
+    lag.record_known(at(4_000), 8);
+    assert!(lag.take_overdue(at(7_000)).is_some(), "another lag");
 }
 
 #[test]
 fn versions_bounded() {
     let mut lag = Lag::default();
     for version in 1..=1_000 {
-        lag.hear(at(version), version);
+        lag.record_known(at(version), version);
     }
     assert_eq!(lag.age(at(2_000)), millis(1_999));
-    lag.reach(at(2_000), 999);
+    lag.record_applied(at(2_000), 999);
     assert!(lag.age(at(2_000)).is_some(), "the newest is remembered");
-    lag.reach(at(2_000), 1_000);
+    lag.record_applied(at(2_000), 1_000);
     assert_eq!(lag.age(at(2_000)), None);
 }
 
 #[test]
 fn backlog_once() {
     let mut backlog = Backlog::default();
-    backlog.brought(5);
+    backlog.record_delivered(5);
     assert!(!backlog.grew(5), "nothing is known that was not brought");
     assert!(backlog.grew(8), "history would bring all between");
     assert!(
@@ -71,7 +75,7 @@
         "the store may not have it, as after a copy"
     );
     assert!(backlog.grew(9));
-    backlog.brought(12);
+    backlog.record_delivered(12);
     assert!(!backlog.grew(12));
 }
 
@@ -79,9 +83,12 @@
 #[test]
 fn store_first() {
     let mut lag = Lag::default();
-    assert!(!lag.asks_peer(at(0), false), "nothing is missing");
-    lag.hear(at(100), 5);
-    assert!(!lag.asks_peer(at(200), true), "the store brings it");
-    assert!(lag.asks_peer(at(200), false), "the store does not answer");
-    assert!(lag.asks_peer(at(1_200), true), "nor did it in time");
+    assert!(!lag.should_ask_peer(at(0), false), "nothing is missing");
+    lag.record_known(at(100), 5);
+    assert!(!lag.should_ask_peer(at(200), true), "the store brings it");
+    assert!(
+        lag.should_ask_peer(at(200), false),
+        "the store does not answer"
+    );
+    assert!(lag.should_ask_peer(at(1_200), true), "nor did it in time");
 }
--- a/coltsfoothall/tests/forward_leader.rs
+++ b/coltsfoothall/tests/forward_leader.rs
@@ -101,9 +101,9 @@
 fn claims_anew() {
     let mut leader = Leader::new(TERM);
     leader.claimed(at(0), lease(7), place(900));
-    leader.rose(Era(1));
+    leader.record_era(Era(1));
     assert_eq!(leader.fence(at(100)), Some(Fence::from(place(900))));
-    leader.rose(Era(2));
+    leader.record_era(Era(2));
     assert_eq!(leader.fence(at(100)), None, "not before a new claim");
     leader.renewed(at(100), lease(7));
     assert_eq!(leader.fence(at(200)), None, "a late answer renews nothing");
@@ -127,6 +127,6 @@
         revision: 3,
     };
     leader.claimed(at(0), lease(7), created);
-    leader.rose(Era(2));
+    leader.record_era(Era(2));
     assert_eq!(leader.fence(at(1)), None);
 }
