--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -96,13 +96,13 @@
 impl Share {
     fn new(state: &Rc<State>, pick: &Pick, ask: &Query<'_>, job: &Job) -> Self {
         let now = state.now();
-        let run = state.roster.borrow_mut().began(now, pick, ask);
+        let run = state.roster.borrow_mut().begin(now, pick, ask);
         let version = pick.version.as_ref();
         let route = &job.route.name;
         state
             .upgrades
             .borrow_mut()
-            .sent(&job.service, route, version);
+            .record_sent(&job.service, route, version);
         Self {
             state: Rc::clone(state),
             run: Some(run),
@@ -123,7 +123,7 @@
             let took = self.state.now().since(self.began);
             let (route, version) = (&self.route.name, self.version.as_ref());
             let mut upgrades = self.state.upgrades.borrow_mut();
-            upgrades.answered(&self.service, route, version, took, failed);
+            upgrades.record_answer(&self.service, route, version, took, failed);
         }
     }
 
@@ -131,14 +131,14 @@
     pub fn record_first_event(&mut self) {
         if let Some(run) = &mut self.run {
             let now = self.state.now();
-            self.state.roster.borrow_mut().first(now, run);
+            self.state.roster.borrow_mut().record_first_event(now, run);
         }
     }
 
     /// More events of the answer came.
     pub fn record_events(&self, events: u64) {
         if let Some(run) = &self.run {
-            self.state.roster.borrow_mut().wrote(run, events);
+            self.state.roster.borrow_mut().record_events(run, events);
         }
     }
 
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -14,7 +14,7 @@
 use coltsfoothall::forward::peer::{MAX_HEARTBEATS_PER_BATCH, Profile};
 use coltsfoothall::forward::rate_limit::Granted;
 use coltsfoothall::forward::roster::Ended;
-use coltsfoothall::forward::upgrade::Told;
+use coltsfoothall::forward::upgrade::Status;
 use coltsfoothall::forward::usage::Count;
 use coltsfoothall::id;
 use coltsfoothall::suspicion::Evidence;
@@ -66,7 +66,7 @@
     reported: Option<u64>,
     /// Services that move to another version.
     #[serde(default)]
-    upgrades: Vec<Told>,
+    upgrades: Vec<Status>,
 }
 
 impl Heartbeat {
@@ -80,7 +80,7 @@
             let time = state.true_time();
             state.usage.borrow().window(time)
         };
-        let placed = state.roster.borrow_mut().placed(now, span);
+        let placed = state.roster.borrow_mut().placements(now, span);
         let introduced = {
             let peers = state.peers.borrow();
             let profiles = peers.profiles(now).into_iter().cloned();
@@ -89,7 +89,7 @@
         Self {
             profile: state.profile(),
             introduced,
-            loads: state.roster.borrow().own(),
+            loads: state.roster.borrow().own_loads(),
             spent: state.rate_limiter.borrow().granted(),
             counts: state
                 .usage
@@ -97,12 +97,12 @@
                 .own(window.saturating_sub(REPORTED_WINDOWS)),
             ended: batch::select(&state.departures(), rows, round),
             work: state.roster.borrow().work().to_vec(),
-            failed: batch::select(&state.roster.borrow().failed(), rows, round),
+            failed: batch::select(&state.roster.borrow().failure_counts(), rows, round),
             placed,
             evidence: state.suspicions.borrow().evidence_batch(now, rows, round),
             era: state.era(),
             reported: state.reported(),
-            upgrades: state.upgrades.borrow().told(now),
+            upgrades: state.upgrades.borrow().statuses(now),
         }
     }
 }
@@ -205,18 +205,18 @@
     state.record_version(heartbeat.profile.version);
     {
         let mut peers = state.peers.borrow_mut();
-        let replaced = peers.heard(now, heartbeat.profile);
+        let replaced = peers.receive(now, heartbeat.profile);
         if let Some(old) = replaced {
             state.roster.borrow_mut().forget(old);
         }
         for profile in heartbeat.introduced {
-            peers.introduced(now, profile);
+            peers.introduce(now, profile);
         }
     }
     let mut roster = state.roster.borrow_mut();
-    let restarted = roster.hear(now, boot, &heartbeat.loads);
-    roster.hear_failures(now, boot, &heartbeat.failed);
-    roster.hear_placed(now, &heartbeat.placed);
+    let restarted = roster.merge_loads(now, boot, &heartbeat.loads);
+    roster.merge_failures(now, boot, &heartbeat.failed);
+    roster.merge_placements(now, &heartbeat.placed);
     drop(roster);
     for event in restarted {
         state.apply_event(Some(event), Position::default(), "peer");
@@ -229,14 +229,17 @@
         .rate_limiter
         .borrow_mut()
         .merge_granted(boot, &heartbeat.spent);
-    state.usage.borrow_mut().hear(boot, &heartbeat.counts);
+    state
+        .usage
+        .borrow_mut()
+        .merge_counts(boot, &heartbeat.counts);
     state.merge_work(boot, &heartbeat.work);
     state
         .upgrades
         .borrow_mut()
-        .hear(now, boot, heartbeat.upgrades);
+        .merge_statuses(now, boot, heartbeat.upgrades);
     for ended in &heartbeat.ended {
-        let event = state.roster.borrow_mut().ended(ended);
+        let event = state.roster.borrow_mut().merge_ended(ended);
         state.apply_event(event, ended.position, "peer");
     }
 }
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -80,7 +80,7 @@
 
 fn source(state: &State, reading: &Reading) -> Source {
     let peers = state.peers.borrow();
-    let local = peers.near(state.now(), &state.domain);
+    let local = peers.same_domain(state.now(), &state.domain);
     let local: Vec<Candidate<'_>> = local
         .iter()
         .map(|profile| Candidate {
@@ -124,7 +124,7 @@
     };
     let profile = {
         let peers = state.peers.borrow();
-        let local = peers.near(state.now(), &state.domain);
+        let local = peers.same_domain(state.now(), &state.domain);
         let found = local.into_iter().find(|peer| peer.name == had.reader);
         found.cloned()?
     };
@@ -270,7 +270,7 @@
             state
                 .upgrades
                 .borrow_mut()
-                .present(&entry.service, entry.version.as_ref());
+                .record_present(&entry.service, entry.version.as_ref());
             state.changelog.borrow_mut().put(item, &entry);
             Some(entry)
         }
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -99,11 +99,11 @@
     /// Rates of workspaces.
     pub rate_limiter: RefCell<rate_limit::Limiter>,
     /// How long answers take.
-    pub durations: RefCell<duration::Table>,
+    pub durations: RefCell<duration::History>,
     /// Services that move to another version.
-    pub upgrades: RefCell<upgrade::Book>,
+    pub upgrades: RefCell<upgrade::Registry>,
     /// Requests that began to run.
-    pub usage: RefCell<usage::Book>,
+    pub usage: RefCell<usage::Counter>,
     /// Other instances.
     pub peers: RefCell<Peers>,
     /// The election of who acts for all.
@@ -163,8 +163,8 @@
             roster: RefCell::new(Roster::new(choice::Settings::default())),
             pool: RefCell::default(),
             rate_limiter: RefCell::default(),
-            upgrades: RefCell::new(upgrade::Book::new(upgrade::Settings::default(), boot)),
-            usage: RefCell::new(usage::Book::new(
+            upgrades: RefCell::new(upgrade::Registry::new(upgrade::Settings::default(), boot)),
+            usage: RefCell::new(usage::Counter::new(
                 boot,
                 settings.bounds.usage_window.duration(),
             )),
@@ -285,7 +285,7 @@
         let time = self.true_time();
         let mut usage = self.usage.borrow_mut();
         let window = usage.window(time);
-        usage.began(window, workspace);
+        usage.record_start(window, workspace);
     }
 
     /// A run ended. One that broke off is evidence if its endpoint turns out to be gone; a
@@ -372,7 +372,7 @@
     /// A request on a route took this time until its answer was whole or given up.
     pub fn record_duration(&self, route: &Route, begun: Time) {
         let took = self.now().since(begun);
-        self.durations.borrow_mut().saw(&route.name, took);
+        self.durations.borrow_mut().record(&route.name, took);
     }
 
     /// Acts on a change in the list of endpoints.
@@ -479,7 +479,7 @@
             return;
         };
         event::STORE_ERA.emit(format_args!("from={known} to={era}"));
-        self.leader.borrow_mut().rose(era);
+        self.leader.borrow_mut().record_era(era);
         self.store_returned();
         self.era_changed.notify_waiters();
     }
