--- a/coltsfoothall-entry/src/endpoint.rs
+++ b/coltsfoothall-entry/src/endpoint.rs
@@ -62,7 +62,7 @@
 pub struct Remote {
     client: Client,
     /// Timeout of a response head, of each part of a stream, and of the body of an answer.
-    silence: Duration,
+    read_timeout: Duration,
 }
 
 /// How an attempt ended.
@@ -81,10 +81,13 @@
 }
 
 impl Remote {
-    /// Creates a runner. An endpoint may send nothing for at most `silence`.
+    /// Creates a runner with the timeout of each wait for an endpoint.
     #[must_use]
-    pub fn new(client: Client, silence: Duration) -> Self {
-        Self { client, silence }
+    pub fn new(client: Client, read_timeout: Duration) -> Self {
+        Self {
+            client,
+            read_timeout,
+        }
     }
 
     async fn attempt(&self, job: &Job, inputs: &Sender<Input>) -> Ended {
@@ -100,7 +103,11 @@
         let Some(request) = request else {
             return Ended::Unsent;
         };
-        match self.client.send("attempt", request, self.silence).await {
+        match self
+            .client
+            .send("attempt", request, self.read_timeout)
+            .await
+        {
             Err(Error::Connect(..)) => Ended::Unsent,
             Err(error) => log_broke(job, &error.to_string()),
             Ok(answer) => match &job.intake.work {
@@ -132,7 +139,7 @@
             if events.overflown() {
                 return log_broke(job, "an event exceeds the size limit");
             }
-            match timeout(self.silence, body.frame()).await {
+            match timeout(self.read_timeout, body.frame()).await {
                 Ok(Some(Ok(frame))) => {
                     if let Some(bytes) = frame.data_ref() {
                         events.push(bytes);
@@ -153,7 +160,7 @@
         let status = answer.status().as_u16();
         let headers = forwarded_headers(answer.headers());
         let body = http::read(answer.into_body(), limit::ANSWER);
-        let body = match timeout(self.silence, body).await {
+        let body = match timeout(self.read_timeout, body).await {
             Ok(Ok(body)) => body,
             Ok(Err(error)) => return log_broke(job, &error.to_string()),
             Err(_elapsed) => return log_broke(job, "no data within the time limit"),
@@ -188,7 +195,7 @@
                 Ended::Broke | Ended::Abandoned => return ended,
             };
             // A request that has ended meanwhile needs no input.
-            let _heard = inputs.send(input).await;
+            let _ended = inputs.send(input).await;
             ended
         })
     }
@@ -205,7 +212,7 @@
                 CANCEL_TIMEOUT,
             );
             // The attempt's answer is discarded whether or not the engine receives this.
-            let _courtesy = call.await;
+            let _ignored = call.await;
         })
     }
 }
@@ -302,7 +309,7 @@
     }
 }
 
-/// Logs why an attempt broke.
+/// Logs why an attempt broke, and returns this end.
 fn log_broke(job: &Job, reason: &str) -> Ended {
     event::BROKE_OFF.emit(format_args!(
         "request={} attempt={} address={} reason={reason:?}",
--- a/coltsfoothall-entry/src/front.rs
+++ b/coltsfoothall-entry/src/front.rs
@@ -77,8 +77,8 @@
 
 fn addresses(node: &Node) -> Result<Response<Body>, Fault> {
     let view = node.view();
-    let none = || retry_later(Code::Unavailable, "no address is known yet");
-    let addresses = view.addresses.as_ref().ok_or_else(none)?;
+    let unknown = || retry_later(Code::Unavailable, "no address is known yet");
+    let addresses = view.addresses.as_ref().ok_or_else(unknown)?;
     Ok(serve::json(200, addresses))
 }
 
