--- a/coltsfoothall-entry/src/death.rs
+++ b/coltsfoothall-entry/src/death.rs
@@ -9,9 +9,9 @@
 //! Until then a request that ran there is started nowhere else.
 
 use coltsfoothall::clock::Time;
+use coltsfoothall::fingerprint::{Evidence, Fingerprint, Mark};
 use coltsfoothall::id;
-use coltsfoothall::print::{Evidence, Mark, Print};
-use coltsfoothall::suspicion::{Docket, Settings, Verdict};
+use coltsfoothall::suspicion::{Settings, Tracker, Verdict};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -83,7 +83,7 @@
 struct Run {
     attempt: u64,
     endpoint: id::Endpoint,
-    print: Print,
+    fingerprint: Fingerprint,
     /// The process of the endpoint as it was known when the attempt began.
     boot: Option<Boot>,
 }
@@ -100,7 +100,7 @@
 /// Trials of endpoints, and the docket of requests.
 #[derive(Debug)]
 pub struct Judge {
-    docket: Docket,
+    docket: Tracker,
     /// Sorted by endpoint.
     trials: Vec<Trial>,
     /// Sorted by endpoint.
@@ -116,7 +116,7 @@
 impl Default for Judge {
     fn default() -> Self {
         Self {
-            docket: Docket::new(Settings::default()),
+            docket: Tracker::new(Settings::default()),
             trials: Vec::new(),
             dead: Vec::new(),
             runs: Vec::new(),
@@ -129,10 +129,11 @@
 impl Judge {
     /// How a request may run now.
     #[must_use]
-    pub fn verdict(&self, now: Time, print: Print) -> Verdict {
-        let verdict = self.docket.verdict(now, print);
-        let tried = |run: &Run| run.print.content == print.content && self.tries(&run.endpoint);
-        let early = verdict == Verdict::Alone && now < self.settled;
+    pub fn verdict(&self, now: Time, fingerprint: Fingerprint) -> Verdict {
+        let verdict = self.docket.verdict(now, fingerprint);
+        let tried =
+            |run: &Run| run.fingerprint.content == fingerprint.content && self.tries(&run.endpoint);
+        let early = verdict == Verdict::Isolated && now < self.settled;
         if early || (verdict < Verdict::Later && self.runs.iter().any(tried)) {
             return Verdict::Later;
         }
@@ -145,11 +146,11 @@
         now: Time,
         attempt: u64,
         endpoint: &id::Endpoint,
-        print: Print,
+        fingerprint: Fingerprint,
         alone: bool,
     ) {
         self.docket
-            .started(now, attempt, endpoint.clone(), print, alone);
+            .record_start(now, attempt, endpoint.clone(), fingerprint, alone);
         if let Err(at) = self.find(attempt) {
             let boot = self.boot(endpoint);
             self.runs.insert(
@@ -157,7 +158,7 @@
                 Run {
                     attempt,
                     endpoint: endpoint.clone(),
-                    print,
+                    fingerprint,
                     boot,
                 },
             );
@@ -166,7 +167,7 @@
 
     /// An attempt ended by itself, `whole` if with its whole answer.
     pub fn ended(&mut self, now: Time, attempt: u64, whole: bool) {
-        self.docket.ended(now, attempt, whole);
+        self.docket.record_end(now, attempt, whole);
         if let Ok(at) = self.find(attempt) {
             self.runs.remove(at);
         }
@@ -264,7 +265,7 @@
             );
         }
         self.runs.retain(|run| run.endpoint != *endpoint);
-        let marks = self.docket.died(now, endpoint, announced);
+        let marks = self.docket.record_death(now, endpoint, announced);
         if !marks.is_empty() {
             self.settled = now + SETTLE;
         }
@@ -309,7 +310,7 @@
     /// The evidence against some marks.
     #[must_use]
     pub fn about(&self, now: Time, marks: &[Mark]) -> Vec<Evidence> {
-        self.docket.about(now, marks)
+        self.docket.evidence_for(now, marks)
     }
 
     /// All evidence, for an instance that has none.
@@ -330,9 +331,9 @@
     /// Takes in what a peer told. Returns what was new, to be told on.
     pub fn merge(&mut self, now: Time, told: &[Evidence]) -> Vec<Evidence> {
         let marks: Vec<Mark> = told.iter().map(|told| told.mark).collect();
-        let before = self.docket.about(now, &marks);
+        let before = self.docket.evidence_for(now, &marks);
         self.docket.merge(now, told);
-        let after = self.docket.about(now, &marks);
+        let after = self.docket.evidence_for(now, &marks);
         let new = |after: &Evidence| !before.iter().any(|before| same(before, after));
         let news: Vec<Evidence> = after.into_iter().filter(new).collect();
         if !news.is_empty() {
--- a/coltsfoothall-entry/src/keeper.rs
+++ b/coltsfoothall-entry/src/keeper.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Missing, Sight, duties};
+use coltsfoothall::duty::{Context, Missing, duties};
 use coltsfoothall::id;
 use coltsfoothall::key::Slot;
 use coltsfoothall::slot::Table;
@@ -134,7 +134,7 @@
         let settled = members.settled(now);
         let me = &self.node.settings.instance;
         let sight = |ledger: &mut _| {
-            duties(&Sight {
+            duties(&Context {
                 me,
                 table: &self.table,
                 ledger,
@@ -146,7 +146,7 @@
             })
         };
         let duties = self.node.desk.with_ledger(sight);
-        let open = self.node.desk.with_ledger(|ledger| ledger.proposing());
+        let open = self.node.desk.with_ledger(|ledger| ledger.has_proposals());
         let read = self.read || open || self.aged(now) || !self.service || self.table.version == 0;
         if duties.is_empty() && !read {
             return;
@@ -169,14 +169,14 @@
     }
 
     /// Takes back what could not be confirmed as not run.
-    pub fn take_back(&self, now: Time) -> Vec<Event> {
+    pub fn retract(&self, now: Time) -> Vec<Event> {
         let waited = if self.service {
             UNCONFIRMED
         } else {
             Duration::ZERO
         };
         let desk = &self.node.desk;
-        desk.with_ledger(|ledger| ledger.take_back(now, waited))
+        desk.with_ledger(|ledger| ledger.retract(now, waited))
     }
 
     /// Whether the table was read too long ago.
--- a/coltsfoothall/benches/control.rs
+++ b/coltsfoothall/benches/control.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 use coltsfoothall::catalog::{Catalog, Revision, Workspace};
-use coltsfoothall::choice::{Ask, Endpoint, Router, Settings};
+use coltsfoothall::choice::{Endpoint, Query, Router, Settings};
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Sight, duties};
+use coltsfoothall::duty::{Context, duties};
 use coltsfoothall::id;
 use coltsfoothall::index::{Change, Event};
 use coltsfoothall::key::Slot;
@@ -20,8 +20,8 @@
 use coltsfoothall::prefix::Block;
 use coltsfoothall::record::Class;
 use coltsfoothall::size::{Price, Rate, Tokens};
-use coltsfoothall::slot::{Candidate, Process, SLOTS, Table};
-use coltsfoothall::stall::{self, Watch};
+use coltsfoothall::slot::{Candidate, Process, SLOT_COUNT, Table};
+use coltsfoothall::stall::{self, Monitor};
 use coltsfoothall::weight::Risk;
 
 /// Failure domains at the size to design for.
@@ -128,7 +128,7 @@
 fn membership(members: usize) {
     weigh(&format!("members={members} table"), || table_of(members));
     let mut table = table_of(members);
-    let mut watch = Watch::new(at(0), stall::Settings::default());
+    let mut watch = Monitor::new(at(0), stall::Settings::default());
     measure(&format!("members={members} heartbeat"), |round| {
         black_box(table.heartbeat(at(20 + round as u64)));
     });
@@ -143,7 +143,7 @@
     });
     measure(&format!("members={members} expire"), |round| {
         let now = at(200 + round as u64);
-        watch.heard(now);
+        watch.record_message(now);
         watch.tick(now);
         black_box(table.expire(now, &watch));
     });
@@ -166,8 +166,8 @@
 
 /// A table in which each slot has an owner and a backup.
 fn backed(all: &[Candidate]) -> Table {
-    let mut table = Table::first(SLOTS, all).expect("there are candidates");
-    for number in 0..SLOTS {
+    let mut table = Table::first(SLOT_COUNT, all).expect("there are candidates");
+    for number in 0..SLOT_COUNT {
         let slot = Slot(number);
         let backup = table.backup_for(slot, all);
         let entry = table.entry(slot).expect("it is in the table").clone();
@@ -194,13 +194,13 @@
         black_box(read.is_ok());
     });
     measure(&format!("members={members} slot_table_change"), |round| {
-        let slot = Slot(round as u16 % SLOTS);
+        let slot = Slot(round as u16 % SLOT_COUNT);
         let entry = table.entry(slot).expect("it is in the table");
         black_box(table.claim(slot, entry.epoch, &entry.primary).is_ok());
     });
     let me = &all[members - 1].instance;
     let ledger = Ledger::new(me.clone(), ledger::Settings::default());
-    let sight = Sight {
+    let context = Context {
         me,
         table: &table,
         ledger: &ledger,
@@ -211,10 +211,10 @@
         settled: true,
     };
     measure(&format!("members={members} duties"), |_| {
-        black_box(duties(black_box(&sight)));
+        black_box(duties(black_box(&context)));
     });
     measure(&format!("members={members} backup_for"), |round| {
-        black_box(table.backup_for(Slot(round as u16 % SLOTS), &all));
+        black_box(table.backup_for(Slot(round as u16 % SLOT_COUNT), &all));
     });
 }
 
@@ -283,13 +283,13 @@
     let empty = resident().saturating_sub(before);
     for number in 0..count {
         let events = events(number, 1, CACHE);
-        black_box(router.cache_events(&name("runner", number), &events));
+        black_box(router.record_cache_events(&name("runner", number), &events));
     }
     let full = resident().saturating_sub(before);
     println!(
         "endpoints={count} router_empty_bytes={empty} router_full_bytes={full} beliefs={} \
          blocks_reported={}",
-        router.beliefs(),
+        router.index_entries(),
         count as u64 * CACHE
     );
     measure(&format!("endpoints={count} set_endpoints"), |_| {
@@ -303,11 +303,11 @@
         capacity: Tokens(400_000),
     };
     measure(&format!("endpoints={count} report"), |round| {
-        router.report(at(round as u64), &name("runner", round % count), &report);
+        router.record_report(at(round as u64), &name("runner", round % count), &report);
     });
     measure(&format!("endpoints={count} cache_events_of_16"), |round| {
         let events = events(round % count, CACHE + 1 + round as u64 * 16, 16);
-        black_box(router.cache_events(&name("runner", round % count), &events));
+        black_box(router.record_cache_events(&name("runner", round % count), &events));
     });
     choices(count, &mut router);
     std::mem::forget(router);
@@ -318,7 +318,7 @@
     let shared: Vec<Block> = events(0, 1, 256).iter().map(stored).collect();
     let lengths = [("short", 1), ("long", 16)];
     for (label, blocks) in lengths {
-        let ask = Ask {
+        let query = Query {
             service: &service,
             model: None,
             blocks: &shared[7..7 + blocks],
@@ -327,24 +327,24 @@
             class: Class::Interactive,
             domain: &domain,
             exclude: &[],
-            alone: false,
+            isolated: false,
         };
         measure(&format!("endpoints={count} choose_{label}"), |round| {
-            black_box(router.choose(at(1000 + round as u64), &ask));
+            black_box(router.choose(at(1000 + round as u64), &query));
         });
         measure(
             &format!("endpoints={count} choose_began_ended_{label}"),
             |round| {
                 let now = at(2000 + round as u64);
-                if let Some(pick) = router.choose(now, &ask) {
-                    let run = router.began(now, &pick.endpoint, &ask);
-                    router.ended(now, run);
+                if let Some(pick) = router.choose(now, &query) {
+                    let run = router.record_start(now, &pick.endpoint, &query);
+                    router.record_end(now, run);
                 }
             },
         );
     }
     measure(&format!("endpoints={count} room"), |round| {
-        black_box(router.room(at(3000 + round as u64), &service));
+        black_box(router.budget(at(3000 + round as u64), &service));
     });
 }
 
--- a/coltsfoothall/src/duty.rs
+++ b/coltsfoothall/src/duty.rs
@@ -7,18 +7,18 @@
 use crate::id;
 use crate::key::{Epoch, Slot};
 use crate::ledger::Ledger;
-use crate::slot::{Candidate, Entry, FIRST, Move, Table};
+use crate::slot::{Candidate, Entry, FIRST_EPOCH, Move, Table};
 
 /// Most copies started in one round; it keeps a change of members from
 /// crowding out requests.
-pub const COPIES: usize = 32;
+pub const MAX_COPIES_PER_ROUND: usize = 32;
 
 /// Bytes of records in the slots that are moved at once, beyond the first few; it
 /// keeps moves from taking the bandwidth of requests: 5 MB/s at five rounds a second.
-pub const MOVED: usize = 1 << 20;
+pub const MAX_MOVED_BYTES: usize = 1 << 20;
 
 /// Slots that are moved at once however large they are.
-const FEW: usize = 4;
+const MIN_MOVES: usize = 4;
 
 /// A step for one slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -76,7 +76,7 @@
     /// Take changes again.
     Resume(Slot),
     /// Let idempotent requests go on without a backup.
-    Alone(Slot),
+    RunUnreplicated(Slot),
     /// Wait no longer for a copy that the table does not name: its holder died.
     GiveUp(Slot),
 }
@@ -94,7 +94,7 @@
 
 /// What duties follow from.
 #[derive(Debug, Clone, Copy)]
-pub struct Sight<'a> {
+pub struct Context<'a> {
     /// This instance.
     pub me: &'a id::Instance,
     /// The newest table known.
@@ -116,36 +116,36 @@
 
 /// The duties of this instance, in the order in which they should be done.
 #[must_use]
-pub fn duties(sight: &Sight<'_>) -> Vec<Duty> {
-    let moves = sight.moves();
+pub fn duties(context: &Context<'_>) -> Vec<Duty> {
+    let moves = context.moves();
     let mut duties = Vec::new();
-    for (slot, entry) in sight.table.iter() {
-        let next = if entry.primary == *sight.me {
+    for (slot, entry) in context.table.iter() {
+        let next = if entry.primary == *context.me {
             let to = moves.iter().find(|m| m.slot == slot).map(|m| &m.to);
-            sight.lead(slot, entry, to)
-        } else if entry.backup.as_ref() == Some(sight.me) {
-            sight.back(slot, entry)
+            context.lead(slot, entry, to)
+        } else if entry.backup.as_ref() == Some(context.me) {
+            context.back(slot, entry)
         } else {
-            sight.watch(slot, entry)
+            context.watch(slot, entry)
         };
         duties.extend(next);
     }
-    if sight.service {
-        spread_backups(sight, &moves, &mut duties);
+    if context.service {
+        spread_backups(context, &moves, &mut duties);
     }
     bound_copies(duties)
 }
 
 /// Chooses backups so that those chosen in this round count for the next choice;
 /// else the one with the least copies would get them all.
-fn spread_backups(sight: &Sight<'_>, moves: &[Move], duties: &mut [Duty]) {
+fn spread_backups(context: &Context<'_>, moves: &[Move], duties: &mut [Duty]) {
     let moved = |slot: Slot| moves.iter().any(|step| step.slot == slot);
-    let mut planned = sight.table.clone();
+    let mut planned = context.table.clone();
     for duty in duties {
         let (slot, to) = match duty {
             Duty::Name { slot, backup } => (*slot, backup.clone()),
             Duty::Copy { slot, to } if !moved(*slot) => {
-                if let Some(best) = planned.backup_for(*slot, sight.live) {
+                if let Some(best) = planned.backup_for(*slot, context.live) {
                     *to = best;
                 }
                 (*slot, to.clone())
@@ -160,12 +160,12 @@
     let mut copies = 0;
     let mut keep = |duty: &Duty| {
         copies += usize::from(matches!(duty, Duty::Copy { .. }));
-        copies <= COPIES || !matches!(duty, Duty::Copy { .. })
+        copies <= MAX_COPIES_PER_ROUND || !matches!(duty, Duty::Copy { .. })
     };
     duties.into_iter().filter(|duty| keep(duty)).collect()
 }
 
-impl Sight<'_> {
+impl Context<'_> {
     /// Slots that are to change hands now.
     fn moves(&self) -> Vec<Move> {
         if !self.service || !self.settled {
@@ -175,9 +175,9 @@
         let mut bytes = 0;
         let small = moves.iter().take_while(|step| {
             bytes += self.ledger.size(step.slot);
-            bytes <= MOVED
+            bytes <= MAX_MOVED_BYTES
         });
-        let most = small.count().max(FEW);
+        let most = small.count().max(MIN_MOVES);
         moves.truncate(most);
         let staying = self.live.iter().filter(|c| !c.leaving).count();
         let fair = self.table.entries.len() / staying.max(1);
@@ -236,7 +236,7 @@
                 to: backup.clone(),
             });
         }
-        let lost = self.settled || entry.epoch == FIRST;
+        let lost = self.settled || entry.epoch == FIRST_EPOCH;
         let claim = lost && self.service && !self.leaving;
         claim.then_some(Duty::Claim(slot))
     }
@@ -303,7 +303,7 @@
     /// Duties of a primary whose backup is lost or leaving, with the service down.
     fn unbacked(&self, slot: Slot, entry: &Entry, backup: &id::Instance) -> Option<Duty> {
         if !self.backed(slot, entry, backup) {
-            return Some(Duty::Alone(slot));
+            return Some(Duty::RunUnreplicated(slot));
         }
         let awaited = self.ledger.awaits(slot, backup);
         let dismiss = awaited && !self.leaving && !self.staying(backup);
--- a/coltsfoothall/src/fleet.rs
+++ b/coltsfoothall/src/fleet.rs
@@ -33,7 +33,7 @@
 
 /// A kind of instance that can be had.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Cell {
+pub struct Kind {
     /// Failure domain.
     pub domain: id::Domain,
     /// Machine class.
@@ -46,14 +46,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Offer {
     /// What is offered.
-    pub cell: Cell,
+    pub kind: Kind,
     /// Price of one instance.
     pub price: Price,
 }
 
 /// Load that one instance of a class carries at the latency target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Speed {
+pub struct Capacity {
     /// Machine class.
     pub class: id::Class,
     /// Load, in the demand's unit; 0 means that the class can't serve.
@@ -76,7 +76,7 @@
     /// Load to carry after the loss of any one domain, in a unit of the caller's.
     pub load: u64,
     /// What the classes carry, sorted by class.
-    pub speeds: Vec<Speed>,
+    pub capacities: Vec<Capacity>,
     /// What goes with a domain.
     pub loss: Loss,
     /// Fewest instances.
@@ -87,7 +87,7 @@
 
 /// Instances to hold of one kind.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Hold {
+pub struct Allocation {
     /// The kind and its price.
     pub offer: Offer,
     /// Load that one carries.
@@ -96,22 +96,22 @@
     pub count: u32,
 }
 
-/// The set of instances to hold.
+/// The set of instances to allocation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Plan {
     /// The instances, in the order of the offers.
-    pub holds: Vec<Hold>,
+    pub allocations: Vec<Allocation>,
     /// How many.
     pub count: u32,
     /// Price of all in an hour.
     pub cost: Price,
     /// Load that isn't carried after the worst loss; 0 where the demand is met.
-    pub short: u64,
+    pub shortfall: u64,
     /// Whether no cheaper set exists; else the set is the best that was found.
     pub exact: bool,
 }
 
-/// Finds the set of instances to hold.
+/// Finds the set of instances to allocation.
 #[must_use]
 pub fn plan(demand: &Demand, offers: &[Offer], placement: &Placement) -> Plan {
     let search = Search::new(demand, offers, placement);
@@ -154,7 +154,7 @@
         if item.exposed {
             self.lost[item.domain] += load;
         }
-        if item.offer.cell.lend == Lend::OnDemand {
+        if item.offer.kind.lend == Lend::OnDemand {
             self.on_demand += count;
         }
     }
@@ -167,7 +167,7 @@
         if item.exposed {
             self.lost[item.domain] -= item.load;
         }
-        if item.offer.cell.lend == Lend::OnDemand {
+        if item.offer.kind.lend == Lend::OnDemand {
             self.on_demand -= 1;
         }
     }
@@ -187,7 +187,7 @@
 
 impl<'a> Search<'a> {
     fn new(demand: &'a Demand, offers: &[Offer], placement: &Placement) -> Self {
-        let mut domains: Vec<&id::Domain> = offers.iter().map(|o| &o.cell.domain).collect();
+        let mut domains: Vec<&id::Domain> = offers.iter().map(|o| &o.kind.domain).collect();
         domains.sort_unstable();
         domains.dedup();
         let item = |offer: &Offer| item(offer, demand, placement, &domains);
@@ -195,7 +195,7 @@
         let rank = |d: &id::Domain| placement.domains.iter().position(|p| p == d);
         items.sort_by(|a, b| {
             let by_load = (a.price * b.load).cmp(&(b.price * a.load));
-            by_load.then_with(|| rank(&a.offer.cell.domain).cmp(&rank(&b.offer.cell.domain)))
+            by_load.then_with(|| rank(&a.offer.kind.domain).cmp(&rank(&b.offer.kind.domain)))
         });
         Self {
             demand,
@@ -247,7 +247,7 @@
     fn greedy(&self, order: &[usize], bound: u64) -> Set {
         let mut set = self.empty();
         self.fill(&mut set, order, bound, |item, set| {
-            match item.offer.cell.lend {
+            match item.offer.kind.lend {
                 Lend::OnDemand => self.on_demand.saturating_sub(set.on_demand),
                 Lend::Reclaimable => 0,
             }
@@ -335,19 +335,21 @@
     }
 
     fn plan(&self, set: &Set, exact: bool) -> Plan {
-        let hold = |(item, &count): (&Item, &u32)| Hold {
+        let allocation = |(item, &count): (&Item, &u32)| Allocation {
             offer: item.offer.clone(),
             load: item.load,
             count,
         };
-        let holds = self.items.iter().zip(&set.counts).map(hold);
-        let mut holds: Vec<Hold> = holds.filter(|hold| hold.count > 0).collect();
-        holds.sort_by(|a, b| a.offer.cell.cmp(&b.offer.cell));
+        let allocations = self.items.iter().zip(&set.counts).map(allocation);
+        let mut allocations: Vec<Allocation> = allocations
+            .filter(|allocation| allocation.count > 0)
+            .collect();
+        allocations.sort_by(|a, b| a.offer.kind.cmp(&b.offer.kind));
         Plan {
-            holds,
+            allocations,
             count: set.count,
             cost: Price(set.cost),
-            short: self.demand.load.saturating_sub(set.carried()),
+            shortfall: self.demand.load.saturating_sub(set.carried()),
             exact,
         }
     }
@@ -359,18 +361,18 @@
     placement: &Placement,
     domains: &[&id::Domain],
 ) -> Option<Item> {
-    let cell = &offer.cell;
-    let speed = demand.speeds.iter().find(|s| s.class == cell.class)?;
-    let domain = domains.binary_search(&&cell.domain).ok()?;
-    let in_domain = placement.domains.is_empty() || placement.domains.contains(&cell.domain);
-    let in_class = placement.classes.is_empty() || placement.classes.contains(&cell.class);
+    let kind = &offer.kind;
+    let capacity = demand.capacities.iter().find(|s| s.class == kind.class)?;
+    let domain = domains.binary_search(&&kind.domain).ok()?;
+    let in_domain = placement.domains.is_empty() || placement.domains.contains(&kind.domain);
+    let in_class = placement.classes.is_empty() || placement.classes.contains(&kind.class);
     let in_price = placement.price.0 == 0 || offer.price <= placement.price;
-    let allowed = in_domain && in_class && in_price && speed.load > 0;
+    let allowed = in_domain && in_class && in_price && capacity.load > 0;
     allowed.then(|| Item {
         offer: offer.clone(),
         domain,
-        load: speed.load,
+        load: capacity.load,
         price: offer.price.0,
-        exposed: demand.loss == Loss::All || cell.lend == Lend::Reclaimable,
+        exposed: demand.loss == Loss::All || kind.lend == Lend::Reclaimable,
     })
 }
--- a/coltsfoothall/src/forward/peer.rs
+++ b/coltsfoothall/src/forward/peer.rs
@@ -5,11 +5,11 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::batch;
 use crate::clock::Time;
 use crate::forward::rate_limit::Coverage;
 use crate::id;
 use crate::size::Megabits;
-use crate::turn;
 
 /// Most heartbeats that one instance sends at once. 64 of 1.4 kB each overran the queue
 /// of a link of 10 Mbit/s: those sent last, always the same, were lost, and half of a
@@ -313,7 +313,7 @@
 
     fn is_alive(&self, now: Time, peer: &Peer) -> bool {
         // Three heartbeats, where the fleet is so large that they come less often.
-        let turns = turn::turns(self.peers.len(), MAX_HEARTBEATS_PER_BATCH) as u32;
+        let turns = batch::count(self.peers.len(), MAX_HEARTBEATS_PER_BATCH) as u32;
         let silent = self.settings.silent.max(self.settings.turn * turns * 3);
         peer.heard.is_some_and(|heard| now.since(heard) <= silent)
     }
--- a/coltsfoothall/tests/duty.rs
+++ b/coltsfoothall/tests/duty.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::duty::{Duty, MOVED, Missing, Sight, duties};
+use coltsfoothall::duty::{Context, Duty, MAX_MOVED_BYTES, Missing, duties};
 use coltsfoothall::id;
 use coltsfoothall::key::{Key, Slot};
 use coltsfoothall::ledger::{Ledger, Life, Settings};
@@ -86,7 +86,7 @@
     }
 
     fn duties(&self, me: &str, live: &[Candidate], missing: &[Missing]) -> Vec<Duty> {
-        duties(&Sight {
+        duties(&Context {
             me: &name(me),
             table: &self.table,
             ledger: if me == "a" { &self.a } else { &self.b },
@@ -100,7 +100,7 @@
 
     /// Duties of an instance that leaves while the key-value service is down.
     fn leaving(&self, me: &str, missing: &[Missing]) -> Vec<Duty> {
-        duties(&Sight {
+        duties(&Context {
             me: &name(me),
             table: &self.table,
             ledger: if me == "a" { &self.a } else { &self.b },
@@ -248,11 +248,11 @@
         .table
         .replace_backup(SLOT, world.entry_epoch(), &name("a"), None);
     assert!(world.propose(&alone));
-    assert!(world.a.proposing());
+    assert!(world.a.has_proposals());
     assert!(world.a.export(NOW, SLOT, &name("c")).is_none());
     let bumped = world.table.merge(&[]);
     world.settle(bumped);
-    assert!(!world.a.proposing());
+    assert!(!world.a.has_proposals());
     assert!(world.a.export(NOW, SLOT, &name("c")).is_some());
 }
 
@@ -313,7 +313,7 @@
 fn backup_renewed() {
     let mut world = World::new();
     world.b = ledger("b", 1);
-    world.a.go_alone(SLOT);
+    world.a.run_unreplicated(SLOT);
     let missing = [Missing {
         slot: SLOT,
         epoch: world.entry_epoch(),
@@ -352,7 +352,7 @@
 fn heir_dead() {
     let mut world = World::new();
     world.a.drain(SLOT);
-    let alone = duties(&Sight {
+    let alone = duties(&Context {
         me: &name("a"),
         table: &world.table,
         ledger: &world.a,
@@ -362,8 +362,8 @@
         service: false,
         settled: true,
     });
-    assert_eq!(alone, [Duty::Alone(SLOT)]);
-    world.a.go_alone(SLOT);
+    assert_eq!(alone, [Duty::RunUnreplicated(SLOT)]);
+    world.a.run_unreplicated(SLOT);
     assert!(world.a.serving(SLOT));
 }
 
@@ -421,7 +421,7 @@
             }
         }
     }
-    let sight = Sight {
+    let context = Context {
         me: &me,
         table: &table,
         ledger: &owner,
@@ -431,7 +431,7 @@
         service: true,
         settled: true,
     };
-    duties(&sight).len()
+    duties(&context).len()
 }
 
 fn intake(key: Key, body: usize) -> Intake {
@@ -457,7 +457,7 @@
 #[test]
 fn moved_by_size() {
     assert_eq!(moved(100), 32);
-    let some = moved(MOVED / 10);
+    let some = moved(MAX_MOVED_BYTES / 10);
     assert!((5..=10).contains(&some), "{some}");
-    assert_eq!(moved(MOVED / 4), 4);
+    assert_eq!(moved(MAX_MOVED_BYTES / 4), 4);
 }
