--- a/coltsfoothall/src/forward/choice.rs
+++ b/coltsfoothall/src/forward/choice.rs
@@ -1,9 +1,9 @@
-//! The choice of an endpoint for a request.
+//! Choice of an endpoint for a request.
 //!
-//! Load is counted, not asked for: each instance tells the others what it has open at
-//! each endpoint, so the sum is at most one heartbeat old. The choice adds up, in
-//! microseconds, what a candidate would cost: the prompts queued before it, the part of
-//! the prompt that it has to read, requests beside it, the hop, and what it failed lately.
+//! Endpoints are not asked for their load. Each instance reports to the others what it has open
+//! at each endpoint, so the sum is at most one heartbeat old. The cost of a candidate is a sum
+//! in microseconds: the prompts queued before the request, the part of its prompt that has to be
+//! prefilled, the requests in the same batch, the network hop, and recent failures.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,79 +18,80 @@
 use crate::id;
 use crate::size::Tokens;
 
-/// Bounds and weights of the choice.
+/// Weights and bounds of the choice.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// What is assumed of engines until their answers are seen.
+    /// Latency that is assumed of engines until their answers are measured.
     pub latency: latency::Settings,
-    /// Microseconds that a plain request works, before that was measured.
-    pub work: f64,
-    /// Microseconds that the hop to another failure domain counts as: bytes there are
-    /// paid for, about 16 kB a long answer.
-    pub hop: f64,
-    /// Microseconds that an endpoint which fails every request counts as.
-    pub fault: f64,
-    /// Part of the batch and of the memory that may be taken before an endpoint is full.
-    pub fill: f64,
-    /// Times by which the home of a shared part is preferred to the time that it saves there:
-    /// reading the part elsewhere makes others read it there again.
-    pub home: f64,
-    /// How long a prompt part is believed to stay in an endpoint's memory.
-    pub keep: Duration,
+    /// Assumed microseconds of work for a request to an endpoint that is no engine.
+    pub plain_work_us: f64,
+    /// Cost in microseconds of the hop to another failure domain: traffic between domains is
+    /// paid for, about 16 kB for a long answer.
+    pub hop_us: f64,
+    /// Cost in microseconds of an endpoint that fails every request.
+    pub fault_us: f64,
+    /// Share of an engine's batch slots and memory that may be taken before it counts as full.
+    pub max_fill: f64,
+    /// Factor by which the prefill time that a cached prefix saves is weighted. Prefilling the
+    /// prefix at another endpoint makes later requests repeat it there.
+    pub affinity: f64,
+    /// How long a prefix is assumed to stay in an endpoint's cache.
+    pub prefix_ttl: Duration,
     /// How long an endpoint that could not be reached is avoided.
-    pub avoid: Duration,
-    /// An endpoint whose oldest request has had no sign of life for so long is doubted.
-    pub silent: Duration,
+    pub avoid_period: Duration,
+    /// An endpoint is suspected once a request has waited for its first event for this long
+    /// beyond twice the expected time.
+    pub silence_timeout: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             latency: latency::Settings::default(),
-            work: 30_000.0,
-            hop: 3_000.0,
-            fault: 600_000.0,
-            fill: 0.95,
-            home: 2.0,
-            keep: Duration::from_secs(60),
-            avoid: Duration::from_millis(1_500),
-            silent: Duration::from_millis(1_500),
+            plain_work_us: 30_000.0,
+            hop_us: 3_000.0,
+            fault_us: 600_000.0,
+            max_fill: 0.95,
+            affinity: 2.0,
+            prefix_ttl: Duration::from_secs(60),
+            avoid_period: Duration::from_millis(1_500),
+            silence_timeout: Duration::from_millis(1_500),
         }
     }
 }
 
-/// A part of a prompt that other requests may share.
+/// Part of a prompt that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
-    /// What it holds, as a number.
+    /// Hash of its content.
     pub mark: u64,
     /// Its length.
     pub tokens: Tokens,
 }
 
-/// What a request asks of an endpoint.
+/// Requirements of a request for its endpoint.
 #[derive(Debug, Clone)]
 pub struct Query<'a> {
-    /// Its service.
+    /// Service that is called.
     pub service: &'a id::Service,
-    /// Parts of its prompt in order; the last one is its own.
+    /// Parts of the prompt in order; the last one is specific to the request.
     pub parts: &'a [Part],
     /// Length of the prompt.
     pub prompt: Tokens,
-    /// Most tokens of the answer.
+    /// Upper bound of the answer's length.
     pub answer: Tokens,
     /// Failure domain of this instance.
     pub domain: &'a id::Domain,
-    /// Endpoints that failed it before.
+    /// Endpoints that already failed this request.
     pub exclude: &'a [id::Endpoint],
-    /// Memory of one endpoint, where it is an engine.
+    /// Token capacity of one endpoint; set if it is an engine.
     pub memory: Option<Tokens>,
-    /// Versions of the service that may run it.
+    /// Versions of the service that may run the request.
     pub versions: &'a Versions,
 }
 
 impl Query<'_> {
-    /// Whether an endpoint is of those that may run it.
+    /// Whether an endpoint is eligible for the request.
     fn allows(&self, node: &Node) -> bool {
         let entry = &node.entry;
         entry.service == *self.service
@@ -106,15 +107,15 @@
     pub endpoint: id::Endpoint,
     /// Where it listens.
     pub address: SocketAddr,
-    /// The version that it runs, if it says so.
+    /// The version that it runs, if it reports one.
     pub version: Option<id::Version>,
     /// Expected time to the first event or the answer.
     pub wait: Duration,
-    /// Tokens of the prompt that it has to read, as believed.
+    /// Estimated tokens of the prompt that it has to prefill.
     pub unread: Tokens,
-    /// What its first event waits for there.
+    /// Work before the first event, as input of the latency model.
     pub sample: Sample,
-    /// Endpoints that it was chosen from.
+    /// Number of endpoints that it was chosen from.
     pub among: u32,
 }
 
@@ -123,28 +124,28 @@
 pub enum Unavailable {
     /// The service has no endpoint that takes work.
     Absent,
-    /// All are full.
+    /// All endpoints are full.
     Full,
-    /// The request is larger than the memory of an endpoint.
+    /// The request needs more memory than an endpoint has.
     Large,
 }
 
 impl Roster {
-    /// Chooses an endpoint.
+    /// Chooses the endpoint with the lowest cost.
     ///
     /// # Errors
-    /// Says whether there is none, all are full, or the request fits in none.
+    /// No endpoint takes work, all are full, or the request fits in none.
     pub fn choose(&self, now: Time, query: &Query<'_>) -> Result<Pick, Unavailable> {
         let needed = query.prompt.plus(query.answer);
         if query.memory.is_some_and(|memory| needed > memory) {
             return Err(Unavailable::Large);
         }
         let chains: Vec<u64> = chains(query.parts).collect();
-        let part = shared(query, &chains);
-        let home = self.home(now, query, part);
+        let prefix = shared_prefix(query, &chains);
+        let home = self.home(now, query, prefix);
         let model = self.latency_model(query.service);
         let mut unavailable = Unavailable::Absent;
-        let mut best: Option<(&Node, Weighed)> = None;
+        let mut best: Option<(&Node, Estimate)> = None;
         let mut among = 0;
         for node in &self.nodes {
             if !query.allows(node) || query.exclude.contains(&node.entry.id) {
@@ -155,38 +156,39 @@
                 continue;
             }
             among += 1;
-            let weighed = self.weigh(now, node, query, &chains, model);
-            let kept = part.filter(|part| home.is(node, part.chain));
-            // Reading the part elsewhere takes time now, and again when it is asked there.
-            let saved = kept.map_or(0.0, |part| model.prefill(part.tokens.0, 0));
-            let cost = weighed.cost - saved * self.settings.home;
-            if best.is_none_or(|(_, least)| cost < least.cost) {
-                best = Some((node, Weighed { cost, ..weighed }));
+            let estimate = self.estimate(now, node, query, &chains, model);
+            let cached = prefix.filter(|prefix| home.includes(node, prefix.chain));
+            // Prefilling the prefix elsewhere takes time now, and for later requests there.
+            let saved = cached.map_or(0.0, |prefix| model.prefill(prefix.tokens.0, 0));
+            let cost = estimate.cost - saved * self.settings.affinity;
+            if best.is_none_or(|(_, lowest)| cost < lowest.cost) {
+                best = Some((node, Estimate { cost, ..estimate }));
             }
         }
-        let (node, weighed) = best.ok_or(unavailable)?;
+        let (node, estimate) = best.ok_or(unavailable)?;
         Ok(Pick {
             endpoint: node.entry.id.clone(),
             address: node.entry.address,
             version: node.entry.version.clone(),
-            wait: Duration::from_micros(weighed.wait as u64),
-            unread: weighed.unread,
-            sample: weighed.sample,
+            wait: Duration::from_micros(estimate.wait as u64),
+            unread: estimate.unread,
+            sample: estimate.sample,
             among,
         })
     }
 
-    /// Where all instances look first for the longest part that others share: where it was
-    /// sent lately, by whichever instance. A part that is nowhere has the first endpoint of
-    /// its rendezvous hash, so that it is read once and not once each.
-    fn home(&self, now: Time, query: &Query<'_>, part: Option<Shared>) -> Home<'_> {
-        let Some(Shared { chain, .. }) = part else {
+    /// Endpoints that all instances prefer for the longest shared prefix: those that any instance
+    /// sent it to recently. For a prefix that was sent nowhere it is the first endpoint of the
+    /// prefix's rendezvous hash, so that the prefix is prefilled once rather than once for each
+    /// instance.
+    fn home(&self, now: Time, query: &Query<'_>, prefix: Option<Prefix>) -> Home<'_> {
+        let Some(Prefix { chain, .. }) = prefix else {
             return Home::Nowhere;
         };
-        let oldest = now - self.settings.keep;
+        let oldest = now - self.settings.prefix_ttl;
         let nodes = || self.nodes.iter().filter(|node| query.allows(node));
-        if nodes().any(|node| node.knows(chain, oldest)) {
-            return Home::Held(oldest);
+        if nodes().any(|node| node.has_cached(chain, oldest)) {
+            return Home::Cached(oldest);
         }
         let first = nodes().max_by_key(|node| {
             let name = node.entry.id.as_str();
@@ -205,26 +207,26 @@
                     .plus(query.answer)
                     .0
                     .saturating_add(load.memory);
-                f64::from(load.open) >= slots * self.settings.fill
-                    || (load.open > 0 && needed as f64 > memory.0 as f64 * self.settings.fill)
+                f64::from(load.open) >= slots * self.settings.max_fill
+                    || (load.open > 0 && needed as f64 > memory.0 as f64 * self.settings.max_fill)
             }
-            // Plain endpoints queue a few more than they run.
-            None => now < node.full || f64::from(load.open) >= slots * 2.5,
+            // Other endpoints queue a few more requests than they run at once.
+            None => now < node.full_until || f64::from(load.open) >= slots * 2.5,
         }
     }
 
-    fn weigh(
+    fn estimate(
         &self,
         now: Time,
         node: &Node,
         query: &Query<'_>,
         chains: &[u64],
         model: &Model,
-    ) -> Weighed {
+    ) -> Estimate {
         let settings = &self.settings;
         let load = node.load();
-        let known = self.known(now, node, query, chains);
-        let unread = query.prompt.minus(known);
+        let cached = self.cached(now, node, query, chains);
+        let unread = query.prompt.minus(cached);
         let sample = Sample {
             tokens: load.unread.saturating_add(unread.0),
             pairs: load.pairs.saturating_add(pairs(query.prompt, unread)),
@@ -234,27 +236,27 @@
             model.first_event(sample).as_micros() as f64
         } else {
             let queued = f64::from(load.open) / f64::from(node.entry.slots.max(1));
-            settings.work * (1.0 + queued * queued)
+            settings.plain_work_us * (1.0 + queued * queued)
         };
         let wait = work * node.slowness + 4_000.0;
         let hop = if node.entry.domain == *query.domain {
             0.0
         } else {
-            settings.hop
+            settings.hop_us
         };
         let silence = node.silence(now);
-        let doubt = if silence > settings.silent {
-            settings.fault + silence.as_micros() as f64
+        let suspicion = if silence > settings.silence_timeout {
+            settings.fault_us + silence.as_micros() as f64
         } else {
             0.0
         };
-        let avoided = if now < node.avoided {
-            4.0 * settings.fault
+        let avoidance = if now < node.avoided_until {
+            4.0 * settings.fault_us
         } else {
             0.0
         };
-        let cost = wait + hop + doubt + avoided + node.unsound(now) * settings.fault;
-        Weighed {
+        let cost = wait + hop + suspicion + avoidance + node.failure_rate(now) * settings.fault_us;
+        Estimate {
             cost,
             wait,
             unread,
@@ -262,80 +264,81 @@
         }
     }
 
-    /// Tokens at the start of the prompt that the endpoint read lately.
-    fn known(&self, now: Time, node: &Node, query: &Query<'_>, chains: &[u64]) -> Tokens {
-        let oldest = now - self.settings.keep;
-        let mut known = Tokens(0);
+    /// Tokens at the start of the prompt that the endpoint is assumed to have cached.
+    fn cached(&self, now: Time, node: &Node, query: &Query<'_>, chains: &[u64]) -> Tokens {
+        let oldest = now - self.settings.prefix_ttl;
+        let mut cached = Tokens(0);
         for (part, chain) in query.parts.iter().zip(chains) {
-            if !node.knows(*chain, oldest) {
+            if !node.has_cached(*chain, oldest) {
                 break;
             }
-            known = known.plus(part.tokens);
+            cached = cached.plus(part.tokens);
         }
-        known.min(query.prompt)
+        cached.min(query.prompt)
     }
 }
 
-/// What a candidate would cost.
+/// Estimated cost of a candidate.
 #[derive(Debug, Clone, Copy)]
-struct Weighed {
-    /// Microseconds, all that counts added up.
+struct Estimate {
+    /// Sum of all costs in microseconds.
     cost: f64,
-    /// Microseconds to the first event or the answer.
+    /// Microseconds until the first event or the answer.
     wait: f64,
     unread: Tokens,
     sample: Sample,
 }
 
-/// The longest start of a prompt that other requests share.
+/// Longest prefix of a prompt that other requests share.
 #[derive(Debug, Clone, Copy)]
-struct Shared {
-    /// Mark of its last part and all before it.
+struct Prefix {
+    /// Chained hash of all its parts.
     chain: u64,
     /// Its length.
     tokens: Tokens,
 }
 
-/// All parts but the last one, which is the request's own.
-fn shared(query: &Query<'_>, chains: &[u64]) -> Option<Shared> {
+/// All parts but the last one, which is specific to the request.
+fn shared_prefix(query: &Query<'_>, chains: &[u64]) -> Option<Prefix> {
     let count = query.parts.len().checked_sub(1)?;
     let chain = *chains[..count].last()?;
     let tokens = query.parts[..count].iter().map(|part| part.tokens.0).sum();
-    Some(Shared {
+    Some(Prefix {
         chain,
         tokens: Tokens(tokens),
     })
 }
 
-/// Where a shared part is looked for.
+/// Endpoints that are preferred for a shared prefix.
 #[derive(Debug, Clone, Copy)]
 enum Home<'a> {
-    /// The prompt shares nothing, or there is no endpoint.
+    /// None: the prompt has no shared prefix, or there is no endpoint.
     Nowhere,
-    /// Wherever it was sent since.
-    Held(Time),
-    /// At this endpoint, where nobody has sent it yet.
+    /// All endpoints that it was sent to since this time.
+    Cached(Time),
+    /// This one, as no instance has sent the prefix to any endpoint recently.
     First(&'a id::Endpoint),
 }
 
 impl Home<'_> {
-    fn is(self, node: &Node, chain: u64) -> bool {
+    fn includes(self, node: &Node, chain: u64) -> bool {
         match self {
             Self::Nowhere => false,
-            Self::Held(oldest) => node.knows(chain, oldest),
+            Self::Cached(oldest) => node.has_cached(chain, oldest),
             Self::First(id) => node.entry.id == *id,
         }
     }
 }
 
-/// Pairs of each unread token of a prompt with those before it, counted as squares.
+/// Token pairs in the attention of a prefill: the square of the prompt's length less the square
+/// of its cached length.
 pub(super) fn pairs(prompt: Tokens, unread: Tokens) -> u64 {
-    let known = prompt.minus(unread);
+    let cached = prompt.minus(unread);
     let square = |tokens: Tokens| tokens.0.saturating_mul(tokens.0);
-    square(prompt).saturating_sub(square(known))
+    square(prompt).saturating_sub(square(cached))
 }
 
-/// For each part, a mark of it and all before it.
+/// For each part, the chained hash of it and all parts before it.
 pub(super) fn chains(parts: &[Part]) -> impl Iterator<Item = u64> {
     parts.iter().scan(0, |chain, part| {
         *chain = xxh3_64_with_seed(&part.mark.to_le_bytes(), *chain);
--- a/coltsfoothall/src/forward/config.rs
+++ b/coltsfoothall/src/forward/config.rs
@@ -6,21 +6,21 @@
 use crate::id;
 use crate::size::{Millis, Tokens};
 
-/// What may be repeated of a request.
+/// Whether a request may be retried, and whether its answer is a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// May run any number of times.
     Idempotent,
     /// Runs at most once.
     Once,
-    /// A stream of events that an endpoint can continue behind a given event.
+    /// A stream of events that an endpoint can resume after a given event.
     Resumable,
     /// A stream of events that runs at most once.
     Stream,
 }
 
 impl Kind {
-    /// Whether a request that may have run can be sent to another endpoint.
+    /// Whether a request that may already have run can be sent to another endpoint.
     #[must_use]
     pub fn repeats(self) -> bool {
         match self {
@@ -39,42 +39,42 @@
     }
 }
 
-/// A service that a route may choose, with its part of the requests.
+/// A service that a route may choose, with its weight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
     /// The service.
     pub service: id::Service,
-    /// Its part, relative to the other targets.
+    /// Share of the requests, relative to the other targets.
     pub weight: u32,
 }
 
-/// Where requests of one host and path go, and how they are treated.
+/// How the requests of one host and path prefix are routed and handled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name in logs.
     pub name: String,
-    /// Host that callers name.
+    /// Host in the request.
     pub host: String,
-    /// Start of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub kind: Kind,
-    /// Longest time that a caller waits for its final answer.
+    /// Time limit of the final answer.
     pub timeout: Millis,
-    /// Time in which an answer is worth most.
+    /// Target latency: an answer within it has its full value.
     pub aim: Millis,
-    /// Urgency, 0 first.
+    /// Priority; 0 is the most urgent.
     pub rank: u8,
     /// Services to choose from.
     pub targets: Vec<Target>,
-    /// Most endpoints that may run one request.
+    /// Upper bound of the endpoints that may run one request.
     pub attempts: u32,
     /// Whether callers need no key.
     pub public: bool,
 }
 
 impl Route {
-    /// The service for a request; `draw` decides among several by their weights.
+    /// The service for a request. The random number `draw` selects among several by weight.
     #[must_use]
     pub fn target(&self, draw: u64) -> Option<&id::Service> {
         let all: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
@@ -93,16 +93,16 @@
     }
 }
 
-/// What is known of the engines of a service.
+/// Capacity of the engines of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests in one batch.
+    /// Requests in a batch.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Capacity of its memory.
     pub memory: Tokens,
 }
 
-/// Price of one instance a second in a failure domain, on demand.
+/// Price per second of one on-demand instance in a failure domain.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Cost {
     /// The failure domain.
@@ -114,13 +114,13 @@
 /// How many endpoints of a service may be ordered.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Scaling {
-    /// Fewest in a failure domain.
+    /// Smallest number in a failure domain.
     pub least: u32,
-    /// Most in a failure domain, reclaimable ones included.
+    /// Largest number in a failure domain, reclaimable ones included.
     pub most: u32,
     /// Time from an order until the endpoint serves.
     pub boot: Duration,
-    /// Price of a reclaimable one as a part of the other's, where there are any.
+    /// Price of a reclaimable endpoint relative to an on-demand one; set if there are any.
     pub reclaimable: Option<f64>,
     /// Prices, sorted by failure domain.
     pub costs: Vec<Cost>,
@@ -131,21 +131,21 @@
 pub struct Service {
     /// Its name.
     pub name: id::Service,
-    /// Most connections that one of its endpoints takes from all callers.
+    /// Connections that one of its endpoints accepts in total.
     pub connections: u32,
     /// Set for model engines.
     pub engine: Option<Engine>,
-    /// Set where its endpoints can be ordered.
+    /// Set if its endpoints can be ordered.
     pub scaling: Option<Scaling>,
 }
 
-/// In what a rate is counted.
+/// Unit of a rate limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Unit {
     /// Requests.
     #[default]
     Requests,
-    /// Tokens read and asked for.
+    /// Tokens of the prompt and of the requested answer.
     Tokens,
 }
 
@@ -154,36 +154,36 @@
 pub struct Workspace {
     /// Its name.
     pub name: id::Workspace,
-    /// Keys of its callers.
+    /// API keys of its callers.
     pub keys: Vec<String>,
-    /// Urgency of all its requests; the route's if there is none.
+    /// Priority of all its requests; the route's applies if it is not set.
     pub rank: Option<u8>,
-    /// In what its rate is counted.
+    /// Unit of its rate.
     pub unit: Unit,
-    /// What a request without tokens counts as.
+    /// Cost of a request without a token count.
     pub plain: Tokens,
-    /// Units a second over all entry instances; 0 means no limit.
+    /// Units per second over all entry instances; 0 means unlimited.
     pub rate: f64,
-    /// Units that may come at once.
+    /// Units that may be granted at once.
     pub burst: f64,
 }
 
-/// What callers may send, and how slowly.
+/// Size and time limits on requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Most bytes of a request's head.
+    /// Upper bound of a request's head, in bytes.
     pub head: usize,
-    /// Most bytes of a request's body.
+    /// Upper bound of a request's body, in bytes.
     pub body: usize,
-    /// Time for a whole head.
+    /// Time limit for a complete head.
     pub head_wait: Duration,
-    /// Time that a connection may be idle.
+    /// Time limit of an idle connection.
     pub idle: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        // In force only until the first configuration is known.
+        // These apply only until the first configuration is known.
         Self {
             head: 16 << 10,
             body: 4 << 20,
@@ -193,19 +193,19 @@
     }
 }
 
-/// A key and the place of its workspace.
+/// An API key and the index of its workspace.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Key {
     text: String,
     workspace: usize,
 }
 
-/// One version of the configuration, indexed for requests.
+/// One version of the configuration, indexed for lookups by requests.
 #[derive(Debug, Clone, Default)]
 pub struct Config {
-    /// Its version; only a higher one replaces it.
+    /// Version; only a higher one replaces it.
     pub version: u64,
-    /// Limits on callers.
+    /// Limits on requests.
     pub limits: Limits,
     routes: Vec<Arc<Route>>,
     services: Vec<Service>,
@@ -214,7 +214,7 @@
 }
 
 impl Config {
-    /// Indexes a configuration.
+    /// Builds the indexes of a configuration.
     #[must_use]
     pub fn new(
         version: u64,
@@ -227,11 +227,11 @@
         services.sort_by(|a, b| a.name.cmp(&b.name));
         workspaces.sort_by(|a, b| a.name.cmp(&b.name));
         let mut keys: Vec<Key> = Vec::new();
-        for (place, workspace) in workspaces.iter_mut().enumerate() {
+        for (index, workspace) in workspaces.iter_mut().enumerate() {
             for text in std::mem::take(&mut workspace.keys) {
                 keys.push(Key {
                     text,
-                    workspace: place,
+                    workspace: index,
                 });
             }
         }
@@ -254,26 +254,26 @@
             let found = self.routes.binary_search_by(|route| {
                 (route.host.as_str(), route.prefix.as_str()).cmp(&(host, prefix))
             });
-            found.ok().map(|place| &self.routes[place])
+            found.ok().map(|index| &self.routes[index])
         })
     }
 
-    /// The workspace that holds a key.
+    /// The workspace that an API key belongs to.
     #[must_use]
     pub fn workspace_by_key(&self, key: &str) -> Option<&Workspace> {
-        let found = self
-            .keys
-            .binary_search_by(|have| have.text.as_str().cmp(key));
+        let found = self.keys.binary_search_by(|row| row.text.as_str().cmp(key));
         found
             .ok()
-            .map(|place| &self.workspaces[self.keys[place].workspace])
+            .map(|index| &self.workspaces[self.keys[index].workspace])
     }
 
     /// A service by name.
     #[must_use]
     pub fn service(&self, name: &id::Service) -> Option<&Service> {
-        let found = self.services.binary_search_by(|have| have.name.cmp(name));
-        found.ok().map(|place| &self.services[place])
+        let found = self
+            .services
+            .binary_search_by(|service| service.name.cmp(name));
+        found.ok().map(|index| &self.services[index])
     }
 
     /// All services, sorted by name.
--- a/coltsfoothall/src/forward/duration.rs
+++ b/coltsfoothall/src/forward/duration.rs
@@ -1,26 +1,26 @@
-//! How long answers take, from those seen here lately, by route.
+//! Longest answer time to expect on each route, from the answers seen recently by this instance.
 //!
-//! The longest to expect is the longest seen. Of answers that are alike, the next is longer
-//! than all of the last 64 once in 65 times; a mean and its deviation, which were tried
-//! first, forget a rare long answer after some twenty short ones.
+//! The estimate is the maximum of the last 64 answers. If answer times are identically
+//! distributed, the next one exceeds it once in 65 times. An earlier estimate by running mean
+//! and deviation forgot a rare long answer after some twenty short ones.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Answers remembered on one route.
-const WINDOW: usize = 64;
-/// Most routes remembered, at up to 1 kB each.
-const MOST: usize = 256;
+/// Answers remembered for one route.
+const MAX_ANSWERS: usize = 64;
+/// Bounds memory, at up to 1 kB a route.
+const MAX_ROUTES: usize = 256;
 
-/// The answers of one route.
+/// Recent answer times of one route.
 #[derive(Debug, Clone)]
 struct Row {
     route: String,
-    /// The oldest first.
+    /// Oldest first.
     took: VecDeque<Duration>,
 }
 
-/// The answers of all routes.
+/// Recent answer times of all routes.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     /// Sorted by route.
@@ -28,36 +28,35 @@
 }
 
 impl History {
-    /// A request on a route took this time until its answer was whole, or was given up after
-    /// it.
+    /// Records the time until the answer to a request on a route was complete or was abandoned.
     pub fn record(&mut self, route: &str, took: Duration) {
-        let place = match self.place(route) {
-            Ok(place) => place,
-            Err(_) if self.rows.len() >= MOST => return,
-            Err(place) => {
+        let index = match self.index(route) {
+            Ok(index) => index,
+            Err(_) if self.rows.len() >= MAX_ROUTES => return,
+            Err(index) => {
                 let row = Row {
                     route: route.to_owned(),
                     took: VecDeque::new(),
                 };
-                self.rows.insert(place, row);
-                place
+                self.rows.insert(index, row);
+                index
             }
         };
-        let answers = &mut self.rows[place].took;
-        if answers.len() >= WINDOW {
+        let answers = &mut self.rows[index].took;
+        if answers.len() >= MAX_ANSWERS {
             answers.pop_front();
         }
         answers.push_back(took);
     }
 
-    /// The longest that a request on a route is expected to take; none if none was seen.
+    /// Longest time that a request on a route is expected to take; `None` if none was recorded.
     #[must_use]
     pub fn longest(&self, route: &str) -> Option<Duration> {
-        let row = &self.rows[self.place(route).ok()?];
+        let row = &self.rows[self.index(route).ok()?];
         row.took.iter().max().copied()
     }
 
-    fn place(&self, route: &str) -> Result<usize, usize> {
+    fn index(&self, route: &str) -> Result<usize, usize> {
         self.rows
             .binary_search_by(|row| row.route.as_str().cmp(route))
     }
--- a/coltsfoothall/src/forward/egress.rs
+++ b/coltsfoothall/src/forward/egress.rs
@@ -1,33 +1,33 @@
-//! How much an instance sends to others that ask for something large.
+//! Limit on the large answers that an instance sends to other instances.
 //!
-//! All that lack it ask in the same moment. If one served them all, they would share its link
-//! and each be served last; whoever is refused asks another one, and each that was served can
-//! serve others.
+//! When a new configuration appears, all instances that lack it ask at the same moment. One that
+//! served them all would divide its link among them, and each would wait for the last byte. A
+//! refused instance asks another one, and each instance that was served can serve others.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Bytes a second: half of what the narrowest links carry.
-const RATE: f64 = 600_000.0;
-/// Time that what was accepted may still take for another answer to be accepted.
-const AHEAD: Duration = Duration::from_millis(500);
+/// Half of the capacity of the narrowest links.
+const RATE_BYTES_PER_SECOND: f64 = 600_000.0;
+/// An answer is accepted while those accepted before take less than this to send.
+const MAX_BACKLOG: Duration = Duration::from_millis(500);
 
-/// Large answers of one instance.
+/// Limiter of the large answers of one instance.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Limiter {
-    /// When the answers accepted so far have been sent.
+    /// Time at which the answers accepted so far have been sent.
     free: Option<Time>,
 }
 
 impl Limiter {
-    /// Whether an answer of so many bytes may be sent now; if so it is counted.
+    /// Returns whether an answer of `bytes` may be sent now, and counts it if so.
     pub fn admit(&mut self, now: Time, bytes: usize) -> bool {
         let free = self.free.map_or(now, |free| free.max(now));
-        if free.since(now) >= AHEAD {
+        if free.since(now) >= MAX_BACKLOG {
             return false;
         }
-        self.free = Some(free + Duration::from_secs_f64(bytes as f64 / RATE));
+        self.free = Some(free + Duration::from_secs_f64(bytes as f64 / RATE_BYTES_PER_SECOND));
         true
     }
 }
--- a/coltsfoothall/src/forward/gossip.rs
+++ b/coltsfoothall/src/forward/gossip.rs
@@ -1,190 +1,191 @@
-//! What instances tell each other of endpoints: what they have open there, what failed, and
-//! which shared parts of prompts they sent there.
+//! Reports about endpoints between instances: open load, failures, and the shared prompt prefixes
+//! that were sent to each endpoint.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Time;
-use crate::forward::node::{Listing, Load, TOLD};
+use crate::forward::node::{Listing, Load, MAX_FAILURES_PER_HEARTBEAT};
 use crate::forward::roster::{Event, Roster, Run};
 use crate::id;
 use crate::size::Millis;
 
-/// Something counted at an endpoint since it started.
+/// A value for an endpoint, valid for one start of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count<T> {
     /// The endpoint.
     pub id: id::Endpoint,
-    /// Its start; what is said of another one says nothing of it.
+    /// When it started; a report about another start is ignored.
     pub born: Millis,
-    /// What was counted.
+    /// The reported value.
     pub value: T,
 }
 
-/// What another instance told that it has open.
+/// Another instance and the load that it reported last.
 #[derive(Debug, Clone)]
 pub(super) struct Peer {
     pub(super) boot: u64,
     rows: Vec<Row>,
 }
 
-/// A load that is counted at an endpoint, until its instance tells another one.
+/// A load that is counted at an endpoint until its instance reports the next one.
 #[derive(Debug, Clone)]
 struct Row {
     endpoint: id::Endpoint,
-    /// Where it is counted: not at what registers under this name later.
+    /// Listing that it is counted at, so that it is never subtracted from a later endpoint of the
+    /// same name.
     listing: Listing,
     load: Load,
 }
 
-/// A shared part that was sent to an endpoint.
+/// A shared prefix that was sent to an endpoint.
 #[derive(Debug, Clone)]
-pub(super) struct Placed {
+pub(super) struct Placement {
     at: Time,
-    /// The part, by its chain.
-    said: Count<u64>,
+    /// Endpoint and chained hash of the prefix.
+    count: Count<u64>,
 }
 
-/// A part that goes to the same endpoint again is told again after this time.
-pub(super) const PLACED_AGAIN: Duration = Duration::from_secs(5);
-/// Most parts told at once; it stops a flood from filling heartbeats, at about 30 bytes each.
-const PLACED: usize = 256;
+/// A prefix that is sent to the same endpoint again is reported again after this time.
+pub(super) const PLACEMENT_INTERVAL: Duration = Duration::from_secs(5);
+/// Bounds the reported prefixes, at about 30 bytes each, so that a burst does not fill heartbeats.
+const MAX_PLACEMENTS: usize = 256;
 
 impl Roster {
-    /// What this instance has open at each endpoint where that is not nothing.
+    /// Load of this instance at each endpoint where it has open requests.
     #[must_use]
     pub fn own_loads(&self) -> Vec<Count<Load>> {
         let busy = self.nodes.iter().filter(|node| node.own.open > 0);
         busy.map(|node| node.count(node.own)).collect()
     }
 
-    /// Another instance tells what it has open, endpoints without work left out. Of an
-    /// endpoint that started again meanwhile it may be the first to tell.
+    /// Replaces the load that another instance reported before; endpoints without open requests
+    /// are left out of a report. The report may be the first sign that an endpoint restarted.
     pub fn merge_loads(&mut self, now: Time, boot: u64, loads: &[Count<Load>]) -> Vec<Event> {
         let restarted = loads
             .iter()
-            .filter_map(|said| self.merge_start(now, &said.id, said.born));
+            .filter_map(|count| self.merge_start(now, &count.id, count.born));
         let restarted = restarted.collect();
-        let _had = self.subtract_loads(boot);
+        let _previous = self.subtract_loads(boot);
         let rows = loads
             .iter()
-            .filter_map(|said| self.add_load(said))
+            .filter_map(|count| self.add_load(count))
             .collect();
         match self.peers.binary_search_by_key(&boot, |peer| peer.boot) {
-            Ok(place) => self.peers[place].rows = rows,
-            Err(place) => self.peers.insert(place, Peer { boot, rows }),
+            Ok(index) => self.peers[index].rows = rows,
+            Err(index) => self.peers.insert(index, Peer { boot, rows }),
         }
         restarted
     }
 
-    /// Adds what another instance has open at an endpoint, unless it speaks of another start.
-    fn add_load(&mut self, said: &Count<Load>) -> Option<Row> {
-        let place = self.place(&said.id).ok()?;
-        let node = &mut self.nodes[place];
-        if said.born != node.entry.born {
+    /// Adds a load that another instance reports, unless it is for another start of the endpoint.
+    fn add_load(&mut self, count: &Count<Load>) -> Option<Row> {
+        let index = self.index(&count.id).ok()?;
+        let node = &mut self.nodes[index];
+        if count.born != node.entry.born {
             return None;
         }
-        node.others = node.others.plus(said.value);
+        node.others = node.others.plus(count.value);
         Some(Row {
-            endpoint: said.id.clone(),
+            endpoint: count.id.clone(),
             listing: node.listing,
-            load: said.value,
+            load: count.value,
         })
     }
 
-    /// Subtracts what an instance told last. Returns its place, if it told anything.
+    /// Subtracts the load that an instance reported last. Returns its index, if it reported any.
     fn subtract_loads(&mut self, boot: u64) -> Option<usize> {
-        let place = self.peers.binary_search_by_key(&boot, |peer| peer.boot);
-        let place = place.ok()?;
-        for row in std::mem::take(&mut self.peers[place].rows) {
-            let Ok(at) = self.place(&row.endpoint) else {
+        let index = self.peers.binary_search_by_key(&boot, |peer| peer.boot);
+        let index = index.ok()?;
+        for row in std::mem::take(&mut self.peers[index].rows) {
+            let Ok(node) = self.index(&row.endpoint) else {
                 continue;
             };
-            let node = &mut self.nodes[at];
+            let node = &mut self.nodes[node];
             if node.listing == row.listing {
                 node.others = node.others.minus(row.load);
             }
         }
-        Some(place)
+        Some(index)
     }
 
-    /// Loads that others told and that are held here.
+    /// Number of loads reported by other instances that are kept here.
     #[must_use]
     pub fn peer_load_count(&self) -> usize {
         self.peers.iter().map(|peer| peer.rows.len()).sum()
     }
 
-    /// Another instance names the start of an endpoint.
+    /// Resets an endpoint for which another instance reports a later start.
     fn merge_start(&mut self, now: Time, id: &id::Endpoint, born: Millis) -> Option<Event> {
-        let place = self.place(id).ok()?;
-        let node = &mut self.nodes[place];
+        let index = self.index(id).ok()?;
+        let node = &mut self.nodes[index];
         if born <= node.entry.born {
             return None;
         }
-        *node = node.reborn(born, self.listings.advance(), now);
+        *node = node.restarted(born, self.listings.advance(), now);
         Some(Event::Restarted(id.clone()))
     }
 
-    /// Shared parts were sent to an endpoint, as far as that is news to others.
+    /// Records shared prefixes that were sent to an endpoint and have to be reported.
     pub(super) fn record_placements(&mut self, now: Time, run: &Run, chains: &[u64]) {
-        let room = PLACED.saturating_sub(self.placed.len());
+        let room = MAX_PLACEMENTS.saturating_sub(self.placements.len());
         for chain in chains.iter().take(room) {
-            let said = Count {
+            let count = Count {
                 id: run.endpoint.clone(),
                 born: run.born,
                 value: *chain,
             };
-            self.placed.push(Placed { at: now, said });
+            self.placements.push(Placement { at: now, count });
         }
     }
 
-    /// Shared parts that were sent from here within `span`, for others to know.
+    /// Shared prefixes that this instance sent to endpoints within `span`, to be reported.
     pub fn placements(&mut self, now: Time, span: Duration) -> Vec<Count<u64>> {
-        self.placed.retain(|placed| placed.at >= now - span);
-        let said = self.placed.iter().map(|placed| placed.said.clone());
-        said.collect()
+        self.placements.retain(|sent| sent.at >= now - span);
+        let counts = self.placements.iter().map(|sent| sent.count.clone());
+        counts.collect()
     }
 
-    /// Another instance tells where it sent shared parts lately.
-    pub fn merge_placements(&mut self, now: Time, placed: &[Count<u64>]) {
-        for said in placed {
-            let Ok(place) = self.place(&said.id) else {
+    /// Merges the shared prefixes that another instance recently sent to endpoints.
+    pub fn merge_placements(&mut self, now: Time, placements: &[Count<u64>]) {
+        for count in placements {
+            let Ok(index) = self.index(&count.id) else {
                 continue;
             };
-            let node = &mut self.nodes[place];
-            if node.entry.born == said.born {
-                node.remember(said.value, now);
+            let node = &mut self.nodes[index];
+            if node.entry.born == count.born {
+                node.record_cached(count.value, now);
             }
         }
     }
 
-    /// Failures seen here since the boot, where there were any.
+    /// Failures that this instance has seen since it started, of endpoints that had any.
     #[must_use]
     pub fn failure_counts(&self) -> Vec<Count<u32>> {
         let failing = self.nodes.iter().filter(|node| node.failed > 0);
         failing.map(|node| node.count(node.failed)).collect()
     }
 
-    /// Another instance tells of the failures that it saw since its boot.
+    /// Merges the failures that another instance has seen since it started.
     pub fn merge_failures(&mut self, now: Time, boot: u64, failed: &[Count<u32>]) {
-        for said in failed {
-            let Ok(place) = self.place(&said.id) else {
+        for report in failed {
+            let Ok(index) = self.index(&report.id) else {
                 continue;
             };
-            let node = &mut self.nodes[place];
-            if said.born != node.entry.born {
+            let node = &mut self.nodes[index];
+            if report.born != node.entry.born {
                 continue;
             }
-            let count = &said.value;
-            let told = node
+            let count = &report.value;
+            let previous = node
                 .others_failed
                 .iter_mut()
-                .find(|(have, _)| *have == boot);
-            let more = match told {
-                Some((_, had)) => {
-                    let more = count.saturating_sub(*had);
-                    *had = (*had).max(*count);
+                .find(|(other, _)| *other == boot);
+            let more = match previous {
+                Some((_, known)) => {
+                    let more = count.saturating_sub(*known);
+                    *known = (*known).max(*count);
                     more
                 }
                 None => {
@@ -192,16 +193,16 @@
                     *count
                 }
             };
-            for _ in 0..more.min(TOLD) {
+            for _ in 0..more.min(MAX_FAILURES_PER_HEARTBEAT) {
                 node.record_failure(now);
             }
         }
     }
 
-    /// Another instance is gone, and its requests with it.
+    /// Removes the load of an instance that is gone.
     pub fn forget(&mut self, boot: u64) {
-        if let Some(place) = self.subtract_loads(boot) {
-            self.peers.remove(place);
+        if let Some(index) = self.subtract_loads(boot) {
+            self.peers.remove(index);
         }
     }
 }
--- a/coltsfoothall/src/forward/history.rs
+++ b/coltsfoothall/src/forward/history.rs
@@ -1,7 +1,7 @@
-//! Places in the history of a store that may come back from an older copy of itself.
+//! Positions in the history of a store that may be restored from an older backup.
 //!
-//! Its revisions go back then and are given out again, so a revision says nothing without
-//! the copy that it is from.
+//! A restore sets the store's revision back, and revisions are then assigned a second time. A
+//! revision is therefore meaningful only together with the era, which counts the restores.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,21 +10,21 @@
 use serde::{Deserialize, Serialize};
 
 quick_error! {
-    /// Text that names no era or place.
+    /// Error in the text of an era or a position.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// It is not a number.
+        /// The era is not a number.
         Number(text: String) {
             display("era {text:?} is not a whole number")
         }
-        /// It is not an era and a revision.
+        /// The text is not an era, a dot and a revision.
         Position(text: String) {
-            display("place {text:?} is not an era, a dot and a revision")
+            display("invalid position {text:?}: expected <era>.<revision>")
         }
     }
 }
 
-/// Number of a copy of the store; it rises each time the store comes back from one.
+/// Number of restores of the store from a backup.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Era(pub u64);
@@ -47,19 +47,19 @@
 }
 
 impl Era {
-    /// The one before.
+    /// The preceding era.
     #[must_use]
     pub fn before(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
 
-/// A change in the store's history; those of a later era come after all of an earlier one.
+/// Position of a change in the store's history, ordered by era first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
-    /// The copy that it was made in.
+    /// Era in which the change was made.
     pub era: Era,
-    /// Its revision there.
+    /// Revision of the change within the era.
     pub revision: u64,
 }
 
@@ -73,9 +73,9 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let wrong = || Error::Position(text.into());
-        let (era, revision) = text.split_once('.').ok_or_else(wrong)?;
-        let revision = revision.parse().map_err(|_error| wrong())?;
+        let invalid = || Error::Position(text.into());
+        let (era, revision) = text.split_once('.').ok_or_else(invalid)?;
+        let revision = revision.parse().map_err(|_error| invalid())?;
         Ok(Self {
             era: era.parse()?,
             revision,
@@ -83,14 +83,15 @@
     }
 }
 
-/// Bits of a fence that hold the revision: the store makes 3,200 changes a second at most, so
-/// they last for ten years. The era has the 13 above them; a larger number would not be exact
-/// where it is read as a double.
+/// Bits of a fence that hold the revision. At 3,200 changes per second, the most that the store
+/// makes, they last for ten years. The era takes the 13 bits above: a number of more than 53 bits
+/// would not be exact where it is parsed as a double.
 const REVISION_BITS: u32 = 40;
-/// The last era that a fence can tell.
-const LAST_ERA: u64 = (1 << 13) - 1;
+/// Largest era that fits in a fence.
+const MAX_ERA: u64 = (1 << 13) - 1;
 
-/// The number that goes with each act for all. It rises with each claim, across eras too.
+/// Fencing token that accompanies each action of a leader. It grows with each election, also
+/// across eras.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fence(u64);
 
@@ -101,19 +102,19 @@
 }
 
 impl From<Position> for Fence {
-    /// The fence of the claim that was made at this place.
-    fn from(place: Position) -> Self {
-        let last = (1 << REVISION_BITS) - 1;
-        Self(place.era.0.min(LAST_ERA) << REVISION_BITS | place.revision.min(last))
+    /// The fence of a leader key that was created at this position.
+    fn from(position: Position) -> Self {
+        let max_revision = (1 << REVISION_BITS) - 1;
+        Self(position.era.0.min(MAX_ERA) << REVISION_BITS | position.revision.min(max_revision))
     }
 }
 
-/// A lease at the store. Its number is given out again in another era.
+/// A lease at the store. Its number may be assigned again in a later era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease {
     /// Its number.
     pub id: u64,
-    /// The copy that it was taken in.
+    /// Era in which it was granted.
     pub era: Era,
 }
 
@@ -123,52 +124,52 @@
     }
 }
 
-/// The eras of a store's answers so far.
+/// Eras of the store's responses so far.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Eras {
     newest: Option<Era>,
-    /// Whether the newest one followed another that was seen here.
-    rose: bool,
-    /// The store's revision as first seen in the newest era.
-    first: Option<u64>,
+    /// Whether an older era was seen here before the newest one.
+    advanced: bool,
+    /// First revision of the store that was seen in the newest era.
+    first_revision: Option<u64>,
 }
 
 impl Eras {
-    /// The newest era that an answer was from.
+    /// The newest era of any response.
     #[must_use]
     pub fn newest(&self) -> Option<Era> {
         self.newest
     }
 
-    /// An answer names its era, or none. Returns the era that it is from: without a name the
-    /// newest that is known.
-    pub fn record(&mut self, named: Option<Era>) -> Era {
-        let era = named.or(self.newest).unwrap_or_default();
+    /// Records the era that a response names, if any, and returns the response's era: without a
+    /// name it is the newest known.
+    pub fn record(&mut self, reported: Option<Era>) -> Era {
+        let era = reported.or(self.newest).unwrap_or_default();
         if self.newest.is_none_or(|known| known < era) {
             *self = Self {
                 newest: Some(era),
-                rose: self.newest.is_some(),
-                first: None,
+                advanced: self.newest.is_some(),
+                first_revision: None,
             };
         }
         era
     }
 
-    /// An answer of this era tells the store's revision.
+    /// Records the store's revision in a response of this era, and returns its position.
     pub fn at(&mut self, era: Era, revision: u64) -> Position {
         if self.newest == Some(era) {
-            self.first.get_or_insert(revision);
+            self.first_revision.get_or_insert(revision);
         }
         Position { era, revision }
     }
 
-    /// When a value was written that an answer of this era holds. What the copy held, and what
-    /// may have been written before the first answer, is dated to the era before.
+    /// Position at which a value in a response of this era was written. Values that the backup
+    /// held, or that may have been written before the first response, count to the era before.
     #[must_use]
     pub fn written(&self, era: Era, revision: u64) -> Position {
-        let first = self.first.unwrap_or(0);
-        let old = self.newest == Some(era) && self.rose && revision <= first;
-        let era = if old { era.before() } else { era };
+        let first = self.first_revision.unwrap_or(0);
+        let is_old = self.newest == Some(era) && self.advanced && revision <= first;
+        let era = if is_old { era.before() } else { era };
         Position { era, revision }
     }
 }
--- a/coltsfoothall/src/forward/latency.rs
+++ b/coltsfoothall/src/forward/latency.rs
@@ -1,44 +1,44 @@
-//! How fast the engines of a service are, learned from the answers seen here.
+//! Latency model of a service's engines, fitted to the answers seen by this instance.
 //!
-//! The time to a first event is taken as a sum: a start, a share for each token of the
-//! prompts that are read before it and of its own, a share for each pair of a token and
-//! one before it (long prompts cost more than in proportion), and a share for each request
-//! in the batch. The shares are the least-squares fit of the answers seen lately, drawn
-//! towards settings that hold until answers are there. An estimate is worth as much as a
-//! constant set right, and a constant that is right for one engine is wrong for the next:
-//! engines served so far differ sevenfold in what a request of the batch costs.
+//! The time to a first event is modeled as a sum: a constant, a coefficient for each prompt token
+//! that is prefilled before it (its own prompt included), one for each pair of a token and an
+//! earlier one (the cost of long prompts grows faster than their length), and one for each
+//! request in the batch. The coefficients are a regularized least-squares fit of recent answers:
+//! the prior is given by settings, which apply alone until there are answers. The fit is as
+//! accurate as well-chosen constants, and constants that suit one engine do not suit the next:
+//! the cost of a request in the batch differs sevenfold among the engines served so far.
 
 use std::fmt;
 use std::time::Duration;
 
 use nalgebra::{Matrix4, Vector4};
 
-/// Part of its weight that an older answer keeps beside a newer one: a few hundred answers
-/// count, which one instance sees in ten seconds or so.
-const KEPT: f64 = 0.996;
-/// Answers that what was assumed at first weighs as much as, for each share. A batch grows
-/// when endpoints fall behind, so what waits unseen is easily taken for the batch's share:
-/// with 6 it went from 0.5 to 5 ms in the first overload of 67 instances, and the load that
-/// is reckoned with it from 28 to 82 endpoints' time.
-const ASSUMED: [f64; 4] = [6.0, 6.0, 6.0, 120.0];
-/// An answer counts at most as this many times what was expected, so that an endpoint that
-/// stalls does not make all look slow.
-const OUTLIER: f64 = 3.0;
-/// Tokens that one unit of the fit stands for; with it all units are of one size.
-const TOKENS: f64 = 1e4;
-/// Pairs of tokens that one unit of the fit stands for.
-const PAIRS: f64 = 1e8;
-/// Requests in the batch that one unit of the fit stands for.
-const BATCH: f64 = 20.0;
-
-/// What a first event has to wait for at an endpoint.
+/// Factor by which each new answer decays the weight of the older ones. The fit then rests on a
+/// few hundred answers, which one instance sees in some ten seconds.
+const DECAY: f64 = 0.996;
+/// Weight of the prior of each coefficient, in answers. A batch grows when endpoints fall behind,
+/// so that unobserved queueing is easily attributed to the batch coefficient. With a weight of 6
+/// that coefficient rose from 0.5 to 5 ms in the first overload of 67 instances, and the load
+/// that is computed from it from 28 to 82 endpoints' time.
+const PRIOR_WEIGHT: [f64; 4] = [6.0, 6.0, 6.0, 120.0];
+/// An answer time is capped at this multiple of the expected one, so that one stalled endpoint
+/// does not make all of them appear slow.
+const MAX_RATIO: f64 = 3.0;
+/// Tokens per unit of the fit. The units bring all inputs to a similar magnitude.
+const TOKENS_PER_UNIT: f64 = 1e4;
+/// Token pairs per unit of the fit.
+const PAIRS_PER_UNIT: f64 = 1e8;
+/// Requests in the batch per unit of the fit.
+const REQUESTS_PER_UNIT: f64 = 20.0;
+
+/// Work at an endpoint that precedes a first event.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Sample {
-    /// Tokens of prompts that are read before it, its own included.
+    /// Prompt tokens that are prefilled before it, those of its own prompt included.
     pub tokens: u64,
-    /// Pairs of each of these tokens with those before it in its prompt, counted as squares.
+    /// Token pairs in the attention of these prefills, as differences of squares.
     pub pairs: u64,
-    /// Requests beside it.
+    /// Other requests in the batch.
     pub open: u32,
 }
 
@@ -46,23 +46,23 @@
     fn units(self) -> Vector4<f64> {
         Vector4::new(
             1.0,
-            self.tokens as f64 / TOKENS,
-            self.pairs as f64 / PAIRS,
-            f64::from(self.open) / BATCH,
+            self.tokens as f64 / TOKENS_PER_UNIT,
+            self.pairs as f64 / PAIRS_PER_UNIT,
+            f64::from(self.open) / REQUESTS_PER_UNIT,
         )
     }
 }
 
-/// What is assumed of engines until their answers are seen.
+/// Prior of the model.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
-    /// Microseconds to a first event with nothing to read.
+    /// Microseconds to a first event without a prefill.
     pub start: f64,
-    /// Microseconds in which a token of a prompt is read.
+    /// Microseconds to prefill one token.
     pub read: f64,
-    /// Microseconds for a million pairs of tokens.
+    /// Microseconds for a million token pairs.
     pub pairs: f64,
-    /// Microseconds that each request beside it adds to an event.
+    /// Microseconds that each other request in the batch adds to an event.
     pub beside: f64,
 }
 
@@ -77,33 +77,33 @@
     }
 }
 
-/// The fit for one service.
+/// Latency model of one service.
 #[derive(Debug, Clone)]
 pub struct Model {
-    assumed: Vector4<f64>,
-    /// Weighted sums of the products of two units.
+    prior: Vector4<f64>,
+    /// Weighted sum of the outer products of the inputs.
     products: Matrix4<f64>,
-    /// Weighted sums of the products of a unit and the time that it took.
+    /// Weighted sum of the inputs multiplied by the time taken.
     times: Vector4<f64>,
-    /// Microseconds for each unit: start, tokens, pairs, batch.
-    shares: Vector4<f64>,
+    /// Microseconds per unit: start, tokens, pairs, batch.
+    coefficients: Vector4<f64>,
 }
 
 impl Model {
-    /// What is assumed, and nothing seen.
+    /// Creates a model without answers, which uses the prior.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
-        let assumed = Vector4::new(
+        let prior = Vector4::new(
             settings.start,
-            settings.read * TOKENS,
-            settings.pairs * PAIRS / 1e6,
-            settings.beside * BATCH,
+            settings.read * TOKENS_PER_UNIT,
+            settings.pairs * PAIRS_PER_UNIT / 1e6,
+            settings.beside * REQUESTS_PER_UNIT,
         );
         Self {
-            assumed,
+            prior,
             products: Matrix4::zeros(),
             times: Vector4::zeros(),
-            shares: assumed,
+            coefficients: prior,
         }
     }
 
@@ -113,53 +113,54 @@
         Duration::from_micros(self.micros(sample) as u64)
     }
 
-    /// Microseconds of an endpoint's time that reading takes.
+    /// Microseconds of an endpoint's time that a prefill takes.
     #[must_use]
     pub fn prefill(&self, tokens: u64, pairs: u64) -> f64 {
-        tokens as f64 / TOKENS * self.shares[1] + pairs as f64 / PAIRS * self.shares[2]
+        tokens as f64 / TOKENS_PER_UNIT * self.coefficients[1]
+            + pairs as f64 / PAIRS_PER_UNIT * self.coefficients[2]
     }
 
-    /// Microseconds of an endpoint's time that one event of an answer takes: what a request
-    /// in the batch adds to the events of the others.
+    /// Microseconds of an endpoint's time that one event of an answer takes: the delay that a
+    /// request in the batch adds to the events of the others.
     #[must_use]
     pub fn event(&self) -> f64 {
-        self.shares[3] / BATCH
+        self.coefficients[3] / REQUESTS_PER_UNIT
     }
 
-    /// An answer began after this time.
+    /// Records the measured time to a first event.
     pub fn record(&mut self, sample: Sample, took: Duration) {
         let units = sample.units();
-        let most = self.micros(sample) * OUTLIER;
-        let took = (took.as_micros() as f64).min(most);
-        self.products = self.products * KEPT + units * units.transpose();
-        self.times = self.times * KEPT + units * took;
+        let max_micros = self.micros(sample) * MAX_RATIO;
+        let took = (took.as_micros() as f64).min(max_micros);
+        self.products = self.products * DECAY + units * units.transpose();
+        self.times = self.times * DECAY + units * took;
         self.fit();
     }
 
     fn micros(&self, sample: Sample) -> f64 {
-        sample.units().dot(&self.shares)
+        sample.units().dot(&self.coefficients)
     }
 
-    /// Solves for the shares; one that would be below nothing is nothing.
+    /// Solves for the coefficients; negative ones are set to zero.
     fn fit(&mut self) {
-        let weight = Matrix4::from_diagonal(&Vector4::from(ASSUMED));
+        let weight = Matrix4::from_diagonal(&Vector4::from(PRIOR_WEIGHT));
         let products = self.products + weight;
-        let times = self.times + weight * self.assumed;
-        // Positive definite, since what is assumed has weight; figures that are no longer
-        // finite leave the fit before.
+        let times = self.times + weight * self.prior;
+        // The matrix is positive definite, as the prior has weight. If sums are no longer finite,
+        // the decomposition fails and the previous fit stays.
         if let Some(solver) = products.cholesky() {
-            self.shares = solver.solve(&times).map(|share| share.max(0.0));
+            self.coefficients = solver.solve(&times).map(|value| value.max(0.0));
         }
     }
 }
 
 impl fmt::Display for Model {
-    /// Microseconds: to start, for a thousand tokens, for a million pairs, for a request
-    /// beside.
+    /// Microseconds: constant, per thousand tokens, per million pairs, per other request in the
+    /// batch.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [start, tokens, pairs, batch] = self.shares.into();
-        let (tokens, pairs) = (tokens * 1e3 / TOKENS, pairs * 1e6 / PAIRS);
-        let beside = batch / BATCH;
+        let [start, tokens, pairs, batch] = self.coefficients.into();
+        let (tokens, pairs) = (tokens * 1e3 / TOKENS_PER_UNIT, pairs * 1e6 / PAIRS_PER_UNIT);
+        let beside = batch / REQUESTS_PER_UNIT;
         write!(f, "{start:.0}/{tokens:.0}/{pairs:.0}/{beside:.0}")
     }
 }
--- a/coltsfoothall/src/forward/leader.rs
+++ b/coltsfoothall/src/forward/leader.rs
@@ -1,8 +1,9 @@
-//! Who acts for all: the holder of a leased key at the store.
+//! Leader election by a leased key at the store.
 //!
-//! The fence made from the key's creation rises with each holder and goes with every act, so
-//! that an act of a former holder is refused. A holder acts only while its lease surely runs,
-//! and while the store has not come back from an older copy, which may hold neither key nor lease.
+//! The fence is derived from the position at which the key was created. It grows with each
+//! leader and accompanies every action, so that the actions of a former leader are refused. A
+//! leader acts only while its lease certainly runs, and stops if the store is restored from an
+//! older backup, which may hold neither the key nor the lease.
 
 use std::time::Duration;
 
@@ -13,127 +14,128 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Held {
     lease: Lease,
-    /// When the key was created.
+    /// Position at which the key was created.
     created: Position,
-    /// Until when the lease surely runs.
-    until: Time,
+    /// Earliest time at which the lease may expire.
+    expires: Time,
 }
 
-/// What to do next about the lease.
+/// Next step of the election.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Try to become the holder.
+    /// Try to become the leader.
     Claim,
     /// Renew this lease.
     Renew(Lease),
-    /// Give this lease up.
+    /// Release this lease.
     Release(Lease),
-    /// Nothing.
+    /// Do nothing.
     Rest,
 }
 
-/// This instance's part in the election.
+/// Election state of this instance.
 #[derive(Debug, Clone)]
 pub struct Leader {
     term: Duration,
     held: Option<Held>,
-    /// Whether the key is known to stand at the store, whoever holds it.
+    /// Whether the key exists at the store, whoever holds it.
     taken: bool,
-    /// Since when it is known to be free.
-    free: Time,
+    /// Time since which the key is known to be absent.
+    free_since: Time,
     stopping: bool,
 }
 
 impl Leader {
-    /// An instance that holds nothing; leases run for `term`.
+    /// Creates the state of an instance that is not the leader; leases run for `term`.
     #[must_use]
     pub fn new(term: Duration) -> Self {
         Self {
             term,
             held: None,
-            // Until the store was read, somebody may hold it.
+            // Until the store has been read, another instance may hold the key.
             taken: true,
-            free: Time::START,
+            free_since: Time::START,
             stopping: false,
         }
     }
 
-    /// The key stands at the store, and was created then.
+    /// Records that the key exists at the store and was created at `created`.
     pub fn taken(&mut self, created: Position) {
         self.taken = true;
-        // Another holder's key means that ours is gone.
+        // A key of another leader means that this instance's key is gone.
         if self.held.is_some_and(|held| held.created != created) {
             self.held = None;
         }
     }
 
-    /// The key is gone from the store.
+    /// Records that the key is absent from the store.
     pub fn freed(&mut self, now: Time) {
         self.taken = false;
-        self.free = now;
+        self.free_since = now;
         self.held = None;
     }
 
-    /// A claim succeeded; the lease was asked for at `asked`.
+    /// Records that a claim succeeded; the lease was requested at `asked`.
     pub fn claimed(&mut self, asked: Time, lease: Lease, created: Position) {
         self.taken = true;
         self.held = Some(Held {
             lease,
             created,
-            until: asked + self.term,
+            expires: asked + self.term,
         });
     }
 
-    /// A renewal asked for at `asked` succeeded.
+    /// Records that a renewal requested at `asked` succeeded.
     pub fn renewed(&mut self, asked: Time, lease: Lease) {
         if let Some(held) = &mut self.held
             && held.lease == lease
         {
-            held.until = asked + self.term;
+            held.expires = asked + self.term;
         }
     }
 
-    /// The lease has ended, or an act was refused for a newer holder's.
+    /// Records that the lease has expired, or that an action was refused in favor of a newer
+    /// leader.
     pub fn lost(&mut self) {
         self.held = None;
     }
 
-    /// The store came back from a copy. A lease of an earlier one may have gone with what was
-    /// written since; its holder acts no more until it has claimed again.
+    /// Records that the store was restored from a backup, which began `era`. A lease of an earlier
+    /// era may be lost, so its holder stops acting until it has claimed the key again.
     pub fn record_era(&mut self, era: Era) {
         if self.held.is_some_and(|held| held.lease.era < era) {
             self.held = None;
         }
     }
 
-    /// This instance stops: it gives the lease up and claims no more.
+    /// Makes this instance release its lease and claim no other, because it stops.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// The number under which this instance may act now, if it is the holder.
+    /// The fence under which this instance may act now, if it is the leader.
     #[must_use]
     pub fn fence(&self, now: Time) -> Option<Fence> {
         let held = self.held?;
-        // A quarter of the term is left for the act to arrive and for clocks that differ.
-        (now + self.term / 4 < held.until).then_some(Fence::from(held.created))
+        // A quarter of the term is reserved for the delivery of an action and for clock skew.
+        (now + self.term / 4 < held.expires).then_some(Fence::from(held.created))
     }
 
-    /// What to do now, for the instance with so many ready ones before it.
+    /// Next step of the instance with `rank` ready instances before it by name.
     #[must_use]
     pub fn step(&self, now: Time, rank: usize) -> Step {
         match self.held {
             Some(held) if self.stopping => Step::Release(held.lease),
-            Some(held) if now >= held.until => Step::Claim,
+            Some(held) if now >= held.expires => Step::Claim,
             Some(held) => Step::Renew(held.lease),
             None if self.stopping || self.taken => Step::Rest,
-            // One after the other, so that an election costs one write and not one each.
-            None if now.since(self.free) < self.turn(rank) => Step::Rest,
+            // Claims are staggered so that an election costs one write, not one per instance.
+            None if now.since(self.free_since) < self.claim_delay(rank) => Step::Rest,
             None => Step::Claim,
         }
     }
 
-    fn turn(&self, rank: usize) -> Duration {
+    fn claim_delay(&self, rank: usize) -> Duration {
         self.term / 8 * u32::try_from(rank.min(24)).unwrap_or(24)
     }
 }
--- a/coltsfoothall/src/forward/mod.rs
+++ b/coltsfoothall/src/forward/mod.rs
@@ -1,8 +1,9 @@
-//! Decisions of an instance that forwards each request from its own memory alone.
+//! Decision logic of an entry instance that forwards requests and keeps their state only in its
+//! own memory.
 //!
-//! Nothing is copied to another entry instance here: a request lives and ends with
-//! the connection that brought it. Instances agree through an external store and
-//! tell each other what ages too fast for it.
+//! Requests are not replicated to other entry instances: a request ends with the connection that
+//! brought it. Instances agree through an external store, and exchange by heartbeats whatever
+//! changes too fast for the store.
 
 pub mod choice;
 pub mod config;
--- a/coltsfoothall/src/forward/node.rs
+++ b/coltsfoothall/src/forward/node.rs
@@ -1,4 +1,4 @@
-//! One endpoint and what is believed of it.
+//! An endpoint and its estimated state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,32 +11,35 @@
 use crate::id;
 use crate::size::Millis;
 
-/// Most prompt parts remembered for one endpoint; it bounds memory, at 24 bytes each.
-pub(super) const PARTS: usize = 1024;
-/// Weight of the newest answer time in the running mean of slowness.
-pub(super) const NEWEST: f64 = 0.15;
-/// Weight of a failure, and of a whole answer, in what is believed of an endpoint's soundness.
-/// A failing part of 0.45 keeps it above a half, one of 0.02 below a tenth.
-pub(super) const FAILURE: f64 = 0.35;
-pub(super) const SUCCESS: f64 = 0.1;
-/// In such a time a failure counts half, so that an endpoint that nobody asks is tried again.
-pub(super) const HALF: f64 = 4.0;
-/// Most failures that one heartbeat adds; a burst at another instance is no more certain.
-pub(super) const TOLD: u32 = 3;
-/// Slowness is believed between these factors, so that one odd answer excludes nobody.
-pub(super) const SLOWNESS: (f64, f64) = (0.7, 12.0);
+/// Bounds the memory for prompt parts of one endpoint, at 24 bytes each.
+pub(super) const MAX_CACHED_PARTS: usize = 1024;
+/// Weight of the newest answer time in the moving average of slowness.
+pub(super) const SLOWNESS_WEIGHT: f64 = 0.15;
+/// Weights of a failure and of a complete answer in the moving estimate of an endpoint's failure
+/// rate. An endpoint that fails 45 % of its requests is kept above 0.5, one that fails 2 % below
+/// 0.1.
+pub(super) const FAILURE_WEIGHT: f64 = 0.35;
+pub(super) const SUCCESS_WEIGHT: f64 = 0.1;
+/// Half-life, in seconds, of the failure rate, so that an endpoint that gets no requests is tried
+/// again.
+pub(super) const FAILURE_HALF_LIFE_SECONDS: f64 = 4.0;
+/// Bounds the failures that one heartbeat adds: many failures at once at another instance are no
+/// stronger evidence than a few.
+pub(super) const MAX_FAILURES_PER_HEARTBEAT: u32 = 3;
+/// Bounds of the slowness factor, so that a single outlier excludes no endpoint.
+pub(super) const SLOWNESS_BOUNDS: (f64, f64) = (0.7, 12.0);
 
 /// An endpoint as it registered itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Its name; it may start again under the same one.
+    /// Its name; it may restart under the same one.
     pub id: id::Endpoint,
-    /// When it started, in milliseconds since 1970; 0 where it does not say. A later start
-    /// under the same name holds and knows nothing of the one before.
+    /// When it started, in milliseconds since 1970; 0 if it does not report that. A restart under
+    /// the same name keeps no requests and no cache of the process before.
     pub born: Millis,
     /// Its service.
     pub service: id::Service,
-    /// The version that it runs, if it says so.
+    /// The version that it runs, if it reports one.
     pub version: Option<id::Version>,
     /// Where it listens.
     pub address: SocketAddr,
@@ -44,26 +47,26 @@
     pub domain: id::Domain,
     /// Requests that it runs at once.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it is draining.
     pub leaving: bool,
-    /// Time left until it is taken away, as of the registration, if it said so.
+    /// Time until it is reclaimed, as of the registration, if it reports that.
     pub leaves: Option<Duration>,
     /// Whether it can be reclaimed.
     pub reclaimable: bool,
-    /// When the registration was written.
+    /// Position at which the registration was written.
     pub position: Position,
 }
 
 /// Work open at an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests.
+    /// Open requests.
     pub open: u32,
-    /// Tokens of prompts not yet known to be read.
+    /// Prompt tokens that are not yet known to be prefilled.
     pub unread: u64,
-    /// Pairs of each of these tokens with those before it in its prompt, counted as squares.
+    /// Token pairs in the attention of these prefills, as differences of squares.
     pub pairs: u64,
-    /// Tokens of memory that the open requests will take at most.
+    /// Upper bound of the tokens of memory that the open requests will take.
     pub memory: u64,
 }
 
@@ -87,54 +90,61 @@
     }
 }
 
+/// A prompt prefix that was sent to an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Seen {
+pub(super) struct Cached {
     pub(super) chain: u64,
     pub(super) at: Time,
 }
 
+/// A run that waits for its first event.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Open {
+pub(super) struct Waiting {
     pub(super) number: u64,
     pub(super) began: Time,
     pub(super) expected: Duration,
 }
 
-/// Number of an endpoint's place on the list, new at each start and each return.
+/// Number of one listing of an endpoint. Each restart, and each return to the list, gets a new
+/// one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Listing(u64);
 
 impl Listing {
-    /// The next one, which becomes this.
+    /// Advances to the next number and returns it.
     pub(super) fn advance(&mut self) -> Self {
         self.0 += 1;
         *self
     }
 }
 
-/// An endpoint and what is believed of it.
+/// An endpoint and its estimated state.
 #[derive(Debug, Clone)]
 pub struct Node {
     /// Its registration.
     pub entry: Entry,
-    /// When it is taken away, if that is known.
+    /// When it is reclaimed, if that is known.
     pub until: Option<Time>,
     pub(super) listing: Listing,
+    /// Load from this instance.
     pub(super) own: Load,
+    /// Load reported by the other instances.
     pub(super) others: Load,
-    /// Sorted by chain.
-    pub(super) seen: Vec<Seen>,
-    /// Runs without a first answer.
-    pub(super) waiting: Vec<Open>,
+    /// Prefixes assumed to be in its cache, sorted by chain.
+    pub(super) cached: Vec<Cached>,
+    /// Runs without a first event.
+    pub(super) waiting: Vec<Waiting>,
+    /// Failure rate as of `failures_updated`.
     pub(super) failures: f64,
-    pub(super) failures_at: Time,
-    /// Failures seen here since the boot.
+    pub(super) failures_updated: Time,
+    /// Failures seen by this instance since it started.
     pub(super) failed: u32,
-    /// Failures that others told of, by boot.
+    /// Failures reported by other instances, by boot number.
     pub(super) others_failed: Vec<(u64, u32)>,
+    /// Moving average of the time to a first event, relative to the expected time.
     pub(super) slowness: f64,
-    pub(super) avoided: Time,
-    pub(super) full: Time,
+    pub(super) avoided_until: Time,
+    pub(super) full_until: Time,
 }
 
 impl Node {
@@ -145,19 +155,19 @@
             listing,
             own: Load::default(),
             others: Load::default(),
-            seen: Vec::new(),
+            cached: Vec::new(),
             waiting: Vec::new(),
             failures: 0.0,
-            failures_at: now,
+            failures_updated: now,
             failed: 0,
             others_failed: Vec::new(),
             slowness: 1.0,
-            avoided: Time::START,
-            full: Time::START,
+            avoided_until: Time::START,
+            full_until: Time::START,
         }
     }
 
-    /// Something counted at this endpoint.
+    /// A count for this endpoint, labeled with its start.
     pub(super) fn count<T>(&self, value: T) -> Count<T> {
         Count {
             id: self.entry.id.clone(),
@@ -166,8 +176,8 @@
         }
     }
 
-    /// What is believed of an endpoint that started again: nothing.
-    pub(super) fn reborn(&self, born: Millis, listing: Listing, now: Time) -> Self {
+    /// Initial state of this endpoint after a restart.
+    pub(super) fn restarted(&self, born: Millis, listing: Listing, now: Time) -> Self {
         let entry = Entry {
             born,
             leaving: false,
@@ -177,47 +187,48 @@
         Self::new(entry, listing, now)
     }
 
-    /// Work open here and at the other instances.
+    /// Open work of this instance and the others.
     #[must_use]
     pub fn load(&self) -> Load {
         self.own.plus(self.others)
     }
 
-    pub(super) fn knows(&self, chain: u64, oldest: Time) -> bool {
-        let found = self.seen.binary_search_by_key(&chain, |seen| seen.chain);
-        found.is_ok_and(|place| self.seen[place].at >= oldest)
+    pub(super) fn has_cached(&self, chain: u64, oldest: Time) -> bool {
+        let found = self.cached.binary_search_by_key(&chain, |part| part.chain);
+        found.is_ok_and(|index| self.cached[index].at >= oldest)
     }
 
-    pub(super) fn remember(&mut self, chain: u64, now: Time) {
-        match self.seen.binary_search_by_key(&chain, |seen| seen.chain) {
-            Ok(place) => self.seen[place].at = now,
-            Err(place) => self.seen.insert(place, Seen { chain, at: now }),
+    pub(super) fn record_cached(&mut self, chain: u64, now: Time) {
+        match self.cached.binary_search_by_key(&chain, |part| part.chain) {
+            Ok(index) => self.cached[index].at = now,
+            Err(index) => self.cached.insert(index, Cached { chain, at: now }),
         }
-        if self.seen.len() > PARTS {
-            let mut ages: Vec<Time> = self.seen.iter().map(|seen| seen.at).collect();
-            ages.sort_unstable();
-            let middle = ages[ages.len() / 2];
-            self.seen.retain(|seen| seen.at > middle);
+        if self.cached.len() > MAX_CACHED_PARTS {
+            let mut times: Vec<Time> = self.cached.iter().map(|part| part.at).collect();
+            times.sort_unstable();
+            let median = times[times.len() / 2];
+            self.cached.retain(|part| part.at > median);
         }
     }
 
-    /// How much of what it is asked it is believed to fail.
-    pub(super) fn unsound(&self, now: Time) -> f64 {
-        let age = now.since(self.failures_at).as_secs_f64();
-        self.failures * (-age / HALF).exp2()
+    /// Estimated share of its requests that it fails, from 0 to 1.
+    pub(super) fn failure_rate(&self, now: Time) -> f64 {
+        let age = now.since(self.failures_updated).as_secs_f64();
+        self.failures * (-age / FAILURE_HALF_LIFE_SECONDS).exp2()
     }
 
     pub(super) fn record_failure(&mut self, now: Time) {
-        let before = self.unsound(now);
-        self.failures = before + FAILURE * (1.0 - before);
-        self.failures_at = now;
+        let before = self.failure_rate(now);
+        self.failures = before + FAILURE_WEIGHT * (1.0 - before);
+        self.failures_updated = now;
     }
 
+    /// Longest time that a run has waited for its first event beyond twice the expected time.
     pub(super) fn silence(&self, now: Time) -> Duration {
-        let beyond = self
+        let overdue = self
             .waiting
             .iter()
-            .map(|open| now.since(open.began).saturating_sub(open.expected * 2));
-        beyond.max().unwrap_or_default()
+            .map(|run| now.since(run.began).saturating_sub(run.expected * 2));
+        overdue.max().unwrap_or_default()
     }
 }
--- a/coltsfoothall/src/forward/order.rs
+++ b/coltsfoothall/src/forward/order.rs
@@ -1,10 +1,10 @@
-//! How many endpoints of a service to hold, and of which kind, in each failure domain.
+//! Autoscaling: the number of endpoints of a service in each failure domain, by kind.
 //!
-//! Reclaimable ones cost a fraction, but all of a domain go at once on short notice. So
-//! they are spread evenly over the domains that have any, enough that the loss of one
-//! domain leaves the load carried; what they can't carry is held on demand, the cheapest
-//! domain first. A search over offers, as for machine classes, is not needed for one class
-//! in two kinds, and could not keep the limit on one domain.
+//! Reclaimable endpoints cost a fraction of on-demand ones, but all those of a domain may be
+//! reclaimed at once on short notice. They are therefore spread evenly over the domains that offer
+//! them, in a number that still carries the load after the loss of one domain. What they cannot
+//! carry is held on demand, in the cheapest domains first. A search over offers, as for machine
+//! classes, is not needed for one class of two kinds, and could not keep the limit on one domain.
 
 use std::time::Duration;
 
@@ -12,127 +12,128 @@
 use crate::forward::config::{Cost, Scaling};
 use crate::id;
 
-/// Bounds and weights of orders.
+/// Parameters of the planner.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
-    /// Part of an endpoint's time that may be used after the loss of a domain. The time is
-    /// that of reading and of what each event adds to a batch; the rest goes to the steps of
-    /// the batch itself and to waiting. Beside 0.75, 0.6 served 1.2 to 1.9 in a hundred more
-    /// of the worth owed on three fleets and cost as much more.
-    pub used: f64,
-    /// Part of the load that is held on demand in any case, so that the loss of several
-    /// domains, one right after the other, leaves something until more have started.
-    pub floor: f64,
-    /// Part of the endpoints found at first that the load is guessed to take: what they
-    /// would have been ordered for.
-    pub guess: f64,
-    /// Time of traffic after which the measured load is believed to be all.
-    pub young: Duration,
-    /// How long a lower count must be wanted before it is ordered: until a registration
-    /// that comes late is read. Troughs are held by the load itself, which is the highest
-    /// of the last [`Self::buckets`]; with 4 s, endpoints were kept for 0.011 of the worth
-    /// owed (three fleets) and served 0.002 of it.
-    pub calm: Duration,
-    /// Nothing is ordered on demand for so long after the first look while there is no
-    /// traffic: endpoints that start with the system register within a heartbeat or two.
-    pub settle: Duration,
-    /// Wait after an order was refused, doubled up to four times over.
-    pub refused: Duration,
-    /// What is still missing so long after the time to start is ordered again.
-    pub overdue: Duration,
-    /// Length of one measurement of the load. Requests come in clumps: in 2 s the highest of
-    /// five was twice the mean; in 4 s it is closer, and what it leaves out is queued for
-    /// less than the aim of a first event.
+    /// Largest share of an endpoint's time that may be in use after the loss of a domain. The time
+    /// in use is that of prefills and of the delay that each event adds to a batch; the rest is
+    /// taken by the steps of the batch itself and by waiting. Compared to 0.75, a share of 0.6
+    /// served 1.2 to 1.9 percentage points more of the owed value on three fleets, and cost as
+    /// much more.
+    pub max_utilization: f64,
+    /// Share of the load that is held on demand in any case, so that the loss of several domains
+    /// in quick succession leaves some capacity until more endpoints have started.
+    pub on_demand_floor: f64,
+    /// Assumed load at the start, as a share of the endpoints found then: the load that they would
+    /// have been ordered for.
+    pub initial_utilization: f64,
+    /// Duration of traffic after which the measured load is taken to be complete.
+    pub warmup: Duration,
+    /// How long a lower count must be wanted before it is ordered, so that late registrations are
+    /// read first. Troughs need no longer delay, as the load is the maximum of the last
+    /// [`Self::buckets`] measurements. A delay of 4 s kept endpoints for 0.011 of the owed value on
+    /// three fleets, and served 0.002 of it.
+    pub reduction_delay: Duration,
+    /// Without traffic, nothing is ordered on demand for this long after the start: endpoints that
+    /// start together with the system register within a heartbeat or two.
+    pub registration_delay: Duration,
+    /// Delay after a refused order, doubled with each refusal up to four times this value.
+    pub refusal_delay: Duration,
+    /// Endpoints that are missing for this long after their start-up time are ordered again.
+    pub overdue_delay: Duration,
+    /// Duration of one measurement of the load. Requests come in bursts: with 2 s the maximum of
+    /// five measurements was twice the mean. With 4 s it is closer to the mean, and the load beyond
+    /// it is queued for less than the target latency of a first event.
     pub bucket: Duration,
-    /// Measurements whose highest is the load: with it a trough shorter than this many
-    /// measurements gives nothing back.
+    /// Number of measurements of which the maximum is the load. A trough shorter than this many
+    /// measurements does not reduce the count.
     pub buckets: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            used: 0.6,
-            floor: 0.15,
-            guess: 0.35,
-            young: Duration::from_secs(8),
-            calm: Duration::from_secs(1),
-            settle: Duration::from_secs(4),
-            refused: Duration::from_millis(1_500),
-            overdue: Duration::from_secs(3),
+            max_utilization: 0.6,
+            on_demand_floor: 0.15,
+            initial_utilization: 0.35,
+            warmup: Duration::from_secs(8),
+            reduction_delay: Duration::from_secs(1),
+            registration_delay: Duration::from_secs(4),
+            refusal_delay: Duration::from_millis(1_500),
+            overdue_delay: Duration::from_secs(3),
             bucket: Duration::from_secs(4),
             buckets: 3,
         }
     }
 }
 
-/// The load of one service: endpoints' time that requests took, from all instances.
+/// Meter of one service's load: the endpoints' time that the requests of all instances took.
 #[derive(Debug, Clone)]
 pub struct Meter {
     settings: Settings,
-    /// Last total of each boot, in microseconds; sorted by boot.
+    /// Last total of each boot number, in microseconds; sorted by boot number.
     totals: Vec<(u64, u64)>,
-    /// Microseconds in each measurement, the newest last.
+    /// Microseconds of each measurement, the newest last.
     buckets: Vec<u64>,
-    since: Time,
+    bucket_start: Time,
     /// When the first traffic was seen.
-    begun: Option<Time>,
+    first_traffic: Option<Time>,
 }
 
 /// A measured load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Load {
-    /// Endpoints' time that a second takes.
+    /// Endpoints' time in use per second, that is the average number of busy endpoints.
     pub value: f64,
-    /// Whether it was measured long enough to order less for it.
+    /// Whether it was measured for long enough to reduce counts.
     pub settled: bool,
 }
 
 impl Meter {
-    /// A meter that has seen nothing.
+    /// Creates a meter without measurements.
     #[must_use]
     pub fn new(now: Time, settings: Settings) -> Self {
         Self {
             settings,
             totals: Vec::new(),
             buckets: vec![0],
-            since: now,
-            begun: None,
+            bucket_start: now,
+            first_traffic: None,
         }
     }
 
-    /// An instance tells how many microseconds its requests took since its boot.
+    /// Merges the microseconds that an instance's requests have taken since it started.
     pub fn merge_work(&mut self, now: Time, boot: u64, micros: u64) {
         self.advance(now);
         match self.totals.binary_search_by_key(&boot, |(boot, _)| *boot) {
-            Ok(place) => {
-                let more = micros.saturating_sub(self.totals[place].1);
-                self.totals[place].1 = self.totals[place].1.max(micros);
+            Ok(index) => {
+                let more = micros.saturating_sub(self.totals[index].1);
+                self.totals[index].1 = self.totals[index].1.max(micros);
                 if more > 0 {
-                    self.begun.get_or_insert(now);
+                    self.first_traffic.get_or_insert(now);
                 }
                 if let Some(last) = self.buckets.last_mut() {
                     *last += more;
                 }
             }
-            Err(place) => self.totals.insert(place, (boot, micros)),
+            Err(index) => self.totals.insert(index, (boot, micros)),
         }
     }
 
-    /// The highest of the last whole measurements; none before there is one with traffic.
+    /// Maximum of the last complete measurements; `None` before there is one with traffic.
     #[must_use]
     pub fn load(&self, now: Time) -> Option<Load> {
-        let begun = self.begun?;
-        let whole = &self.buckets[..self.buckets.len() - 1];
-        let highest = whole.iter().max()?;
+        let first_traffic = self.first_traffic?;
+        let complete = &self.buckets[..self.buckets.len() - 1];
+        let highest = complete.iter().max()?;
         let value = *highest as f64 / self.settings.bucket.as_micros() as f64;
-        let settled = now.since(begun) >= self.settings.young;
+        let settled = now.since(first_traffic) >= self.settings.warmup;
         (value > 0.0).then_some(Load { value, settled })
     }
 
     fn advance(&mut self, now: Time) {
-        while now.since(self.since) >= self.settings.bucket {
-            self.since = self.since + self.settings.bucket;
+        while now.since(self.bucket_start) >= self.settings.bucket {
+            self.bucket_start = self.bucket_start + self.settings.bucket;
             self.buckets.push(0);
             if self.buckets.len() > self.settings.buckets + 1 {
                 self.buckets.remove(0);
@@ -141,7 +142,7 @@
     }
 }
 
-/// Endpoints of one kind in one domain.
+/// Endpoints of each kind in one domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Live {
     /// On demand.
@@ -150,56 +151,56 @@
     pub reclaimable: u32,
 }
 
-/// A count to order.
+/// An order for the count of one kind of endpoint in one domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     /// The failure domain.
     pub domain: id::Domain,
-    /// Whether it is about reclaimable endpoints.
+    /// Whether it is for reclaimable endpoints.
     pub reclaimable: bool,
     /// How many there should be.
     pub count: u32,
 }
 
-/// One kind in one domain, as it was ordered.
+/// Order state of one kind in one domain.
 #[derive(Debug, Clone)]
 struct Cell {
     domain: id::Domain,
     reclaimable: bool,
     price: f64,
     live: u32,
-    /// What was ordered last, or found at first.
+    /// The count that was ordered last, or found at the start.
     ordered: u32,
     ordered_at: Time,
-    /// Whether this book ordered it; until then what is found counts as ordered.
-    given: bool,
-    /// Whether as many were there as ordered, since they were ordered.
+    /// Whether this planner has ordered it; until then the live count counts as ordered.
+    has_order: bool,
+    /// Whether the live count has reached the ordered one since the order.
     reached: bool,
-    /// Since when the count differs from what was ordered.
-    differs: Option<Time>,
-    /// Since when a lower count is wanted.
-    lower: Option<Time>,
-    /// Orders are refused until then.
-    refused: Time,
+    /// Time since which the live count differs from the ordered one.
+    differs_since: Option<Time>,
+    /// Time since which a lower count is wanted.
+    lower_since: Option<Time>,
+    /// End of the delay after a refusal.
+    refused_until: Time,
     refusals: u32,
 }
 
-/// The orders for one service, kept by who acts for all.
+/// Planner of the orders for one service; only the leader has one.
 #[derive(Debug, Clone)]
 pub struct Planner {
     settings: Settings,
     scaling: Scaling,
     /// Sorted by domain and kind.
     cells: Vec<Cell>,
-    /// Load guessed from what was found at first.
-    guess: f64,
-    /// Reclaimable endpoints found at first.
-    first: u32,
-    began: Time,
+    /// Load that is assumed from the endpoints found at the start.
+    assumed_load: f64,
+    /// Reclaimable endpoints found at the start.
+    initial_reclaimable: u32,
+    started: Time,
 }
 
 impl Planner {
-    /// Orders that go on from what is found.
+    /// Creates a planner that starts from the endpoints found.
     #[must_use]
     pub fn new(
         now: Time,
@@ -227,46 +228,51 @@
                     live: count,
                     ordered: count,
                     ordered_at: now,
-                    given: false,
+                    has_order: false,
                     reached: true,
-                    differs: None,
-                    lower: None,
-                    refused: Time::START,
+                    differs_since: None,
+                    lower_since: None,
+                    refused_until: Time::START,
                     refusals: 0,
                 });
             }
         }
-        let first = found.iter().map(|(_, live)| live.reclaimable).sum();
+        let initial_reclaimable = found.iter().map(|(_, live)| live.reclaimable).sum();
         Self {
-            guess: guess(found, first, &settings),
-            first,
-            began: now,
+            assumed_load: assumed_load(found, initial_reclaimable, &settings),
+            initial_reclaimable,
+            started: now,
             settings,
             scaling,
             cells,
         }
     }
 
-    /// What to order now, for the load as far as it is known.
+    /// Returns the orders that are due now, given the load if it is known.
     pub fn decide(
         &mut self,
         now: Time,
         load: Option<Load>,
         found: &[(id::Domain, Live)],
     ) -> Vec<Order> {
-        self.see(now, found);
+        self.update_live(now, found);
         if load.is_none() {
-            // On-demand endpoints may still be registering: the most that were seen counts.
-            // Reclaimable ones count as found at first; what is ordered here is no load.
-            self.guess = self.guess.max(guess(found, self.first, &self.settings));
+            // On-demand endpoints may still be registering, so the largest count seen applies.
+            // Reclaimable ones count as found at the start: orders of this planner are no sign of
+            // load.
+            self.assumed_load = self.assumed_load.max(assumed_load(
+                found,
+                self.initial_reclaimable,
+                &self.settings,
+            ));
         }
-        // Until there is traffic, who is still registering must not be taken for absent.
-        let early = load.is_none() && now.since(self.began) < self.settings.settle;
+        // Before there is traffic, endpoints that are still registering must not count as absent.
+        let early = load.is_none() && now.since(self.started) < self.settings.registration_delay;
         let idle = load.is_none();
         let load = match load {
             Some(load) if load.settled => load.value,
-            Some(load) => load.value.max(self.guess),
-            None => self.guess,
+            Some(load) => load.value.max(self.assumed_load),
+            None => self.assumed_load,
         };
         let wanted = self.wanted(now, load);
         let mut orders = Vec::new();
@@ -274,20 +280,25 @@
             if early && !cell.reclaimable {
                 continue;
             }
-            // Without traffic nothing is taken from anyone by having fewer.
-            let calm = if idle {
+            // Without traffic a reduction affects no requests and needs no delay.
+            let delay = if idle {
                 Duration::ZERO
             } else {
-                self.settings.calm
+                self.settings.reduction_delay
             };
-            if !cell.is_due(now, count, calm, self.scaling.boot + self.settings.overdue) {
+            if !cell.is_due(
+                now,
+                count,
+                delay,
+                self.scaling.boot + self.settings.overdue_delay,
+            ) {
                 continue;
             }
             cell.ordered = count;
             cell.ordered_at = now;
-            cell.lower = None;
-            cell.differs = None;
-            cell.given = true;
+            cell.lower_since = None;
+            cell.differs_since = None;
+            cell.has_order = true;
             cell.reached = false;
             orders.push(Order {
                 domain: cell.domain.clone(),
@@ -298,17 +309,17 @@
         orders
     }
 
-    /// An order was refused: none are to be had there now.
+    /// Records that an order was refused: no such endpoints are available in the domain now.
     pub fn refused(&mut self, now: Time, order: &Order) {
-        let wait = self.settings.refused;
+        let delay = self.settings.refusal_delay;
         if let Some(cell) = self.cell(order) {
             cell.refusals = (cell.refusals + 1).min(2);
-            cell.refused = now + wait * (1 << cell.refusals) / 2;
+            cell.refused_until = now + delay * (1 << cell.refusals) / 2;
             cell.ordered = cell.live;
         }
     }
 
-    /// An order was taken.
+    /// Records that an order was accepted.
     pub fn accepted(&mut self, order: &Order) {
         if let Some(cell) = self.cell(order) {
             cell.refusals = 0;
@@ -321,7 +332,7 @@
         self.cells.iter_mut().find(same)
     }
 
-    fn see(&mut self, now: Time, found: &[(id::Domain, Live)]) {
+    fn update_live(&mut self, now: Time, found: &[(id::Domain, Live)]) {
         for cell in &mut self.cells {
             let live = find(found, &cell.domain);
             cell.live = if cell.reclaimable {
@@ -329,25 +340,25 @@
             } else {
                 live.on_demand
             };
-            if !cell.given {
+            if !cell.has_order {
                 cell.ordered = cell.live;
             }
             if cell.reached && cell.live < cell.ordered {
-                // Some were lost: what is missing counts as not ordered.
+                // Endpoints were lost: the missing ones no longer count as ordered.
                 cell.ordered = cell.live;
             }
             if cell.live == cell.ordered {
                 cell.reached = true;
-                cell.differs = None;
+                cell.differs_since = None;
             } else {
-                cell.differs.get_or_insert(now);
+                cell.differs_since.get_or_insert(now);
             }
         }
     }
 
-    /// The count for each cell.
+    /// The wanted count of each cell.
     fn wanted(&self, now: Time, load: f64) -> Vec<u32> {
-        let need = load / self.settings.used;
+        let need = load / self.settings.max_utilization;
         let spread = self.spread(now, need);
         let planned: Vec<u32> = self
             .reclaimables()
@@ -359,22 +370,24 @@
             .zip(&spread)
             .map(|(cell, count)| cell.live.min(*count))
             .collect();
-        // Reclaims come in waves: while none are to be had, the next loss may come before
-        // what replaces this one has started. Three domains lost within 6 s then leave
-        // enough: the worst seconds of such a day went from 0.58 to 0.86 of the worth owed.
-        let losses = if self.reclaimables().any(|cell| now < cell.refused) {
+        // Reclaims come in waves: while no reclaimable endpoints are available, the next loss may
+        // come before the replacements of this one have started. With a reserve for two losses,
+        // enough is left after three domains are lost within 6 s: the worst seconds of such a day
+        // went from 0.58 to 0.86 of the owed value.
+        let losses = if self.reclaimables().any(|cell| now < cell.refused_until) {
             2
         } else {
             1
         };
-        let least = (load * self.settings.floor).ceil() as u32;
-        let on_demand =
-            |held: &[u32]| least.max((need - carried(held, losses)).ceil().max(0.0) as u32);
+        let min_on_demand = (load * self.settings.on_demand_floor).ceil() as u32;
+        let on_demand = |held: &[u32]| {
+            min_on_demand.max((need - remaining_after(held, losses)).ceil().max(0.0) as u32)
+        };
         let (growing, staying) = (on_demand(&planned), on_demand(&present));
         let ordered: u32 = self.on_demands().map(|cell| cell.ordered).sum();
-        // More are ordered for what the plan lacks, fewer only for what is there.
+        // The count grows for what the plan lacks, but shrinks only for endpoints that are present.
         let total = ordered.clamp(growing, growing.max(staying));
-        let on_demands = self.place(total, &spread);
+        let on_demands = self.allocate(total, &spread);
         let mut wanted = Vec::with_capacity(self.cells.len());
         let (mut spread, mut on_demands) = (spread.into_iter(), on_demands.into_iter());
         for cell in &self.cells {
@@ -388,20 +401,20 @@
         wanted
     }
 
-    /// Reclaimable endpoints for each domain, so that all but one carry the need.
+    /// Reclaimable endpoints of each domain, so that all domains but one carry the load.
     fn spread(&self, now: Time, need: f64) -> Vec<u32> {
         let open = self
             .reclaimables()
-            .filter(|cell| now >= cell.refused)
+            .filter(|cell| now >= cell.refused_until)
             .count();
-        let bearing = open.saturating_sub(1).max(1) as f64;
-        let each = (need / bearing).ceil() as u32;
+        let remaining = open.saturating_sub(1).max(1) as f64;
+        let each = (need / remaining).ceil() as u32;
         self.reclaimables()
             .map(|cell| {
-                let on_demand = self.on_demands().find(|have| have.domain == cell.domain);
-                let on_demand = on_demand.map_or(0, |have| have.ordered);
+                let on_demand = self.on_demands().find(|other| other.domain == cell.domain);
+                let on_demand = on_demand.map_or(0, |other| other.ordered);
                 let each = each.min(self.scaling.most.saturating_sub(on_demand));
-                if now >= cell.refused {
+                if now >= cell.refused_until {
                     each
                 } else {
                     cell.live.min(each)
@@ -410,28 +423,28 @@
             .collect()
     }
 
-    /// On-demand endpoints for each domain. What is there stays where it is: fewer are
-    /// taken where they are dear, more where they are cheap and the limit leaves room.
-    fn place(&self, total: u32, spread: &[u32]) -> Vec<u32> {
-        let others = |place: usize| spread.get(place).copied().unwrap_or(0);
-        let least = |place: usize| self.scaling.least.saturating_sub(others(place));
+    /// On-demand endpoints of each domain. Existing ones stay in their domain: reductions begin in
+    /// the most expensive domain, additions in the cheapest one, within its limit.
+    fn allocate(&self, total: u32, spread: &[u32]) -> Vec<u32> {
+        let others = |index: usize| spread.get(index).copied().unwrap_or(0);
+        let min = |index: usize| self.scaling.least.saturating_sub(others(index));
         let cells: Vec<&Cell> = self.on_demands().collect();
         let mut counts: Vec<u32> = (0..cells.len())
-            .map(|place| cells[place].ordered.max(least(place)))
+            .map(|index| cells[index].ordered.max(min(index)))
             .collect();
         let mut order: Vec<usize> = (0..cells.len()).collect();
         order.sort_by(|a, b| cells[*a].price.total_cmp(&cells[*b].price));
         let mut surplus = counts.iter().sum::<u32>().saturating_sub(total);
-        for place in order.iter().rev() {
-            let less = surplus.min(counts[*place].saturating_sub(least(*place)));
-            counts[*place] -= less;
+        for index in order.iter().rev() {
+            let less = surplus.min(counts[*index].saturating_sub(min(*index)));
+            counts[*index] -= less;
             surplus -= less;
         }
         let mut rest = total.saturating_sub(counts.iter().sum());
-        for place in order {
-            let taken = counts[place] + others(place);
+        for index in order {
+            let taken = counts[index] + others(index);
             let more = rest.min(self.scaling.most.saturating_sub(taken));
-            counts[place] += more;
+            counts[index] += more;
             rest -= more;
         }
         counts
@@ -448,30 +461,30 @@
 
 impl Cell {
     /// Whether `count` is to be ordered now.
-    fn is_due(&mut self, now: Time, count: u32, calm: Duration, overdue: Duration) -> bool {
-        if now < self.refused && count > self.live {
+    fn is_due(&mut self, now: Time, count: u32, delay: Duration, overdue: Duration) -> bool {
+        if now < self.refused_until && count > self.live {
             return false;
         }
         if count < self.ordered {
-            let since = *self.lower.get_or_insert(now);
-            return now.since(since) >= calm;
+            let since = *self.lower_since.get_or_insert(now);
+            return now.since(since) >= delay;
         }
-        self.lower = None;
+        self.lower_since = None;
         let overdue = self
-            .differs
+            .differs_since
             .is_some_and(|since| now.since(since.max(self.ordered_at)) > overdue);
         count > self.ordered || overdue
     }
 }
 
-/// The load that the endpoints found were held for.
-fn guess(found: &[(id::Domain, Live)], reclaimable: u32, settings: &Settings) -> f64 {
+/// The load for which the endpoints found were presumably held.
+fn assumed_load(found: &[(id::Domain, Live)], reclaimable: u32, settings: &Settings) -> f64 {
     let on_demand: u32 = found.iter().map(|(_, live)| live.on_demand).sum();
-    f64::from(on_demand + reclaimable) * settings.guess
+    f64::from(on_demand + reclaimable) * settings.initial_utilization
 }
 
-/// What is left of some counts after the loss of so many of the largest.
-fn carried(counts: &[u32], losses: usize) -> f64 {
+/// Sum of the counts without the `losses` largest ones.
+fn remaining_after(counts: &[u32], losses: usize) -> f64 {
     let mut counts = counts.to_vec();
     counts.sort_unstable_by(|a, b| b.cmp(a));
     f64::from(counts.iter().skip(losses).sum::<u32>())
@@ -482,6 +495,6 @@
         on_demand: 0,
         reclaimable: 0,
     };
-    let live = found.iter().find(|(have, _)| have == domain);
+    let live = found.iter().find(|(name, _)| name == domain);
     live.map_or(none, |(_, live)| *live)
 }
--- a/coltsfoothall/src/forward/peer.rs
+++ b/coltsfoothall/src/forward/peer.rs
@@ -1,4 +1,5 @@
-//! Entry instances that are heard, and the true time by their clocks.
+//! The other entry instances, as known from heartbeats and the store, and the time of day by the
+//! median of their clocks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,20 +12,20 @@
 use crate::id;
 use crate::size::Megabits;
 
-/// Most heartbeats that one instance sends at once. 64 of 1.4 kB each overran the queue
-/// of a link of 10 Mbit/s: those sent last, always the same, were lost, and half of a
-/// fleet of 64 did not hear each other.
+/// Upper bound of the heartbeats that one instance sends at once. 64 heartbeats of 1.4 kB each
+/// overran the queue of a 10 Mbit/s link: the last ones, always to the same instances, were lost,
+/// and half of a fleet of 64 received no heartbeats from each other.
 pub const MAX_HEARTBEATS_PER_BATCH: usize = 16;
 
-/// Bounds of what is believed of other instances.
+/// Intervals and timeouts of heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// Time between two turns.
+    /// Time between two batches of heartbeats.
     pub turn: Duration,
-    /// An instance not heard for so long is left out of addresses: ten heartbeats in a
-    /// small fleet.
+    /// An instance without a heartbeat for this long is left out of addresses: over ten heartbeats
+    /// in a small fleet.
     pub silent: Duration,
-    /// An instance not heard for so long, and not registered, is forgotten.
+    /// An instance without a heartbeat for this long that is not registered is removed.
     pub forget: Duration,
 }
 
@@ -38,26 +39,26 @@
     }
 }
 
-/// An instance as it describes itself.
+/// Self-description of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Profile {
     /// Its name.
     pub name: id::Instance,
-    /// Number of its boot, drawn at random.
+    /// Random number of this start of the process.
     pub boot: u64,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// Where callers reach it.
+    /// Address for callers.
     pub front: SocketAddr,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub peer: SocketAddr,
-    /// Whether it takes callers.
+    /// Whether it accepts callers.
     pub ready: bool,
     /// Version of its configuration.
     pub version: u64,
     /// Its time of day, since 1970.
     pub clock: Duration,
-    /// What its link carries; zero where it does not say.
+    /// Capacity of its link; zero if it is not reported.
     #[serde(default)]
     pub link: Megabits,
 }
@@ -65,10 +66,10 @@
 #[derive(Debug, Clone)]
 struct Peer {
     profile: Profile,
-    /// When it was first told of.
+    /// When another instance first reported it.
     since: Time,
-    heard: Option<Time>,
-    /// Its time of day less this instance's running time.
+    last_seen: Option<Time>,
+    /// Its time of day less the uptime of this instance.
     skew: Duration,
     registered: bool,
 }
@@ -83,7 +84,7 @@
 }
 
 impl Peers {
-    /// No other instance known yet.
+    /// Creates an empty list for the instance `me`.
     #[must_use]
     pub fn new(me: id::Instance, settings: Settings) -> Self {
         Self {
@@ -93,91 +94,93 @@
         }
     }
 
-    /// An instance was heard. Returns the boot that it replaces, if it started anew.
+    /// Records a heartbeat of an instance. Returns the previous boot number if it has restarted.
     pub fn receive(&mut self, now: Time, profile: Profile) -> Option<u64> {
         if profile.name == self.me {
             return None;
         }
         let skew = profile.clock.saturating_sub(now.since(Time::START));
-        match self.place(&profile.name) {
-            Ok(place) => {
-                let peer = &mut self.peers[place];
+        match self.index(&profile.name) {
+            Ok(index) => {
+                let peer = &mut self.peers[index];
                 let old = peer.profile.boot;
                 let new = profile.boot;
                 peer.profile = profile;
-                peer.heard = Some(now);
+                peer.last_seen = Some(now);
                 peer.skew = skew;
                 (old != new).then_some(old)
             }
-            Err(place) => {
+            Err(index) => {
                 let peer = Peer {
                     profile,
                     since: now,
-                    heard: Some(now),
+                    last_seen: Some(now),
                     skew,
                     registered: false,
                 };
-                self.peers.insert(place, peer);
+                self.peers.insert(index, peer);
                 None
             }
         }
     }
 
-    /// Another instance told of one; it is told heartbeats, and counts once it is heard.
+    /// Adds an instance that another one reported. It is sent heartbeats, and counts as alive once
+    /// it sends one itself.
     pub fn introduce(&mut self, now: Time, profile: Profile) {
         if profile.name == self.me {
             return;
         }
-        if let Err(place) = self.place(&profile.name) {
+        if let Err(index) = self.index(&profile.name) {
             let peer = Peer {
                 profile,
                 since: now,
-                heard: None,
+                last_seen: None,
                 skew: Duration::ZERO,
                 registered: false,
             };
-            self.peers.insert(place, peer);
+            self.peers.insert(index, peer);
         }
     }
 
-    /// An instance is registered at the store; it counts as a member until it is withdrawn.
+    /// Records that an instance is registered at the store. It counts as a member until its
+    /// registration is gone.
     pub fn registered(&mut self, profile: Profile) {
         if profile.name == self.me {
             return;
         }
-        match self.place(&profile.name) {
-            Ok(place) => {
-                let peer = &mut self.peers[place];
+        match self.index(&profile.name) {
+            Ok(index) => {
+                let peer = &mut self.peers[index];
                 peer.registered = true;
-                if peer.heard.is_none() {
+                if peer.last_seen.is_none() {
                     peer.profile = profile;
                 }
             }
-            Err(place) => {
+            Err(index) => {
                 let peer = Peer {
                     profile,
                     since: Time::START,
-                    heard: None,
+                    last_seen: None,
                     skew: Duration::ZERO,
                     registered: true,
                 };
-                self.peers.insert(place, peer);
+                self.peers.insert(index, peer);
             }
         }
     }
 
-    /// An instance's registration is gone.
+    /// Records that an instance's registration is gone.
     pub fn withdrawn(&mut self, name: &id::Instance) {
-        if let Ok(place) = self.place(name) {
-            self.peers[place].registered = false;
+        if let Ok(index) = self.index(name) {
+            self.peers[index].registered = false;
         }
     }
 
-    /// Forgets who is neither registered nor heard. Returns their boots.
+    /// Removes instances that are neither registered nor alive. Returns their boot numbers.
     pub fn expire(&mut self, now: Time) -> Vec<u64> {
         let forget = self.settings.forget;
         let lost = |peer: &Peer| {
-            let last = peer.heard.unwrap_or(peer.since);
+            let last = peer.last_seen.unwrap_or(peer.since);
             now.since(last) > forget && !peer.registered
         };
         let boots = self.peers.iter().filter(|peer| lost(peer));
@@ -186,37 +189,38 @@
         boots
     }
 
-    /// Boots of those that are silent now, whose open requests no longer count.
+    /// Boot numbers of the instances that are not alive, whose open requests no longer count.
     #[must_use]
     pub fn silent(&self, now: Time) -> Vec<u64> {
         let silent = self.peers.iter().filter(|peer| !self.is_alive(now, peer));
         silent.map(|peer| peer.profile.boot).collect()
     }
 
-    /// Where heartbeats go.
+    /// Addresses that heartbeats are sent to.
     #[must_use]
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.peers.iter().map(|peer| peer.profile.peer).collect()
     }
 
-    /// Profiles that are told on to others: those heard lately.
+    /// Profiles of the instances that are alive, which are also reported to others.
     #[must_use]
     pub fn profiles(&self, now: Time) -> Vec<&Profile> {
         let heard = self.peers.iter().filter(|peer| self.is_alive(now, peer));
         heard.map(|peer| &peer.profile).collect()
     }
 
-    /// Those of a failure domain that are heard and take callers.
+    /// Instances of a failure domain that are alive and accept callers.
     #[must_use]
     pub fn same_domain(&self, now: Time, domain: &id::Domain) -> Vec<&Profile> {
-        let near = self.peers.iter().filter(|peer| {
+        let local = self.peers.iter().filter(|peer| {
             peer.profile.ready && peer.profile.domain == *domain && self.is_alive(now, peer)
         });
-        near.map(|peer| &peer.profile).collect()
+        local.map(|peer| &peer.profile).collect()
     }
 
-    /// The heard instances with the newest configuration above `version`: those of this failure
-    /// domain where there are some, as bytes between domains are paid for.
+    /// Live instances that have the newest configuration, if it is newer than `version`. Only
+    /// those of this failure domain are returned if there are enough, as traffic between domains
+    /// is paid for.
     #[must_use]
     pub fn with_newer_config(&self, now: Time, version: u64, domain: &id::Domain) -> Vec<&Profile> {
         let heard = self.peers.iter().filter(|peer| self.is_alive(now, peer));
@@ -228,16 +232,16 @@
         let ahead: Vec<&Profile> = profiles
             .filter(|profile| profile.version == newest)
             .collect();
-        let near = ahead.iter().filter(|profile| profile.domain == *domain);
-        let near: Vec<&Profile> = near.copied().collect();
-        if near.len() < MIN_LOCAL_SOURCES {
+        let local = ahead.iter().filter(|profile| profile.domain == *domain);
+        let local: Vec<&Profile> = local.copied().collect();
+        if local.len() < MIN_LOCAL_SOURCES {
             ahead
         } else {
-            near
+            local
         }
     }
 
-    /// Members that share the rates, and those heard, this instance included.
+    /// Members that share the rates and how many of them are alive, this instance included.
     #[must_use]
     pub fn coverage(&self, now: Time) -> Coverage {
         let heard = self.peers.iter().filter(|peer| self.is_alive(now, peer));
@@ -247,10 +251,10 @@
         }
     }
 
-    /// Addresses for a caller in `domain`; `own` is this instance's, where it takes callers.
+    /// Addresses for a caller in `domain`; `own` is that of this instance if it accepts callers.
     ///
-    /// Those of the caller's domain come alone where there are two or more: bytes between
-    /// domains are paid for, and one alone would leave nothing to go to when it is lost.
+    /// Only those of the caller's domain are returned if there are two or more: traffic between
+    /// domains is paid for, and a single address would leave no alternative when it is lost.
     #[must_use]
     pub fn front_addresses(
         &self,
@@ -267,17 +271,17 @@
             .collect();
         all.extend(own);
         if all.is_empty() {
-            // Cut off and stopping: whoever was last known is better than nobody.
+            // This instance is cut off and stopping: the last known addresses are better than none.
             let known = self.peers.iter().map(|peer| peer.profile.front);
             return known.take(MAX_FRONT_ADDRESSES).collect();
         }
-        let near: Vec<SocketAddr> = all
+        let local: Vec<SocketAddr> = all
             .iter()
             .filter(|(_, have)| *have == domain)
             .map(|(address, _)| *address)
             .collect();
-        if near.len() > 1 {
-            return near.into_iter().take(MAX_FRONT_ADDRESSES).collect();
+        if local.len() > 1 {
+            return local.into_iter().take(MAX_FRONT_ADDRESSES).collect();
         }
         all.into_iter()
             .map(|(address, _)| address)
@@ -285,9 +289,9 @@
             .collect()
     }
 
-    /// Time since 1970 by the median of all clocks that are heard, this one included.
+    /// Time since 1970 by the median of the clocks of all live instances, this one included.
     ///
-    /// A clock that was set wrong on a minority of instances changes nothing.
+    /// Wrong clocks on a minority of the instances have no effect.
     #[must_use]
     pub fn true_time(&self, now: Time, clock: Duration) -> Duration {
         let running = now.since(Time::START);
@@ -302,7 +306,7 @@
         skews[skews.len() / 2] + running
     }
 
-    /// Whether this instance's name comes before those of all others that are heard and ready.
+    /// Number of instances that are alive and ready and whose names precede this one's.
     #[must_use]
     pub fn rank(&self, now: Time) -> usize {
         let before = self.peers.iter().filter(|peer| {
@@ -312,20 +316,21 @@
     }
 
     fn is_alive(&self, now: Time, peer: &Peer) -> bool {
-        // Three heartbeats, where the fleet is so large that they come less often.
+        // In a fleet so large that heartbeats are rarer, three of them have to be missed.
         let turns = batch::count(self.peers.len(), MAX_HEARTBEATS_PER_BATCH) as u32;
         let silent = self.settings.silent.max(self.settings.turn * turns * 3);
-        peer.heard.is_some_and(|heard| now.since(heard) <= silent)
+        peer.last_seen
+            .is_some_and(|last_seen| now.since(last_seen) <= silent)
     }
 
-    fn place(&self, name: &id::Instance) -> Result<usize, usize> {
+    fn index(&self, name: &id::Instance) -> Result<usize, usize> {
         self.peers
             .binary_search_by(|peer| peer.profile.name.cmp(name))
     }
 }
 
-/// Instances of a failure domain that have a configuration, from which on the others of the
-/// domain ask these alone.
+/// Number of instances of a failure domain with the newest configuration from which on the others
+/// of the domain ask only these.
 const MIN_LOCAL_SOURCES: usize = 3;
-/// Most addresses that one answer holds.
+/// Bounds the addresses in one answer.
 const MAX_FRONT_ADDRESSES: usize = 64;
--- a/coltsfoothall/src/forward/poll.rs
+++ b/coltsfoothall/src/forward/poll.rs
@@ -1,43 +1,43 @@
-//! How long an instance rests between two calls to the store for news.
+//! Delay between two reads of the member list at the store.
 //!
-//! Each call is paid for and every change wakes every watch, so a fleet in which members come
-//! and go makes as many calls a second as it has instances in a rest. Who is there matters
-//! at once only to those that may have to act for all next; the others hear of new
-//! members by heartbeats, and of lost ones by their silence.
+//! Each call is paid for, and every change wakes every watch, so a fleet in which members come
+//! and go makes one call per instance and delay. Only instances that may become the leader next
+//! need changes at once. The others learn of new members by heartbeats, and of lost ones by the
+//! absence of heartbeats.
 
 use std::time::Duration;
 
-/// Instances that watch the holder closely, by rank: the next one, and others in case it is
-/// lost in the same moment.
-const CLOSE: usize = 3;
+/// Instances, by rank, that watch the leader closely: the next in line, and two more in case
+/// that one is lost at the same moment.
+const SUCCESSORS: usize = 3;
 
-/// Rests between two readings of the members.
+/// Delays between two reads of the member list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// That of instances that may be the next to act for all.
-    pub close: Duration,
-    /// That of the others: with the term of a registration, how long a lost instance has a part
-    /// of the rates.
-    pub far: Duration,
+    /// Delay of the leader and of the instances that may succeed it.
+    pub successor: Duration,
+    /// Delay of the others. Together with the term of a registration it bounds how long a lost
+    /// instance keeps its share of the rates.
+    pub other: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            close: Duration::from_millis(200),
-            far: Duration::from_secs(2),
+            successor: Duration::from_millis(200),
+            other: Duration::from_secs(2),
         }
     }
 }
 
 impl Settings {
-    /// The rest of the instance with so many ready ones before it; `acts` if it acts for all.
+    /// Delay of the instance with `rank` ready instances before it by name.
     #[must_use]
-    pub fn of(&self, rank: usize, acts: bool) -> Duration {
-        if acts || rank < CLOSE {
-            self.close
+    pub fn of(&self, rank: usize, is_leader: bool) -> Duration {
+        if is_leader || rank < SUCCESSORS {
+            self.successor
         } else {
-            self.far
+            self.other
         }
     }
 }
--- a/coltsfoothall/src/forward/rate_limit.rs
+++ b/coltsfoothall/src/forward/rate_limit.rs
@@ -1,9 +1,10 @@
-//! Rates of workspaces, kept by all entry instances together without a word per request.
+//! Rate limits of workspaces, enforced across all entry instances without coordination per
+//! request.
 //!
-//! Each instance tells the others how many units it has granted in all. It holds the
-//! whole rate in its own bucket and charges the others' grants to it as it hears of
-//! them. For each member that it does not hear, it gives up that member's equal part
-//! of rate and burst, which that member may be granting on its own.
+//! Each instance reports the total number of units that it has granted. It keeps a token bucket
+//! with the full rate and deducts the other instances' grants from it as their reports arrive.
+//! For each member that it does not hear from, it gives up that member's equal share of rate and
+//! burst, as that member may still be granting on its own.
 
 use crate::clock::Time;
 use crate::forward::config::{Unit, Workspace};
@@ -14,54 +15,54 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest time that a refused caller is told to stay away.
-const LONGEST: Duration = Duration::from_secs(10);
+/// Upper bound of the retry delay that is sent to a refused caller.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
-/// Seconds in which the largest request seen counts half.
-const LARGEST_HALVED: f64 = 4.0;
-/// Most of a burst that is kept for large requests.
-const KEPT: f64 = 0.5;
+/// Half-life, in seconds, of the size of the largest recent request.
+const LARGEST_HALF_LIFE_SECONDS: f64 = 4.0;
+/// Largest share of a burst that is reserved for large requests.
+const MAX_RESERVED_SHARE: f64 = 0.5;
 
-/// Members that share the rates, and those of them that are heard, this one included.
+/// Members that share the rates, and how many of them report, this instance included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Coverage {
-    /// Members that may grant.
+    /// Members that may grant units.
     pub members: u32,
-    /// Members whose grants are known.
+    /// Members whose grants are known here.
     pub heard: u32,
 }
 
 impl Coverage {
-    /// The part of a rate that this instance may treat as known to it.
-    fn part(self) -> f64 {
+    /// Share of a rate that belongs to members whose grants are known here.
+    fn share(self) -> f64 {
         f64::from(self.heard.max(1)) / f64::from(self.members.max(self.heard).max(1))
     }
 }
 
-/// Units that an instance has granted to a workspace since its boot.
+/// Total units that an instance has granted to a workspace since it started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Granted {
     /// The workspace.
     pub workspace: id::Workspace,
-    /// Units in all.
+    /// Total units.
     pub units: u64,
 }
 
-/// A request that is over its workspace's rate, with what decided it.
+/// Refusal of a request that exceeds its workspace's rate, with the figures that decided it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Shortage {
-    /// When its units will be there.
+    /// Time until its units will be available.
     pub retry_after: Duration,
-    /// Units that it takes.
+    /// Units that the request takes.
     pub units: u64,
-    /// Units that were left.
+    /// Units left in the bucket.
     pub level: f64,
-    /// Units a second.
+    /// Rate in units per second.
     pub rate: f64,
 }
 
 #[derive(Debug, Clone)]
-struct Heard {
+struct Peer {
     boot: u64,
     units: u64,
 }
@@ -74,36 +75,36 @@
     rate: f64,
     burst: f64,
     level: f64,
-    at: Time,
-    /// The largest request asked lately, in units.
+    updated: Time,
+    /// Decaying size of the largest recent request, in units.
     largest: f64,
-    spent: u64,
-    /// Sorted by boot.
-    heard: Vec<Heard>,
+    granted: u64,
+    /// Grants of the other instances, sorted by boot number.
+    peers: Vec<Peer>,
 }
 
 impl Account {
-    fn advance(&mut self, now: Time, reach: Coverage) {
-        let part = reach.part();
-        let passed = now.since(self.at).as_secs_f64();
-        self.level = (self.level + passed * self.rate * part).min(self.burst * part);
-        self.largest *= (-passed / LARGEST_HALVED).exp2();
-        self.at = now;
+    fn advance(&mut self, now: Time, coverage: Coverage) {
+        let share = coverage.share();
+        let elapsed = now.since(self.updated).as_secs_f64();
+        self.level = (self.level + elapsed * self.rate * share).min(self.burst * share);
+        self.largest *= (-elapsed / LARGEST_HALF_LIFE_SECONDS).exp2();
+        self.updated = now;
     }
 
-    /// Units that must be there before a request is granted. Small ones leave in the bucket
-    /// what a large one needs, so that both are refused as often; else the small ones, which
-    /// fit first, keep the bucket too low for the large ones for as long as they come.
-    fn needed(&mut self, units: u64, reach: Coverage) -> f64 {
-        let burst = self.burst * reach.part();
+    /// Level that the bucket must have before a request is granted. A small request must leave
+    /// what a large one needs, so that both are refused equally often. Otherwise a steady flow
+    /// of small requests, which fit first, would keep the bucket too low for large ones.
+    fn needed(&mut self, units: u64, coverage: Coverage) -> f64 {
+        let burst = self.burst * coverage.share();
         self.largest = self.largest.max(units as f64);
-        let kept = self.largest.min(burst * KEPT);
-        // A request larger than the whole burst passes on a full bucket, else it never could.
-        (units as f64).max(kept).min(burst)
+        let reserved = self.largest.min(burst * MAX_RESERVED_SHARE);
+        // A request larger than the burst is granted on a full bucket; otherwise it never could be.
+        (units as f64).max(reserved).min(burst)
     }
 }
 
-/// What the workspaces may still be granted.
+/// Token buckets of all workspaces.
 #[derive(Debug, Clone, Default)]
 pub struct Limiter {
     /// Sorted by workspace.
@@ -111,40 +112,42 @@
 }
 
 impl Limiter {
-    /// Takes over the limits of a configuration; what was granted before still counts.
+    /// Applies the limits of a configuration. Levels and grants of known workspaces are kept.
     pub fn configure(&mut self, now: Time, workspaces: &[Workspace]) {
         let old = std::mem::take(&mut self.accounts);
         for workspace in workspaces {
-            let had = old.iter().find(|have| have.workspace == workspace.name);
+            let previous = old
+                .iter()
+                .find(|account| account.workspace == workspace.name);
             self.accounts.push(Account {
                 workspace: workspace.name.clone(),
                 unit: workspace.unit,
                 plain: workspace.plain,
                 rate: workspace.rate,
                 burst: workspace.burst,
-                level: had.map_or(workspace.burst, |had| had.level.min(workspace.burst)),
-                at: had.map_or(now, |had| had.at),
-                largest: had.map_or(0.0, |had| had.largest),
-                spent: had.map_or(0, |had| had.spent),
-                heard: had.map_or_else(Vec::new, |had| had.heard.clone()),
+                level: previous.map_or(workspace.burst, |old| old.level.min(workspace.burst)),
+                updated: previous.map_or(now, |old| old.updated),
+                largest: previous.map_or(0.0, |old| old.largest),
+                granted: previous.map_or(0, |old| old.granted),
+                peers: previous.map_or_else(Vec::new, |old| old.peers.clone()),
             });
         }
         self.accounts.sort_by(|a, b| a.workspace.cmp(&b.workspace));
     }
 
-    /// Grants a request, or says after what time its units will be there.
+    /// Grants a request, or returns the time until its units will be available.
     ///
-    /// `tokens` is what the request reads and asks for; a request that names none counts
-    /// as the workspace's plain amount.
+    /// `tokens` is the length of the prompt and the most tokens of the answer; a request without
+    /// a token count costs the workspace's plain amount.
     ///
     /// # Errors
-    /// When to come back, and what decided it.
+    /// The delay before a retry, and the figures that decided the refusal.
     pub fn take(
         &mut self,
         now: Time,
         workspace: &id::Workspace,
         tokens: Option<Tokens>,
-        reach: Coverage,
+        coverage: Coverage,
     ) -> Result<(), Shortage> {
         let Some(account) = self.account(workspace) else {
             return Ok(());
@@ -153,55 +156,55 @@
             Unit::Requests => 1,
             Unit::Tokens => tokens.unwrap_or(account.plain).0,
         };
-        account.advance(now, reach);
-        let needed = account.needed(units, reach);
+        account.advance(now, coverage);
+        let needed = account.needed(units, coverage);
         if account.rate > 0.0 && account.level < needed {
-            let wait = (needed - account.level) / (account.rate * reach.part());
+            let wait = (needed - account.level) / (account.rate * coverage.share());
             return Err(Shortage {
-                retry_after: Duration::from_secs_f64(wait.min(LONGEST.as_secs_f64())),
+                retry_after: Duration::from_secs_f64(wait.min(MAX_RETRY_DELAY.as_secs_f64())),
                 units,
                 level: account.level,
                 rate: account.rate,
             });
         }
         account.level -= units as f64;
-        account.spent += units;
+        account.granted += units;
         Ok(())
     }
 
-    /// Charges what another instance says it has granted since its boot.
-    pub fn merge_granted(&mut self, boot: u64, spent: &[Granted]) {
-        for said in spent {
-            let Some(account) = self.account(&said.workspace) else {
+    /// Deducts the units that another instance reports to have granted since it started.
+    pub fn merge_granted(&mut self, boot: u64, granted: &[Granted]) {
+        for report in granted {
+            let Some(account) = self.account(&report.workspace) else {
                 continue;
             };
-            match account.heard.binary_search_by_key(&boot, |have| have.boot) {
-                Ok(place) => {
-                    let had = &mut account.heard[place];
-                    let more = said.units.saturating_sub(had.units);
-                    had.units += more;
+            match account.peers.binary_search_by_key(&boot, |peer| peer.boot) {
+                Ok(index) => {
+                    let peer = &mut account.peers[index];
+                    let more = report.units.saturating_sub(peer.units);
+                    peer.units += more;
                     account.level -= more as f64;
                 }
-                // What was granted before it was first heard was covered by its part.
-                Err(place) => account.heard.insert(
-                    place,
-                    Heard {
+                // Units granted before its first report came out of the share given up for it.
+                Err(index) => account.peers.insert(
+                    index,
+                    Peer {
                         boot,
-                        units: said.units,
+                        units: report.units,
                     },
                 ),
             }
         }
     }
 
-    /// What this instance has granted since its boot.
+    /// Units that this instance has granted since it started, by workspace.
     #[must_use]
     pub fn granted(&self) -> Vec<Granted> {
         let limited = self.accounts.iter().filter(|account| account.rate > 0.0);
         limited
             .map(|account| Granted {
                 workspace: account.workspace.clone(),
-                units: account.spent,
+                units: account.granted,
             })
             .collect()
     }
@@ -209,7 +212,7 @@
     fn account(&mut self, workspace: &id::Workspace) -> Option<&mut Account> {
         let found = self
             .accounts
-            .binary_search_by(|have| have.workspace.cmp(workspace));
-        found.ok().map(|place| &mut self.accounts[place])
+            .binary_search_by(|account| account.workspace.cmp(workspace));
+        found.ok().map(|index| &mut self.accounts[index])
     }
 }
--- a/coltsfoothall/src/forward/reader.rs
+++ b/coltsfoothall/src/forward/reader.rs
@@ -1,14 +1,16 @@
-//! Who reads the endpoints' registrations at the store, and who hears of them from a reader.
+//! Selection of the instances that read the endpoints' registrations at the store (readers) and
+//! of the reader that each other instance (follower) gets them from.
 //!
-//! Each endpoint writes its registration about once a second, and each write goes to all that
-//! watch. In a fleet of hundreds that is more than the store's link and small machines' links
-//! carry, for changes that are nearly all none. So a few instances of each failure domain
-//! read, those with the widest links, and pass what changed on to the others of their domain.
+//! Each endpoint writes its registration about once a second, and each write goes to all watches.
+//! In a fleet of hundreds that exceeds the capacity of the store's link and of small machines'
+//! links, although hardly any write changes anything. Therefore a few instances of each failure
+//! domain, those with the widest links, read the store and pass changes on to the others of their
+//! domain.
 //!
-//! What a follower knows is as old as the reader's knowledge, the pause between two questions
-//! and the wait for answers together. [`Budget`] splits the time in which a leaving endpoint
-//! must get no more work among these. A follower whose reader fails it asks the next one, and
-//! after two of them reads for itself for a while.
+//! The age of a follower's knowledge is the sum of the age of the reader's knowledge, the polling
+//! interval and the time of the answer. [`Budget`] divides the time within which a draining
+//! endpoint must stop getting work among these. A follower whose reader fails asks the next one,
+//! and after two failures it reads the store directly for a while.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -19,30 +21,30 @@
 use crate::id;
 use crate::size::Megabits;
 
-/// Instances of a failure domain that read for it: any two may be lost or slow at once.
+/// Readers of each failure domain: any two of them may be lost or slow at once.
 pub const READERS_PER_DOMAIN: usize = 3;
-/// Most members of a fleet in which each instance reads for itself.
+/// Largest fleet in which every instance reads the store directly.
 pub const MAX_DIRECT_MEMBERS: usize = 48;
-/// Time for which an instance whose readers failed reads for itself.
+/// How long an instance whose readers failed reads the store directly.
 const DIRECT_PERIOD: Duration = Duration::from_secs(3);
-/// Readers asked in a row before an instance reads for itself: small machines' links do not
-/// carry the writes of thousands of endpoints.
+/// Readers that may fail in a row before an instance reads the store directly. More than one is
+/// tried because small machines' links cannot carry the writes of thousands of endpoints.
 const MAX_FAILED_READERS: usize = 2;
 
-/// How the time in which a leaving endpoint must get no more work is spent on the way of the
-/// news. The last tenth is for a reading at the store after [`MAX_FAILED_READERS`] readers failed.
+/// Division of the time within which a draining endpoint must stop getting work. The last tenth
+/// is for a read at the store after [`MAX_FAILED_READERS`] readers failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Budget {
-    /// Oldest that a reader's knowledge may be when its answer is there.
+    /// Largest age of a reader's knowledge when its answer arrives.
     pub oldest: Duration,
-    /// Pause between two questions to a reader.
+    /// Delay between two requests to a reader.
     pub pause: Duration,
-    /// Time for a reader's whole answer.
+    /// Time limit of a reader's complete answer.
     pub answer: Duration,
 }
 
 impl Budget {
-    /// The shares of `drain`.
+    /// Divides `drain`.
     #[must_use]
     pub fn of(drain: Duration) -> Self {
         Self {
@@ -53,80 +55,81 @@
     }
 }
 
-/// An instance that may read for others.
+/// An instance that may be a reader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate<'a> {
     /// Its name.
     pub name: &'a id::Instance,
-    /// Its link, zero where it is not known.
+    /// Capacity of its link; zero if unknown.
     pub link: Megabits,
 }
 
 impl Candidate<'_> {
-    /// Those that come first read: the widest links, by name among equals.
+    /// Sort key of the selection: the widest links come first, equal ones by name.
     fn order(&self) -> (Reverse<Megabits>, &id::Instance) {
         (Reverse(self.link), self.name)
     }
 }
 
-/// Where an instance has registrations from.
+/// Source of an instance's registrations.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
-    /// From the store.
+    /// The store.
     Store,
-    /// From this instance.
+    /// This reader.
     Reader(id::Instance),
 }
 
-/// What one instance remembers of its readers.
+/// Failures of the readers that one instance has asked.
 #[derive(Debug, Clone, Default)]
 pub struct Reading {
-    /// Until then it reads for itself.
-    hold: Option<Time>,
-    /// Readers that failed so far; the next one is asked for each.
-    failed: usize,
-    /// Readers that failed since one answered, or since it read for itself.
-    in_a_row: usize,
+    /// End of the period in which it reads the store directly.
+    direct_until: Option<Time>,
+    /// Failures so far; each one moves on to the next reader.
+    failures: usize,
+    /// Failures since the last answer or the last direct period.
+    consecutive_failures: usize,
 }
 
 impl Reading {
-    /// Where this instance has registrations from, of so many members. `near` are the others of
-    /// its failure domain that are heard and ready; `alone` is [`MAX_DIRECT_MEMBERS`] unless it is set.
+    /// Source of the registrations of the instance `me` in a fleet of `members`. `local` are the
+    /// other instances of its failure domain that are alive and ready; `max_direct` is
+    /// [`MAX_DIRECT_MEMBERS`] unless it is set.
     #[must_use]
     pub fn source(
         &self,
         now: Time,
         me: Candidate<'_>,
-        near: &[Candidate<'_>],
+        local: &[Candidate<'_>],
         members: usize,
-        alone: usize,
+        max_direct: usize,
     ) -> Source {
-        if members <= alone || self.hold.is_some_and(|until| now < until) {
+        if members <= max_direct || self.direct_until.is_some_and(|until| now < until) {
             return Source::Store;
         }
-        let mut near: Vec<&Candidate<'_>> = near.iter().collect();
-        near.sort_unstable_by_key(|candidate| candidate.order());
-        if near.partition_point(|candidate| candidate.order() < me.order()) < READERS_PER_DOMAIN {
+        let mut local: Vec<&Candidate<'_>> = local.iter().collect();
+        local.sort_unstable_by_key(|candidate| candidate.order());
+        if local.partition_point(|candidate| candidate.order() < me.order()) < READERS_PER_DOMAIN {
             return Source::Store;
         }
-        // Followers share the readers evenly, and each knows its own without asking.
+        // A hash of the name spreads the followers evenly over the readers without coordination.
         let first = xxh3_64(me.name.as_str().as_bytes()) as usize;
-        let place = first.wrapping_add(self.failed) % READERS_PER_DOMAIN;
-        Source::Reader(near[place].name.clone())
+        let index = first.wrapping_add(self.failures) % READERS_PER_DOMAIN;
+        Source::Reader(local[index].name.clone())
     }
 
-    /// The reader told what it knows.
+    /// Records that the reader answered.
     pub fn answered(&mut self) {
-        self.in_a_row = 0;
+        self.consecutive_failures = 0;
     }
 
-    /// The reader gave no answer in time, or said itself that its news are old.
+    /// Records that the reader did not answer in time or reported its knowledge as too old.
     pub fn failed(&mut self, now: Time) {
-        self.failed = self.failed.wrapping_add(1);
-        self.in_a_row += 1;
-        if self.in_a_row >= MAX_FAILED_READERS {
-            self.in_a_row = 0;
-            self.hold = Some(now + DIRECT_PERIOD);
+        self.failures = self.failures.wrapping_add(1);
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= MAX_FAILED_READERS {
+            self.consecutive_failures = 0;
+            self.direct_until = Some(now + DIRECT_PERIOD);
         }
     }
 }
--- a/coltsfoothall/src/forward/roster.rs
+++ b/coltsfoothall/src/forward/roster.rs
@@ -1,4 +1,4 @@
-//! Endpoints as they are known here, who among them ended, and what is open at each.
+//! Endpoints known to this instance, those that have ended, and the runs open at each.
 
 use std::time::Duration;
 
@@ -6,19 +6,21 @@
 
 use crate::clock::Time;
 use crate::forward::choice::{Pick, Query, Settings, chains, pairs};
-use crate::forward::gossip::{PLACED_AGAIN, Peer, Placed};
+use crate::forward::gossip::{PLACEMENT_INTERVAL, Peer, Placement};
 use crate::forward::history::Position;
 use crate::forward::latency::{Model, Sample};
-use crate::forward::node::{Entry, Listing, Load, NEWEST, Node, Open, SLOWNESS, SUCCESS};
+use crate::forward::node::{
+    Entry, Listing, Load, Node, SLOWNESS_BOUNDS, SLOWNESS_WEIGHT, SUCCESS_WEIGHT, Waiting,
+};
 use crate::id;
 use crate::size::Millis;
 
-/// A request that is open at an endpoint.
+/// A request that runs at an endpoint.
 #[derive(Debug)]
-#[must_use = "an open run counts as load until it is ended"]
+#[must_use = "an open run counts as load until it is finished"]
 pub struct Run {
     pub(super) endpoint: id::Endpoint,
-    /// Start of the endpoint that runs it.
+    /// When the endpoint that runs it started.
     pub(super) born: Millis,
     service: id::Service,
     load: Load,
@@ -29,72 +31,72 @@
     first: bool,
 }
 
-/// How a run ended, as far as the endpoint's soundness goes.
+/// How a run ended, as evidence about its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// With a whole answer.
+    /// With a complete answer.
     Whole,
-    /// It was turned away: the endpoint is full.
+    /// Refused, as the endpoint is full.
     Refused,
-    /// With an error of the endpoint's own, or broken off.
+    /// With an error of the endpoint, or with an incomplete answer.
     Failed,
     /// The endpoint could not be reached.
     Unreachable,
-    /// Given up here; says nothing about the endpoint.
+    /// Canceled by this instance; no evidence about the endpoint.
     Abandoned,
 }
 
-/// What changed in the list of endpoints.
+/// Change in the list of endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A new one takes work.
+    /// A new endpoint takes work.
     Added(id::Endpoint),
-    /// One started again under its name; nothing that was believed of it holds.
+    /// An endpoint restarted under its name; its estimates were reset.
     Restarted(id::Endpoint),
-    /// One is about to leave; it gets no new work.
+    /// An endpoint is draining; it gets no new work.
     Leaving(id::Endpoint),
-    /// One is gone.
+    /// An endpoint was removed.
     Gone(id::Endpoint),
 }
 
-/// An endpoint that was leaving or gone at a place in the store's history.
+/// An endpoint that was draining or gone at a position in the store's history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
     /// Its name.
     pub id: id::Endpoint,
-    /// When; a later registration that does not leave is believed again.
+    /// The position; a later registration that is not draining overrides this.
     #[serde(rename = "place")]
     pub position: Position,
 }
 
-/// All endpoints.
+/// All known endpoints.
 #[derive(Debug, Clone)]
 pub struct Roster {
     pub(super) settings: Settings,
     /// Sorted by id.
     pub(super) nodes: Vec<Node>,
-    /// Endpoints listed so far, restarted and returned ones anew.
+    /// Number of the last listing; restarted and returned endpoints are listed anew.
     pub(super) listings: Listing,
-    /// What other instances have open; sorted by boot.
+    /// Loads reported by other instances, sorted by boot number.
     pub(super) peers: Vec<Peer>,
     runs: u64,
-    /// Shared parts that were sent from here lately, the oldest first, for others to know.
-    pub(super) placed: Vec<Placed>,
-    /// Microseconds of endpoints' time that requests from here took, by service.
+    /// Shared prefixes that this instance recently sent, oldest first, to be reported.
+    pub(super) placements: Vec<Placement>,
+    /// Microseconds of endpoints' time that this instance's requests took, by service.
     work: Vec<(id::Service, u64)>,
-    /// How fast the engines are, sorted by service.
+    /// Latency models of the engines, sorted by service.
     latency_models: Vec<(id::Service, Model)>,
-    /// The latency model of engines that gave no answer yet.
+    /// Latency model of engines without an answer yet.
     assumed: Model,
-    /// Endpoints that were leaving or gone at a place in the store's history; sorted by id.
+    /// Endpoints that were draining or gone at a position in the store's history; sorted by id.
     ended: Vec<Ended>,
 }
 
-/// Most ended endpoints remembered; it stops a long life from filling memory.
-const ENDED: usize = 4096;
+/// Bounds the memory for ended endpoints of a process that runs for long.
+const MAX_ENDED: usize = 4096;
 
 impl Roster {
-    /// A roster without endpoints.
+    /// Creates a roster without endpoints.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -105,7 +107,7 @@
             listings: Listing::default(),
             peers: Vec::new(),
             runs: 0,
-            placed: Vec::new(),
+            placements: Vec::new(),
             work: Vec::new(),
             ended: Vec::new(),
         }
@@ -120,10 +122,10 @@
     /// An endpoint by its id.
     #[must_use]
     pub fn node(&self, id: &id::Endpoint) -> Option<&Node> {
-        self.place(id).ok().map(|place| &self.nodes[place])
+        self.index(id).ok().map(|index| &self.nodes[index])
     }
 
-    /// An endpoint registered, or its registration changed.
+    /// Records a new or changed registration of an endpoint.
     pub fn registered(&mut self, now: Time, entry: Entry) -> Option<Event> {
         let id = entry.id.clone();
         let leaving = entry.leaving || self.is_ended(&id, entry.position);
@@ -131,18 +133,18 @@
             self.record_ended(&id, entry.position);
         }
         let entry = Entry { leaving, ..entry };
-        match self.place(&id) {
-            Err(place) => {
+        match self.index(&id) {
+            Err(index) => {
                 let node = Node::new(entry, self.listings.advance(), now);
-                self.nodes.insert(place, node);
+                self.nodes.insert(index, node);
                 Some(if leaving {
                     Event::Leaving(id)
                 } else {
                     Event::Added(id)
                 })
             }
-            Ok(place) => {
-                let node = &mut self.nodes[place];
+            Ok(index) => {
+                let node = &mut self.nodes[index];
                 if entry.position < node.entry.position || entry.born < node.entry.born {
                     return None;
                 }
@@ -156,17 +158,17 @@
                 }
                 if let Some(leaves) = entry.leaves {
                     let until = now + leaves;
-                    node.until = Some(node.until.map_or(until, |had| had.min(until)));
+                    node.until = Some(node.until.map_or(until, |known| known.min(until)));
                 }
-                let newly = leaving && !node.entry.leaving;
+                let newly_leaving = leaving && !node.entry.leaving;
                 node.entry = entry;
-                newly.then_some(Event::Leaving(id))
+                newly_leaving.then_some(Event::Leaving(id))
             }
         }
     }
 
-    /// An instance that reads registrations says that an endpoint is about to leave, as of then,
-    /// and in which time it is taken away if that is known.
+    /// Records a reader's report that an endpoint is draining as of `at`, and the time until it is
+    /// reclaimed if that is known.
     pub fn left(
         &mut self,
         now: Time,
@@ -187,14 +189,14 @@
         self.registered(now, entry)
     }
 
-    /// Another instance says that an endpoint left or was leaving.
+    /// Merges another instance's report that an endpoint was draining or gone.
     pub fn merge_ended(&mut self, ended: &Ended) -> Option<Event> {
         if self.is_ended(&ended.id, ended.position) {
             return None;
         }
         self.record_ended(&ended.id, ended.position);
-        let place = self.place(&ended.id).ok()?;
-        let node = &mut self.nodes[place];
+        let index = self.index(&ended.id).ok()?;
+        let node = &mut self.nodes[index];
         if node.entry.leaving || node.entry.position > ended.position {
             return None;
         }
@@ -202,18 +204,18 @@
         Some(Event::Leaving(ended.id.clone()))
     }
 
-    /// A registration was removed then.
+    /// Records that a registration was removed at `at`.
     pub fn removed(&mut self, id: &id::Endpoint, at: Position) -> Option<Event> {
         self.record_ended(id, at);
-        let place = self.place(id).ok()?;
-        if self.nodes[place].entry.position > at {
+        let index = self.index(id).ok()?;
+        if self.nodes[index].entry.position > at {
             return None;
         }
-        self.nodes.remove(place);
+        self.nodes.remove(index);
         Some(Event::Gone(id.clone()))
     }
 
-    /// Endpoints that are on this list and in no later one.
+    /// Known endpoints that are absent from `listed`.
     #[must_use]
     pub fn missing(&self, listed: &[Entry]) -> Vec<id::Endpoint> {
         let mut listed: Vec<&id::Endpoint> = listed.iter().map(|entry| &entry.id).collect();
@@ -223,7 +225,7 @@
         gone.map(|node| node.entry.id.clone()).collect()
     }
 
-    /// Share of the places of a service that are taken, over all endpoints that take work.
+    /// Share of a service's slots that are in use, over all endpoints that take work.
     #[must_use]
     pub fn utilization(&self, service: &id::Service) -> f64 {
         let nodes = self
@@ -239,7 +241,7 @@
         open as f64 / (slots as f64).max(1.0)
     }
 
-    /// A request goes to the picked endpoint.
+    /// Begins the run of a request at the chosen endpoint.
     pub fn begin(&mut self, now: Time, pick: &Pick, query: &Query<'_>) -> Run {
         self.runs += 1;
         let load = Load {
@@ -257,20 +259,20 @@
         }
         let mut born = Millis(0);
         let mut placed = Vec::new();
-        if let Ok(place) = self.place(&pick.endpoint) {
-            let node = &mut self.nodes[place];
+        if let Ok(index) = self.index(&pick.endpoint) {
+            let node = &mut self.nodes[index];
             born = node.entry.born;
             node.own = node.own.plus(load);
-            node.waiting.push(Open {
+            node.waiting.push(Waiting {
                 number,
                 began: now,
                 expected: pick.wait,
             });
             let shared = query.parts.len().saturating_sub(1);
-            for (place, chain) in chains(query.parts).enumerate() {
-                let is_news = !node.knows(chain, now - PLACED_AGAIN);
-                node.remember(chain, now);
-                if is_news && place < shared {
+            for (index, chain) in chains(query.parts).enumerate() {
+                let is_new = !node.has_cached(chain, now - PLACEMENT_INTERVAL);
+                node.record_cached(chain, now);
+                if is_new && index < shared {
                     placed.push(chain);
                 }
             }
@@ -290,13 +292,13 @@
         run
     }
 
-    /// The first part of the answer came.
+    /// Records the first event of a run's answer.
     pub fn record_first_event(&mut self, now: Time, run: &mut Run) {
         if std::mem::replace(&mut run.first, true) {
             return;
         }
         let took = now.since(run.began);
-        let read = Load {
+        let prefilled = Load {
             unread: run.load.unread,
             pairs: run.load.pairs,
             ..Load::default()
@@ -307,16 +309,16 @@
         let Some(node) = self.endpoint_of(run) else {
             return;
         };
-        run.load = run.load.minus(read);
-        node.own = node.own.minus(read);
+        run.load = run.load.minus(prefilled);
+        node.own = node.own.minus(prefilled);
         node.waiting.retain(|open| open.number != run.number);
         let ratio = took.as_secs_f64() / run.expected.as_secs_f64().max(0.005);
-        let (least, most) = SLOWNESS;
-        node.slowness += NEWEST * (ratio * node.slowness - node.slowness);
-        node.slowness = node.slowness.clamp(least, most);
+        let (min, max) = SLOWNESS_BOUNDS;
+        node.slowness += SLOWNESS_WEIGHT * (ratio * node.slowness - node.slowness);
+        node.slowness = node.slowness.clamp(min, max);
     }
 
-    /// More events of a run's answer came.
+    /// Records further events of a run's answer.
     pub fn record_events(&mut self, run: &Run, events: u64) {
         if run.sample.is_some() {
             let work = self.latency_model(&run.service).event() * events as f64;
@@ -324,98 +326,98 @@
         }
     }
 
-    /// How fast the engines of a service are, as far as it is known.
+    /// Latency model of a service's engines; the assumed one before their first answer.
     #[must_use]
     pub fn latency_model(&self, service: &id::Service) -> &Model {
         let found = self
             .latency_models
-            .binary_search_by(|(have, _)| have.cmp(service));
-        found.map_or(&self.assumed, |place| &self.latency_models[place].1)
+            .binary_search_by(|(name, _)| name.cmp(service));
+        found.map_or(&self.assumed, |index| &self.latency_models[index].1)
     }
 
     fn latency_model_mut(&mut self, service: &id::Service) -> &mut Model {
         let found = self
             .latency_models
-            .binary_search_by(|(have, _)| have.cmp(service));
-        let place = found.unwrap_or_else(|place| {
+            .binary_search_by(|(name, _)| name.cmp(service));
+        let index = found.unwrap_or_else(|index| {
             let model = self.assumed.clone();
-            self.latency_models.insert(place, (service.clone(), model));
-            place
+            self.latency_models.insert(index, (service.clone(), model));
+            index
         });
-        &mut self.latency_models[place].1
+        &mut self.latency_models[index].1
     }
 
-    /// A run ended at its endpoint.
+    /// Ends a run.
     pub fn finish(&mut self, now: Time, run: &Run, end: End) {
-        let avoid = self.settings.avoid;
+        let avoid_period = self.settings.avoid_period;
         let Some(node) = self.endpoint_of(run) else {
             return;
         };
         node.own = node.own.minus(run.load);
         node.waiting.retain(|open| open.number != run.number);
         match end {
-            End::Whole => node.failures -= SUCCESS * node.failures,
+            End::Whole => node.failures -= SUCCESS_WEIGHT * node.failures,
             End::Failed => {
                 node.failed += 1;
                 node.record_failure(now);
             }
-            End::Refused => node.full = now + avoid / 5,
-            End::Unreachable => node.avoided = now + avoid,
+            End::Refused => node.full_until = now + avoid_period / 5,
+            End::Unreachable => node.avoided_until = now + avoid_period,
             End::Abandoned => {}
         }
     }
 
-    /// Microseconds of endpoints' time that requests from here took, by service.
+    /// Microseconds of endpoints' time that this instance's requests took, by service.
     #[must_use]
     pub fn work(&self) -> &[(id::Service, u64)] {
         &self.work
     }
 
     fn record_work(&mut self, service: &id::Service, micros: u64) {
-        match self.work.binary_search_by(|(have, _)| have.cmp(service)) {
-            Ok(place) => self.work[place].1 += micros,
-            Err(place) => self.work.insert(place, (service.clone(), micros)),
+        match self.work.binary_search_by(|(name, _)| name.cmp(service)) {
+            Ok(index) => self.work[index].1 += micros,
+            Err(index) => self.work.insert(index, (service.clone(), micros)),
         }
     }
 
-    /// The endpoint of a run, unless it started again since.
+    /// The endpoint of a run, unless it has restarted since.
     fn endpoint_of(&mut self, run: &Run) -> Option<&mut Node> {
-        let place = self.place(&run.endpoint).ok()?;
-        let node = &mut self.nodes[place];
+        let index = self.index(&run.endpoint).ok()?;
+        let node = &mut self.nodes[index];
         (node.entry.born == run.born).then_some(node)
     }
 
-    /// How much of what it is asked an endpoint is believed to fail, 0 to 1.
+    /// Estimated share of its requests that an endpoint fails, from 0 to 1.
     #[must_use]
     pub fn failure_rate(&self, now: Time, id: &id::Endpoint) -> f64 {
-        self.node(id).map_or(0.0, |node| node.unsound(now))
+        self.node(id).map_or(0.0, |node| node.failure_rate(now))
     }
 
-    /// Whether an endpoint was leaving or gone then or later.
+    /// Whether an endpoint was draining or gone at this position or a later one.
     fn is_ended(&self, id: &id::Endpoint, at: Position) -> bool {
         let found = self.ended.binary_search_by(|ended| ended.id.cmp(id));
-        found.is_ok_and(|place| self.ended[place].position >= at)
+        found.is_ok_and(|index| self.ended[index].position >= at)
     }
 
     fn record_ended(&mut self, id: &id::Endpoint, at: Position) {
-        if self.ended.len() >= ENDED {
+        if self.ended.len() >= MAX_ENDED {
             let nodes = &self.nodes;
             self.ended
                 .retain(|ended| nodes.iter().any(|node| node.entry.id == ended.id));
         }
         match self.ended.binary_search_by(|ended| ended.id.cmp(id)) {
-            Ok(place) => {
-                let ended = &mut self.ended[place];
+            Ok(index) => {
+                let ended = &mut self.ended[index];
                 ended.position = ended.position.max(at);
             }
-            Err(place) => {
+            Err(index) => {
                 let id = id.clone();
-                self.ended.insert(place, Ended { id, position: at });
+                self.ended.insert(index, Ended { id, position: at });
             }
         }
     }
 
-    pub(super) fn place(&self, id: &id::Endpoint) -> Result<usize, usize> {
+    pub(super) fn index(&self, id: &id::Endpoint) -> Result<usize, usize> {
         self.nodes.binary_search_by(|node| node.entry.id.cmp(id))
     }
 }
--- a/coltsfoothall/src/forward/stop.rs
+++ b/coltsfoothall/src/forward/stop.rs
@@ -1,45 +1,45 @@
-//! A planned stop: when it does what, and which requests it still takes.
+//! Schedule of a graceful shutdown, and which requests are still accepted during it.
 //!
-//! All its moments count from the signal, as the platform's kill does. A request that is taken
-//! is a promise. So one that another instance can take goes there at once, unless its own time
-//! limit ends before this process does; with nobody else to take it, it is taken if it is
-//! expected to end in time.
+//! All times count from the signal, as does the time after which the platform kills the process.
+//! An accepted request must be answered. While other instances accept callers, a request is
+//! therefore accepted only if its time limit ends before this process does. If there is no other
+//! instance, it is accepted if it is expected to end in time.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Times that callers may keep addresses for longer than they were told.
-const KEPT_TIMES: u32 = 3;
-/// Time before the platform kills the process by which it has ended by itself. An instance
-/// with an eighth of a core needs some 0.1 s to write its last answers.
-const SPARE: Duration = Duration::from_millis(250);
+/// Factor by which callers may exceed the time for which they may keep addresses.
+const ADDRESS_TTL_FACTOR: u32 = 3;
+/// Time between the end of the process and the kill by the platform. An instance with an eighth
+/// of a core needs some 0.1 s to write its last answers.
+const KILL_MARGIN: Duration = Duration::from_millis(250);
 
-/// The moments of a planned stop.
+/// Schedule of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stop {
-    /// When the signal was seen.
+    /// When the signal was received.
     pub signalled: Time,
-    /// When connections without a request are closed, and no new ones taken: by then callers
-    /// were to drop the addresses that name this instance.
+    /// When idle connections are closed and no new ones are accepted. By then callers should have
+    /// dropped the addresses of this instance.
     pub closes: Time,
-    /// When what is still under way is cut.
+    /// When requests that still run are cut off.
     pub cuts: Time,
 }
 
-/// How long a request may take.
+/// Time that a request may need.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Need {
-    /// Until its final answer is due.
+    /// Time until its final answer is due.
     pub limit: Duration,
-    /// The longest that its like took, if that is known.
+    /// Longest recent time of a request on the same route, if known.
     pub longest: Option<Duration>,
-    /// Whether another instance takes requests.
+    /// Whether another instance accepts requests.
     pub elsewhere: bool,
 }
 
 impl Need {
-    /// The time that must be left for it.
+    /// Time that must be left before the cut-off for it to be accepted.
     #[must_use]
     pub fn time(self) -> Duration {
         match self.longest {
@@ -50,17 +50,18 @@
 }
 
 impl Stop {
-    /// A stop that the platform ends after `grace`; callers keep addresses for `addresses`.
+    /// Plans a shutdown. The platform kills the process after `grace`, and callers may keep
+    /// addresses for `addresses`.
     #[must_use]
     pub fn new(signalled: Time, grace: Duration, addresses: Duration) -> Self {
         Self {
             signalled,
-            closes: signalled + (addresses * KEPT_TIMES).min(grace / 2),
-            cuts: signalled + grace.saturating_sub(SPARE),
+            closes: signalled + (addresses * ADDRESS_TTL_FACTOR).min(grace / 2),
+            cuts: signalled + grace.saturating_sub(KILL_MARGIN),
         }
     }
 
-    /// Whether a request ends before it would be cut.
+    /// Whether a request is expected to end before the cut-off.
     #[must_use]
     pub fn allows(&self, now: Time, need: Need) -> bool {
         now + need.time() <= self.cuts
--- a/coltsfoothall/src/forward/upgrade.rs
+++ b/coltsfoothall/src/forward/upgrade.rs
@@ -1,11 +1,11 @@
-//! Moves a service from the versions that serve it to another one, and back if that is worse.
+//! Gradual upgrade of a service to another version, with rollback if that version is worse.
 //!
-//! An order names the candidate; all other versions are the baseline. Each instance gives the
-//! candidate a fixed part of its own requests on each route, so that no instance can spend
-//! another's part, and a cut or a restart adds nothing. Answers are counted by route and side,
-//! and the counts of all instances are added up. Every instance judges the sums alone: a worse
-//! candidate gets no more work at once, without waiting for the store. Who acts for all moves
-//! a sound candidate on in steps and tells when all of the service has moved.
+//! An order names the candidate; all other versions are the baseline. Each instance sends the
+//! candidate a fixed share of its own requests on each route. Shares are not pooled, so a network
+//! partition or a restart never increases the candidate's total. Answers are counted by route and
+//! side, and the counts of all instances are summed. Every instance judges the sums on its own, so
+//! that a worse candidate stops getting work at once, without the store. The leader advances a
+//! good candidate in steps and reports when the whole service has moved.
 
 use std::time::Duration;
 
@@ -21,19 +21,19 @@
 /// Bounds of an upgrade.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
-    /// Part of a route's requests that the candidate gets until it is found sound.
+    /// Share of a route's requests that the candidate gets during the trial.
     pub share: f64,
-    /// Part of the time limit for which it is observed before more of the service moves.
+    /// Share of the time limit that the trial takes at least.
     pub observed: f64,
-    /// Time of one step; each step doubles the candidate's part.
+    /// Duration of one step; each step doubles the candidate's share.
     pub step: Duration,
-    /// Answers of the candidate without which nothing is moved.
+    /// Answers of the candidate that are required before the share grows.
     pub answers: u32,
-    /// Answers of the candidate on each busy route without which nothing is moved.
+    /// Answers of the candidate that are required on each busy route before the share grows.
     pub sampled: u32,
     /// Answers of the baseline from which on a route is busy.
     pub busy: u32,
-    /// Unused parts of requests that are kept: a candidate that was away is not flooded.
+    /// Bounds the unused credit, in requests, so that a candidate that was absent is not flooded.
     pub credit: f64,
 }
 
@@ -58,30 +58,30 @@
     pub service: id::Service,
     /// The candidate.
     pub target: id::Version,
-    /// Time in which it should be decided.
+    /// Time limit of the decision.
     pub limit: Duration,
-    /// When it was written; a later one for the service replaces it.
+    /// Position at which it was written; a later order for the service replaces it.
     pub position: Position,
 }
 
-/// How far an upgrade is.
+/// Progress of an upgrade.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
-    /// The candidate is observed.
+    /// The candidate is observed with a small share.
     Trial,
-    /// It was found sound; its part is doubled with each step.
+    /// The candidate is as good as the baseline; its share doubles with each step.
     Moving {
         /// Steps so far, from 1.
         step: u32,
     },
-    /// All of the service has moved.
+    /// The whole service has moved.
     Complete,
-    /// The candidate is worse, or was not found sound in time; it gets no work.
+    /// The candidate is worse, or was not found good within the time limit; it gets no work.
     RolledBack,
 }
 
 impl Stage {
-    /// Whether nothing can follow.
+    /// Whether no other stage can follow.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, Self::Complete | Self::RolledBack)
@@ -91,17 +91,17 @@
 /// Which versions may run a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Versions {
-    /// All of them.
+    /// All versions.
     Any,
-    /// This one alone.
+    /// Only this version.
     Only(id::Version),
-    /// All but this one.
+    /// All versions but this one.
     Without(id::Version),
 }
 
 impl Versions {
-    /// Whether an endpoint of a version is among them; one that does not say which it runs is
-    /// of the baseline.
+    /// Whether an endpoint of a version is included; one that reports no version belongs to the
+    /// baseline.
     #[must_use]
     pub fn has(&self, version: Option<&id::Version>) -> bool {
         match self {
@@ -115,13 +115,13 @@
 /// Answers of both sides on one route.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Pair {
-    /// Those of the baseline.
+    /// Answers of the baseline.
     pub baseline: Count,
-    /// Those of the candidate.
+    /// Answers of the candidate.
     pub candidate: Count,
 }
 
-/// What an instance tells the others of an upgrade.
+/// An instance's report on an upgrade.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     service: id::Service,
@@ -141,11 +141,12 @@
     pub service: id::Service,
     /// The candidate.
     pub target: id::Version,
-    /// Where it stands now.
+    /// The new stage.
     pub stage: Stage,
-    /// Answers that decided, of all instances: on the route that showed a difference, or on all.
+    /// Answers of all instances that led to the change: those of the route that showed a
+    /// difference, or of all routes.
     pub answers: Pair,
-    /// Why.
+    /// Reason for the change.
     pub reason: &'static str,
 }
 
@@ -153,23 +154,23 @@
 #[derive(Debug, Clone)]
 struct Tally {
     route: String,
-    /// Requests that the candidate may still get, once one was sent.
+    /// Requests that the candidate may still get; set by the first request on the route.
     credit: Option<f64>,
     own: Pair,
-    /// Answers of all instances when they were last judged.
+    /// Answers of all instances at the last judgment.
     judged: Pair,
     detector: Detector,
 }
 
-/// What another instance told.
+/// Latest report of another instance.
 #[derive(Debug, Clone)]
-struct Heard {
+struct Peer {
     boot: u64,
     stage: Stage,
     answers: Vec<(String, Pair)>,
 }
 
-/// One service on its way.
+/// Upgrade of one service.
 #[derive(Debug, Clone)]
 struct Upgrade {
     order: Order,
@@ -177,33 +178,33 @@
     stage: Stage,
     /// When the stage began.
     entered: Time,
-    /// Whether an endpoint of the baseline was there since the order.
+    /// Whether an endpoint of the baseline has been present since the order.
     had_baseline: bool,
     tallies: Vec<Tally>,
-    heard: Vec<Heard>,
+    peers: Vec<Peer>,
 }
 
-/// What is known of a service's endpoints and of the other instances when it is decided how an
-/// upgrade goes on.
+/// State of the fleet that the leader takes into account when it advances an upgrade.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// Boots of the instances that are heard.
+    /// Boot numbers of the live instances.
     pub boots: Vec<u64>,
-    /// Requests that all instances have open at endpoints of the baseline.
+    /// Open requests of all instances at endpoints of the baseline.
     pub open: u32,
 }
 
-/// All upgrades, sorted by service.
+/// All upgrades.
 #[derive(Debug, Clone, Default)]
 pub struct Registry {
     settings: Settings,
     /// Differs between instances.
     seed: u64,
+    /// Sorted by service.
     upgrades: Vec<Upgrade>,
 }
 
 impl Registry {
-    /// No order yet; the seed differs between instances.
+    /// Creates an empty registry; the seed has to differ between instances.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
@@ -213,8 +214,8 @@
         }
     }
 
-    /// Takes over an order; one that is known, or older than the one that is known, is nothing.
-    /// Returns whether it is news.
+    /// Applies an order, unless it or a newer one for the service is already known. Returns whether
+    /// it was applied.
     pub fn ordered(&mut self, now: Time, order: Order) -> bool {
         let upgrade = Upgrade {
             since: now,
@@ -222,23 +223,23 @@
             entered: now,
             had_baseline: false,
             tallies: Vec::new(),
-            heard: Vec::new(),
+            peers: Vec::new(),
             order,
         };
         match self.find(&upgrade.order.service) {
-            Ok(place) if upgrade.order.position <= self.upgrades[place].order.position => false,
-            Ok(place) => {
-                self.upgrades[place] = upgrade;
+            Ok(index) if upgrade.order.position <= self.upgrades[index].order.position => false,
+            Ok(index) => {
+                self.upgrades[index] = upgrade;
                 true
             }
-            Err(place) => {
-                self.upgrades.insert(place, upgrade);
+            Err(index) => {
+                self.upgrades.insert(index, upgrade);
                 true
             }
         }
     }
 
-    /// The candidate of a service that is on its way.
+    /// The candidate of a service with an unfinished upgrade.
     #[must_use]
     pub fn candidate(&self, service: &id::Service) -> Option<&id::Version> {
         let (order, stage) = self.stage(service)?;
@@ -247,39 +248,41 @@
 
     /// All orders and their stages.
     pub fn orders(&self) -> impl Iterator<Item = (&Order, Stage)> {
-        self.upgrades.iter().map(|had| (&had.order, had.stage))
+        self.upgrades
+            .iter()
+            .map(|upgrade| (&upgrade.order, upgrade.stage))
     }
 
     /// The order and stage of a service.
     #[must_use]
     pub fn stage(&self, service: &id::Service) -> Option<(&Order, Stage)> {
-        let place = self.find(service).ok()?;
-        let had = &self.upgrades[place];
+        let index = self.find(service).ok()?;
+        let had = &self.upgrades[index];
         Some((&had.order, had.stage))
     }
 
-    /// A final state that stands at the store for the order; it is never changed.
+    /// Applies the final stage that the store holds for the order; it never changes.
     pub fn settled(&mut self, now: Time, service: &id::Service, stage: Stage) {
-        if let Ok(place) = self.find(service) {
-            self.upgrades[place].enter(now, stage);
+        if let Ok(index) = self.find(service) {
+            self.upgrades[index].enter(now, stage);
         }
     }
 
-    /// An endpoint of a version is there.
+    /// Records that an endpoint of a version is present.
     pub fn record_present(&mut self, service: &id::Service, version: Option<&id::Version>) {
-        if let Ok(place) = self.find(service) {
-            let upgrade = &mut self.upgrades[place];
+        if let Ok(index) = self.find(service) {
+            let upgrade = &mut self.upgrades[index];
             upgrade.had_baseline |= version != Some(&upgrade.order.target);
         }
     }
 
-    /// The versions that the next request on a route may go to, the preferred ones first.
+    /// The versions that the next request on a route may go to, in order of preference.
     #[must_use]
     pub fn versions(&self, service: &id::Service, route: &str) -> Vec<Versions> {
-        let Ok(place) = self.find(service) else {
+        let Ok(index) = self.find(service) else {
             return vec![Versions::Any];
         };
-        let upgrade = &self.upgrades[place];
+        let upgrade = &self.upgrades[index];
         let target = &upgrade.order.target;
         let only = Versions::Only(target.clone());
         let without = Versions::Without(target.clone());
@@ -287,7 +290,7 @@
         match upgrade.stage {
             Stage::RolledBack => vec![without],
             Stage::Complete => vec![only, Versions::Any],
-            // There is nothing to compare it with.
+            // Without a baseline there is nothing to compare the candidate with.
             Stage::Trial | Stage::Moving { .. } if !upgrade.had_baseline => vec![Versions::Any],
             Stage::Trial if due => vec![only, without],
             Stage::Trial => vec![without],
@@ -296,27 +299,27 @@
         }
     }
 
-    /// A request on a route goes to an endpoint of a version.
+    /// Records that a request on a route is sent to an endpoint of a version.
     pub fn record_sent(
         &mut self,
         service: &id::Service,
         route: &str,
         version: Option<&id::Version>,
     ) {
-        let Ok(place) = self.find(service) else {
+        let Ok(index) = self.find(service) else {
             return;
         };
-        let share = self.share(self.upgrades[place].stage);
-        let (most, seed) = (self.settings.credit, self.seed);
-        let upgrade = &mut self.upgrades[place];
+        let share = self.share(self.upgrades[index].stage);
+        let (max_credit, seed) = (self.settings.credit, self.seed);
+        let upgrade = &mut self.upgrades[index];
         let spent = f64::from(u8::from(version == Some(&upgrade.order.target)));
         let tally = upgrade.tally(route);
-        let had = tally.credit.unwrap_or_else(|| first_credit(seed, route));
-        tally.credit = Some((had + share - spent).min(most));
+        let credit = tally.credit.unwrap_or_else(|| first_credit(seed, route));
+        tally.credit = Some((credit + share - spent).min(max_credit));
     }
 
-    /// An endpoint answered a request: in which time, to the first event of a stream, and
-    /// whether with a failure of its own.
+    /// Records the answer of an endpoint to a request. `took` is the time to the answer, or to the
+    /// first event of a stream; `failed` tells whether the endpoint itself failed.
     pub fn record_answer(
         &mut self,
         service: &id::Service,
@@ -325,27 +328,27 @@
         took: Duration,
         failed: bool,
     ) {
-        let Ok(place) = self.find(service) else {
+        let Ok(index) = self.find(service) else {
             return;
         };
-        let upgrade = &mut self.upgrades[place];
+        let upgrade = &mut self.upgrades[index];
         let is_candidate = version == Some(&upgrade.order.target);
         let tally = upgrade.tally(route);
-        let usual = tally.judged.baseline;
+        let baseline = tally.judged.baseline;
         let own = &mut tally.own;
         let side = if is_candidate {
             &mut own.candidate
         } else {
             &mut own.baseline
         };
-        side.add(took, failed, usual);
+        side.add(took, failed, baseline);
     }
 
-    /// What this instance tells the others; answers only while they may still decide.
+    /// Reports of this instance; they contain answers only until the upgrade has a final stage.
     #[must_use]
     pub fn statuses(&self, now: Time) -> Vec<Status> {
         let statuses = self.upgrades.iter().map(|had| {
-            let tallies = had.tallies.iter().filter(|_lane| !had.stage.is_final());
+            let tallies = had.tallies.iter().filter(|_tally| !had.stage.is_final());
             Status {
                 service: had.order.service.clone(),
                 position: had.order.position,
@@ -359,32 +362,32 @@
         statuses.collect()
     }
 
-    /// Another instance tells of its upgrades; those of other orders than are known here say
-    /// nothing.
+    /// Merges the reports of another instance. Reports on orders that are not known here are
+    /// ignored.
     pub fn merge_statuses(&mut self, now: Time, boot: u64, statuses: Vec<Status>) {
         for status in statuses {
-            let Ok(place) = self.find(&status.service) else {
+            let Ok(index) = self.find(&status.service) else {
                 continue;
             };
-            let upgrade = &mut self.upgrades[place];
+            let upgrade = &mut self.upgrades[index];
             if upgrade.order.position != status.position {
                 continue;
             }
             upgrade.since = upgrade.since.min(now - status.age.duration());
             upgrade.enter(now, status.stage);
-            let heard = Heard {
+            let peer = Peer {
                 boot,
                 stage: status.stage,
                 answers: status.answers,
             };
-            match upgrade.heard.binary_search_by_key(&boot, |had| had.boot) {
-                Ok(place) => upgrade.heard[place] = heard,
-                Err(place) => upgrade.heard.insert(place, heard),
+            match upgrade.peers.binary_search_by_key(&boot, |peer| peer.boot) {
+                Ok(index) => upgrade.peers[index] = peer,
+                Err(index) => upgrade.peers.insert(index, peer),
             }
         }
     }
 
-    /// Judges the candidates by what all instances counted; those that are worse get no more.
+    /// Judges the candidates by the counts of all instances, and rolls back those that are worse.
     pub fn judge(&mut self, now: Time) -> Vec<Change> {
         let mut changes = Vec::new();
         for upgrade in &mut self.upgrades {
@@ -399,21 +402,22 @@
         changes
     }
 
-    /// How an upgrade goes on, decided by who acts for all.
+    /// Advances an upgrade if it is due; called by the leader only.
     pub fn advance(&mut self, now: Time, service: &id::Service, view: &View) -> Option<Change> {
-        let place = self.find(service).ok()?;
+        let index = self.find(service).ok()?;
         let settings = self.settings;
-        let upgrade = &mut self.upgrades[place];
+        let upgrade = &mut self.upgrades[index];
         let age = now.since(upgrade.since);
         let all = upgrade.all();
         let (stage, reason) = match upgrade.stage {
             Stage::Complete | Stage::RolledBack => return None,
             Stage::Trial if !upgrade.had_baseline && all.candidate.runs >= settings.answers => {
-                (Stage::Complete, "it served alone")
-            }
-            Stage::Trial if age >= upgrade.order.limit => {
-                (Stage::RolledBack, "not found sound in time")
+                (Stage::Complete, "no endpoint of the baseline was present")
             }
+            Stage::Trial if age >= upgrade.order.limit => (
+                Stage::RolledBack,
+                "not found as good as the baseline in time",
+            ),
             Stage::Trial
                 if age >= upgrade.order.limit.mul_f64(settings.observed)
                     && all.candidate.runs >= settings.answers
@@ -423,11 +427,14 @@
                 (Stage::Moving { step: 1 }, "as good as the baseline")
             }
             Stage::Moving { step } if now.since(upgrade.entered) >= settings.step => {
-                if moved_part(settings.share, step) < 1.0 {
+                if share_after(settings.share, step) < 1.0 {
                     if upgrade.is_suspect() {
                         return None;
                     }
-                    (Stage::Moving { step: step + 1 }, "still as good")
+                    (
+                        Stage::Moving { step: step + 1 },
+                        "still as good as the baseline",
+                    )
                 } else if view.open == 0 && upgrade.all_moved(&view.boots) {
                     (Stage::Complete, "all instances have moved")
                 } else {
@@ -440,11 +447,11 @@
         Some(upgrade.change(all, reason))
     }
 
-    /// Part of a route's requests that the candidate gets.
+    /// Share of a route's requests that the candidate gets.
     fn share(&self, stage: Stage) -> f64 {
         match stage {
             Stage::Trial => self.settings.share,
-            Stage::Moving { step } => moved_part(self.settings.share, step),
+            Stage::Moving { step } => share_after(self.settings.share, step),
             Stage::Complete => 1.0,
             Stage::RolledBack => 0.0,
         }
@@ -452,23 +459,24 @@
 
     fn find(&self, service: &id::Service) -> Result<usize, usize> {
         self.upgrades
-            .binary_search_by(|had| had.order.service.cmp(service))
+            .binary_search_by(|upgrade| upgrade.order.service.cmp(service))
     }
 }
 
-/// What an instance begins with on a route, from 0 to 1: drawn, so that in a large fleet, where
-/// each sees few requests, the candidate gets its part of them all from the start.
+/// Initial credit of an instance on a route, from 0 to 1. It is pseudo-random so that in a large
+/// fleet, where each instance sees few requests, the candidate gets its share of the total from
+/// the start.
 fn first_credit(seed: u64, route: &str) -> f64 {
     xxh3_64_with_seed(route.as_bytes(), seed) as f64 / u64::MAX as f64
 }
 
-/// The candidate's part after so many steps.
-fn moved_part(share: f64, step: u32) -> f64 {
+/// The candidate's share after a number of steps.
+fn share_after(share: f64, step: u32) -> f64 {
     (share * 2_f64.powi(step.min(16) as i32)).min(1.0)
 }
 
 impl Upgrade {
-    /// A stage that goes further than the present one; a final one stays.
+    /// Enters a stage if it is later than the present one and the present one is not final.
     fn enter(&mut self, now: Time, stage: Stage) {
         if !self.stage.is_final() && stage > self.stage {
             self.stage = stage;
@@ -481,7 +489,7 @@
         tally.and_then(|tally| tally.credit).unwrap_or(0.0)
     }
 
-    /// Whether the candidate answered on each route that many requests take.
+    /// Whether the candidate has answered often enough on each busy route.
     fn is_sampled(&self, settings: &Settings) -> bool {
         self.routes().iter().all(|route| {
             let sum = self.sum(route);
@@ -490,8 +498,8 @@
     }
 
     fn tally(&mut self, route: &str) -> &mut Tally {
-        let place = self.tallies.iter().position(|tally| tally.route == route);
-        let place = place.unwrap_or_else(|| {
+        let index = self.tallies.iter().position(|tally| tally.route == route);
+        let index = index.unwrap_or_else(|| {
             self.tallies.push(Tally {
                 route: route.to_owned(),
                 credit: None,
@@ -501,16 +509,16 @@
             });
             self.tallies.len() - 1
         });
-        &mut self.tallies[place]
+        &mut self.tallies[index]
     }
 
-    /// Answers of all instances on a route. What instances told that are gone stays true.
+    /// Answers of all instances on a route. Reports of instances that are gone still count.
     fn sum(&self, route: &str) -> Pair {
         let own = self.tallies.iter().filter(|tally| tally.route == route);
         let own = own.map(|tally| tally.own);
-        let heard = self.heard.iter().flat_map(|heard| &heard.answers);
-        let heard = heard.filter(|(have, _)| have == route);
-        own.chain(heard.map(|(_, pair)| *pair))
+        let reported = self.peers.iter().flat_map(|peer| &peer.answers);
+        let reported = reported.filter(|(have, _)| have == route);
+        own.chain(reported.map(|(_, pair)| *pair))
             .fold(Pair::default(), Pair::plus)
     }
 
@@ -522,15 +530,18 @@
 
     fn routes(&self) -> Vec<String> {
         let own = self.tallies.iter().map(|tally| &tally.route);
-        let heard = self.heard.iter().flat_map(|heard| &heard.answers);
-        let mut routes: Vec<String> = own.chain(heard.map(|(route, _)| route)).cloned().collect();
+        let reported = self.peers.iter().flat_map(|peer| &peer.answers);
+        let mut routes: Vec<String> = own
+            .chain(reported.map(|(route, _)| route))
+            .cloned()
+            .collect();
         routes.sort_unstable();
         routes.dedup();
         routes
     }
 
-    /// Takes what was counted since the last look into account; the answers of a route on which
-    /// the candidate is worse.
+    /// Feeds the answers since the last call to the detectors. Returns the answers of a route on
+    /// which the candidate is worse, if there is one.
     fn worse(&mut self) -> Option<Pair> {
         let mut found = None;
         for route in self.routes() {
@@ -546,15 +557,15 @@
         found
     }
 
-    /// Whether a difference is likely on some route, though not certain.
+    /// Whether the candidate is likely to be worse on some route.
     fn is_suspect(&self) -> bool {
         self.tallies.iter().any(|tally| tally.detector.is_suspect())
     }
 
     fn all_moved(&self, boots: &[u64]) -> bool {
         boots.iter().all(|boot| {
-            let told = self.heard.binary_search_by_key(boot, |had| had.boot);
-            told.is_ok_and(|place| self.heard[place].stage >= self.stage)
+            let found = self.peers.binary_search_by_key(boot, |peer| peer.boot);
+            found.is_ok_and(|index| self.peers[index].stage >= self.stage)
         })
     }
 
