--- a/coltsfoothall/src/forward/usage.rs
+++ b/coltsfoothall/src/forward/usage.rs
@@ -1,7 +1,7 @@
-//! Requests that began to run, counted by window of true time and workspace.
+//! Counts of started requests by workspace and time window.
 //!
-//! Every instance counts its own and tells all others, so that the counts of one that
-//! dies are not lost with it.
+//! Every instance counts its own requests and reports the counts to all others, so that they
+//! outlast the instance. Windows follow the fleet's common time of day.
 
 use std::time::Duration;
 
@@ -9,31 +9,32 @@
 
 use crate::id;
 
-/// Windows kept; a report is due before an older one could matter.
-const KEPT: u64 = 8;
+/// Windows that are kept. The usage of older ones has been reported by then.
+const MAX_WINDOWS: u64 = 8;
 
-/// A count of one instance's boot.
+/// Count of one workspace and window by one start of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
     /// Number of the window.
     pub window: u64,
     /// The workspace.
     pub workspace: id::Workspace,
-    /// Requests that began to run.
+    /// Requests that were started.
     pub runs: u64,
 }
 
-/// The counts of all boots, as they outlast these boots. Names are written once, since the
-/// whole is written again and again: an instance counts for each workspace.
+/// Counts of all starts of instances, in the form that is stored. Each workspace's name is written
+/// once, to keep the snapshot small: it is written often, and holds a count for each workspace and
+/// instance.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Sorted.
     workspaces: Vec<id::Workspace>,
-    /// Each window with its boots.
+    /// Each window with the counts of each boot number.
     windows: Vec<(u64, Vec<Boot>)>,
 }
 
-/// A boot and its runs, in the order of the workspaces.
+/// A boot number and its runs, in the order of the snapshot's workspaces.
 type Boot = (u64, Vec<u64>);
 
 /// Runs by workspace, sorted.
@@ -49,15 +50,15 @@
 impl Window {
     fn runs(&mut self, boot: u64) -> &mut Runs {
         let found = self.boots.binary_search_by_key(&boot, |(boot, _)| *boot);
-        let place = found.unwrap_or_else(|place| {
-            self.boots.insert(place, (boot, Runs::new()));
-            place
+        let index = found.unwrap_or_else(|index| {
+            self.boots.insert(index, (boot, Runs::new()));
+            index
         });
-        &mut self.boots[place].1
+        &mut self.boots[index].1
     }
 }
 
-/// The counts of all instances, as far as they are known here.
+/// Counts of all instances, as far as they are known here.
 #[derive(Debug, Clone)]
 pub struct Counter {
     boot: u64,
@@ -67,7 +68,7 @@
 }
 
 impl Counter {
-    /// An empty book of the instance with this boot number.
+    /// Creates an empty counter of the instance with this boot number.
     #[must_use]
     pub fn new(boot: u64, length: Duration) -> Self {
         Self {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The window that holds a time since 1970.
+    /// Number of the window that contains a time since 1970.
     #[must_use]
     pub fn window(&self, since_1970: Duration) -> u64 {
         (since_1970.as_millis() / self.length.as_millis().max(1)) as u64
@@ -89,37 +90,42 @@
         Duration::from_millis((window + 1).saturating_mul(self.length.as_millis() as u64))
     }
 
-    /// A request of `workspace` began to run here.
+    /// Counts a request of `workspace` that this instance started.
     pub fn record_start(&mut self, window: u64, workspace: &id::Workspace) {
         let boot = self.boot;
-        self.raise(window, workspace, boot, |runs| runs + 1);
-        self.windows.retain(|have| have.number + KEPT > window);
+        self.update(window, workspace, boot, |runs| runs + 1);
+        self.windows
+            .retain(|counted| counted.number + MAX_WINDOWS > window);
     }
 
-    /// Takes the counts that another instance tells; a lower one than before is old.
+    /// Merges the counts that another instance reports; a lower one than before is outdated.
     pub fn merge_counts(&mut self, boot: u64, counts: &[Count]) {
         for count in counts {
-            self.raise(count.window, &count.workspace, boot, |runs| {
+            self.update(count.window, &count.workspace, boot, |runs| {
                 runs.max(count.runs)
             });
         }
     }
 
-    /// All that is known from `window` on.
+    /// All known counts from `window` on.
     #[must_use]
     pub fn snapshot(&self, window: u64) -> Snapshot {
-        let windows = || self.windows.iter().filter(|have| have.number >= window);
+        let windows = || {
+            self.windows
+                .iter()
+                .filter(|counted| counted.number >= window)
+        };
         let runs = windows().flat_map(|window| window.boots.iter().flat_map(|(_, runs)| runs));
         let mut workspaces: Vec<id::Workspace> = runs.map(|(name, _)| name.clone()).collect();
         workspaces.sort_unstable();
         workspaces.dedup();
-        let told = |runs: &Runs| {
-            let of = |name: &id::Workspace| find(runs, name).map_or(0, |place| runs[place].1);
+        let row = |runs: &Runs| {
+            let of = |name: &id::Workspace| find(runs, name).map_or(0, |index| runs[index].1);
             workspaces.iter().map(of).collect()
         };
         let boots = |window: &Window| {
             let boots = window.boots.iter();
-            boots.map(|(boot, runs)| (*boot, told(runs))).collect()
+            boots.map(|(boot, runs)| (*boot, row(runs))).collect()
         };
         let windows = windows().map(|window| (window.number, boots(window)));
         Snapshot {
@@ -128,13 +134,13 @@
         }
     }
 
-    /// Takes over what another instance knew.
+    /// Merges a snapshot of another instance.
     pub fn restore(&mut self, snapshot: &Snapshot) {
         for (window, boots) in &snapshot.windows {
             for (boot, runs) in boots {
-                let told = snapshot.workspaces.iter().zip(runs);
-                for (workspace, told) in told.filter(|(_, told)| **told > 0) {
-                    self.raise(*window, workspace, *boot, |runs| runs.max(*told));
+                let rows = snapshot.workspaces.iter().zip(runs);
+                for (workspace, count) in rows.filter(|(_, count)| **count > 0) {
+                    self.update(*window, workspace, *boot, |runs| runs.max(*count));
                 }
             }
         }
@@ -144,7 +150,11 @@
     #[must_use]
     pub fn own(&self, window: u64) -> Vec<Count> {
         let mut counts = Vec::new();
-        for have in self.windows.iter().filter(|have| have.number >= window) {
+        for have in self
+            .windows
+            .iter()
+            .filter(|counted| counted.number >= window)
+        {
             let own = have.boots.iter().find(|(boot, _)| *boot == self.boot);
             let own = own.map_or(&[][..], |(_, runs)| runs);
             counts.extend(own.iter().map(|(workspace, runs)| Count {
@@ -160,7 +170,7 @@
     #[must_use]
     pub fn sum(&self, window: u64) -> Vec<Count> {
         let mut sums = Runs::new();
-        let found = self.windows.iter().find(|have| have.number == window);
+        let found = self.windows.iter().find(|counted| counted.number == window);
         for (_, runs) in found.map_or(&[][..], |found| &found.boots) {
             for (workspace, runs) in runs {
                 *entry(&mut sums, workspace) += runs;
@@ -175,7 +185,7 @@
         sums.collect()
     }
 
-    fn raise(
+    fn update(
         &mut self,
         window: u64,
         workspace: &id::Workspace,
@@ -184,14 +194,14 @@
     ) {
         let found = self
             .windows
-            .binary_search_by_key(&window, |have| have.number);
-        let place = found.unwrap_or_else(|place| {
+            .binary_search_by_key(&window, |counted| counted.number);
+        let index = found.unwrap_or_else(|index| {
             let boots = Vec::new();
             let number = window;
-            self.windows.insert(place, Window { number, boots });
-            place
+            self.windows.insert(index, Window { number, boots });
+            index
         });
-        let runs = entry(self.windows[place].runs(boot), workspace);
+        let runs = entry(self.windows[index].runs(boot), workspace);
         *runs = change(*runs);
     }
 }
@@ -200,11 +210,11 @@
     runs.binary_search_by(|(have, _)| have.cmp(workspace))
 }
 
-/// The runs of a workspace; none if it had none yet.
+/// The runs of a workspace, inserted as zero if absent.
 fn entry<'a>(runs: &'a mut Runs, workspace: &id::Workspace) -> &'a mut u64 {
-    let place = find(runs, workspace).unwrap_or_else(|place| {
-        runs.insert(place, (workspace.clone(), 0));
-        place
+    let index = find(runs, workspace).unwrap_or_else(|index| {
+        runs.insert(index, (workspace.clone(), 0));
+        index
     });
-    &mut runs[place].1
+    &mut runs[index].1
 }
--- a/coltsfoothall/src/forward/verdict.rs
+++ b/coltsfoothall/src/forward/verdict.rs
@@ -1,53 +1,55 @@
-//! Whether one version of a service answers worse than another.
+//! Detection of a version of a service that answers worse than another.
 //!
-//! A bad answer is a failure of the endpoint's own, or one that took several times as long as
-//! the baseline's do on the route. The detector adds up the evidence of each answer that the
-//! candidate's are bad more often than the baseline's, and starts again from nothing where
-//! it speaks for the candidate, so that one that turns bad late is found as soon as one that
+//! A bad answer is a failure of the endpoint, or one that takes several times as long as the
+//! baseline's answers on the same route. The detector is a cumulative sum (CUSUM) of the
+//! log-likelihood ratio that the candidate's answers are bad more often than the baseline's. The
+//! sum never falls below zero, so that a candidate that degrades late is found as fast as one that
 //! was bad from the start.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Times the baseline's mean time from which on an answer is bad.
-const SLOW: f64 = 3.0;
-/// Time in which no answer counts as slow: that of a turn of a busy instance.
-const QUICK: Duration = Duration::from_millis(50);
-/// Answers of the baseline without which no answer counts as slow.
-const USUAL: u32 = 20;
-/// Part of its sound answers that a worse version is taken to spoil at the least.
-const HARM: f64 = 0.15;
-/// Bad answers of so many that the baseline is given, until it has shown its own.
+/// An answer that takes this multiple of the baseline's mean time is slow.
+const SLOW_RATIO: f64 = 3.0;
+/// An answer within this time never counts as slow; it is the time of one scheduling round of a
+/// busy instance.
+const MIN_SLOW_TIME: Duration = Duration::from_millis(50);
+/// Answers of the baseline that are required before an answer can count as slow.
+const MIN_BASELINE_RUNS: u32 = 20;
+/// Smallest share of otherwise good answers that a worse version is assumed to turn bad.
+const MIN_HARM: f64 = 0.15;
+/// Prior of the baseline, as bad answers and all answers.
 const PRIOR: (f64, f64) = (1.0, 30.0);
-/// Evidence, as a logarithm, that is certain: a sound version shows it in one of some 160,000
-/// answers.
-const CERTAIN: f64 = 12.0;
-/// Evidence from which on a version is suspected.
-const SUSPECT: f64 = CERTAIN / 3.0;
+/// Evidence, as a natural logarithm, that is conclusive. A version as good as the baseline reaches
+/// it in one of some 160,000 answers.
+const CERTAIN_THRESHOLD: f64 = 12.0;
+/// Evidence from which on a version is suspect.
+const SUSPECT_THRESHOLD: f64 = CERTAIN_THRESHOLD / 3.0;
 
-/// Answers counted.
+/// Counts of answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// All of them.
+    /// All answers.
     pub runs: u32,
-    /// Bad ones.
+    /// Bad answers.
     pub bad: u32,
-    /// Microseconds that they took together.
+    /// Total time of all answers in microseconds.
     pub micros: u64,
 }
 
 impl Count {
-    /// Counts an answer; `usual` are those of the baseline on the same route.
-    pub fn add(&mut self, took: Duration, failed: bool, usual: Self) {
+    /// Counts an answer; `baseline` are the baseline's answers on the same route.
+    pub fn add(&mut self, took: Duration, failed: bool, baseline: Self) {
         let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
-        let is_slow = usual.runs >= USUAL && took > usual.mean().mul_f64(SLOW).max(QUICK);
+        let is_slow = baseline.runs >= MIN_BASELINE_RUNS
+            && took > baseline.mean().mul_f64(SLOW_RATIO).max(MIN_SLOW_TIME);
         self.runs = self.runs.saturating_add(1);
         self.bad = self.bad.saturating_add(u32::from(failed || is_slow));
         self.micros = self.micros.saturating_add(micros);
     }
 
-    /// Both together.
+    /// Sum of both counts.
     #[must_use]
     pub fn plus(self, rest: Self) -> Self {
         Self {
@@ -57,7 +59,7 @@
         }
     }
 
-    /// What was counted after `earlier`.
+    /// Difference to an earlier count.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self {
@@ -74,35 +76,35 @@
     }
 }
 
-/// Evidence that a version is worse on one route.
+/// Accumulated evidence that the candidate is worse on one route.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Detector {
-    /// Logarithm of how much likelier the answers are if it is worse.
+    /// Log-likelihood ratio of a worse candidate to an equally good one.
     evidence: f64,
 }
 
 impl Detector {
-    /// The candidate gave these answers more; `baseline` are all of the baseline's.
+    /// Adds the candidate's answers since the last call; `baseline` are all of the baseline's.
     pub fn record(&mut self, new: Count, baseline: Count) {
         let (bad, runs) = PRIOR;
-        let sound = (f64::from(baseline.bad) + bad) / (f64::from(baseline.runs) + runs);
-        let sound = sound.min(0.95);
-        let worse = sound + HARM * (1.0 - sound);
+        let usual = (f64::from(baseline.bad) + bad) / (f64::from(baseline.runs) + runs);
+        let usual = usual.min(0.95);
+        let worse = usual + MIN_HARM * (1.0 - usual);
         let good = f64::from(new.runs.saturating_sub(new.bad));
         let evidence =
-            f64::from(new.bad) * (worse / sound).ln() + good * ((1.0 - worse) / (1.0 - sound)).ln();
+            f64::from(new.bad) * (worse / usual).ln() + good * ((1.0 - worse) / (1.0 - usual)).ln();
         self.evidence = (self.evidence + evidence).max(0.0);
     }
 
-    /// Whether the difference is certain.
+    /// Whether it is certain that the candidate is worse.
     #[must_use]
     pub fn is_certain(self) -> bool {
-        self.evidence >= CERTAIN
+        self.evidence >= CERTAIN_THRESHOLD
     }
 
-    /// Whether a difference is likely.
+    /// Whether it is likely that the candidate is worse.
     #[must_use]
     pub fn is_suspect(self) -> bool {
-        self.evidence >= SUSPECT
+        self.evidence >= SUSPECT_THRESHOLD
     }
 }
--- a/coltsfoothall/tests/forward_order.rs
+++ b/coltsfoothall/tests/forward_order.rs
@@ -43,7 +43,7 @@
 
 /// Endpoints that carry a load after the loss of a domain.
 fn need(load: f64) -> u32 {
-    (load / Settings::default().used).ceil() as u32
+    (load / Settings::default().max_utilization).ceil() as u32
 }
 
 /// What is there, which follows the orders as a platform without trouble would.
@@ -326,7 +326,7 @@
         "what was ordered is no load: {:?}",
         site.live
     );
-    let guessed = 18.0 * Settings::default().guess;
+    let guessed = 18.0 * Settings::default().initial_utilization;
     assert!(site.left() >= need(guessed), "{:?}", site.live);
 }
 
