--- a/coltsfoothall/tests/forward_config.rs
+++ b/coltsfoothall/tests/forward_config.rs
@@ -1,4 +1,4 @@
-//! Routes and keys of a configuration.
+//! Lookup of routes and API keys in a configuration.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -27,7 +27,7 @@
     }
 }
 
-fn table(routes: Vec<Route>) -> Config {
+fn config(routes: Vec<Route>) -> Config {
     Config::new(1, Limits::default(), routes, Vec::new(), Vec::new())
 }
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn no_slash() {
+fn prefix_ends_with_slash() {
     let table = table(vec![route("h", "/x/", &[("a", 1)])]);
     assert!(
         table.route("h", "/x").is_none(),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn weights_kept() {
+fn targets_by_weight() {
     let route = route("h", "/", &[("a", 90), ("b", 10)]);
     let draws = (0..1_000).filter_map(|draw| route.target(draw));
     let heavy = draws.filter(|service| service.as_str() == "a").count();
@@ -68,7 +68,7 @@
     assert_eq!(
         idle.target(7).unwrap().as_str(),
         "a",
-        "no weight at all still serves"
+        "targets without weights are still served"
     );
 }
 
