--- a/coltsfoothall-forward/src/adapter.rs
+++ b/coltsfoothall-forward/src/adapter.rs
@@ -1,4 +1,4 @@
-//! What a platform's adapter does for this program: names, formats and calls.
+//! The interface that a platform adapter implements: header names, stored formats and remote calls.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,240 +18,240 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// A call to the platform that did not succeed.
+    /// A failed call to the platform.
     #[derive(Debug, Clone)]
     pub enum Error {
-        /// Nothing was done: no connection, or turned away.
+        /// The call had no effect: the connection failed or the platform rejected it.
         Refused(step: &'static str, reason: String) {
             display("{step}: refused: {reason}")
         }
-        /// It may have been done, or may be done later.
+        /// The outcome is unknown: the call may have taken effect, or may still do so.
         Unknown(step: &'static str, reason: String) {
             display("{step}: outcome unknown: {reason}")
         }
-        /// A condition does not hold.
+        /// A precondition of the call does not hold.
         Conflict(step: &'static str) {
             display("{step}: condition does not hold")
         }
-        /// What the call names does not exist.
+        /// The key or lease that the call names does not exist.
         Missing(step: &'static str) {
             display("{step}: not found")
         }
-        /// The history that a watch wants to go on from is dropped.
+        /// The store no longer keeps the history from which a watch wants to resume.
         Dropped(step: &'static str) {
             display("{step}: history dropped")
         }
-        /// The answer or a value cannot be read.
+        /// The response or a stored value cannot be parsed.
         Format(step: &'static str, reason: String) {
             display("{step}: cannot read: {reason}")
         }
     }
 }
 
-/// What a caller says in the head of a request.
+/// What the headers of a caller's request say.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Call {
-    /// The caller's name of this attempt.
+    /// The request id that the caller chose.
     pub id: Option<String>,
-    /// How long the caller will wait.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// Tokens of the prompt and most tokens of the answer.
+    /// Prompt tokens, and the maximum number of answer tokens.
     pub tokens: Option<(Tokens, Tokens)>,
-    /// Parts of the prompt in order.
+    /// Parts of the prompt, in order.
     pub parts: Vec<Part>,
 }
 
-/// What goes to an endpoint beside the caller's own words.
+/// What an endpoint is sent in addition to the caller's own headers.
 #[derive(Debug, Clone)]
 pub struct Forward<'a> {
-    /// The endpoint that must run it and no other.
+    /// The only endpoint that may run the request.
     pub endpoint: &'a id::Endpoint,
-    /// Time left for it.
+    /// Time left until the deadline of the request.
     pub time_left: Duration,
-    /// Whose request it is.
+    /// The workspace that the request belongs to.
     pub workspace: Option<&'a id::Workspace>,
-    /// Its urgency, 0 first, for engines.
+    /// Priority for engines; 0 is the most urgent.
     pub rank: Option<u8>,
-    /// The last event that the caller has, where a stream goes on behind it.
+    /// The last event that the caller has received, if a stream resumes after it.
     pub last_event_id: Option<&'a str>,
 }
 
-/// What an endpoint's answer says in its head.
+/// What the headers of an endpoint's response say.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Reply {
-    /// The attempt that it answers.
+    /// The id of the request that it answers.
     pub id: Option<String>,
     /// The endpoint states that the request did not run there.
     pub not_run: bool,
-    /// Another endpoint has the address.
+    /// Another endpoint has taken over the address.
     pub misdirected: bool,
-    /// It bears the endpoint's signature.
+    /// The response bears the endpoint's signature.
     pub signed: bool,
-    /// The body is encoded, so it is not the endpoint's own.
+    /// The body has a content encoding, so it is not the endpoint's own body.
     pub encoded: bool,
-    /// How long the endpoint keeps the connection, if it says so.
+    /// How long the endpoint keeps an idle connection open, if it says so.
     pub keep_alive: Option<Duration>,
-    /// The endpoint closes the connection after it.
+    /// The endpoint closes the connection after this response.
     pub close: bool,
 }
 
-/// Headers of callers and endpoints.
+/// Reads and writes the headers that callers and endpoints use.
 pub trait Dialect {
-    /// Reads what a caller says.
+    /// Parses the headers of a caller's request.
     fn parse_call(&self, head: &HeaderMap) -> Call;
-    /// Turns a caller's headers into those for an endpoint.
+    /// Builds the headers for an endpoint from those of the caller.
     fn request_headers(&self, head: &HeaderMap, forward: &Forward<'_>) -> HeaderMap;
-    /// Reads what an endpoint says.
+    /// Parses the headers of an endpoint's response.
     fn parse_reply(&self, status: u16, head: &HeaderMap) -> Reply;
-    /// Turns an endpoint's headers into those for the caller.
+    /// Builds the headers for the caller from those of the endpoint.
     fn response_headers(&self, head: &HeaderMap) -> HeaderMap;
-    /// Headers of an answer of this program's own to the attempt `id`.
+    /// Headers of a response that this program itself generates for the request `id`.
     fn own_headers(&self, id: Option<&str>, retry_after: Option<Duration>) -> HeaderMap;
-    /// Whether a path asks if this instance is ready.
+    /// Whether a path is that of the readiness check.
     fn is_readiness_path(&self, path: &str) -> bool;
-    /// The failure domain of a caller who asks for addresses, if `path` asks that.
+    /// The failure domain that a caller names in a request for addresses; none if `path` is no such
+    /// request.
     fn address_query(&self, path: &str, query: Option<&str>) -> Option<String>;
-    /// An answer with addresses, kept for `keep`.
+    /// The body of a response with addresses that callers may keep for `ttl`.
     fn addresses(&self, fronts: &[SocketAddr], ttl: Duration) -> Bytes;
 }
 
-/// A part of the store.
+/// A range of keys of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Keyspace {
-    /// The operators' configuration and orders.
+    /// The operators' configuration and upgrade orders.
     Configuration,
     /// Endpoints' registrations.
     Endpoints,
-    /// Who is there, which all entry instances watch.
+    /// Members of the fleet and the leader's key; all entry instances watch these.
     Live,
-    /// What who acts for all leaves to the next one.
+    /// State that a leader leaves to its successor.
     Notes,
 }
 
-/// A value of the store.
+/// A key of the store and its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
-    /// Its name within its realm.
+    /// The key without the prefix of its keyspace.
     pub name: String,
-    /// Its value; none if it was removed.
+    /// The value; none if the key was deleted.
     pub value: Option<Bytes>,
-    /// This change.
+    /// Position of the change that wrote the value.
     pub position: Place,
-    /// The change that created it; the first place of all if it was removed.
+    /// Position of the change that created the key; the default if the key was deleted.
     pub created: Place,
 }
 
-/// Values of a realm, or changes of them, up to a place in the store's history.
+/// Values of a keyspace, or changes to them, up to a position in the history of the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// The values or changes in their order.
+    /// The values or changes, in order.
     pub items: Vec<Item>,
-    /// The last change at the store; those after it are not in here.
+    /// The last change that the listing covers.
     pub position: Place,
 }
 
-/// A change of the realms that are the instances' own, made whole or not at all. Names
-/// begin with `live/` or `notes/`.
+/// An atomic write to the keyspaces that the instances own. Names begin with `live/` or `notes/`.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Write {
-    /// Names that must not be there.
+    /// Keys that must not exist.
     pub absent: Vec<String>,
-    /// Names and values to put, under a lease where there is one.
+    /// Keys and values to put, optionally under a lease.
     pub puts: Vec<(String, Bytes, Option<Lease>)>,
-    /// Names to delete.
+    /// Keys to delete.
     pub deletes: Vec<String>,
 }
 
-/// How far a service's move is, as operators are told.
+/// Progress of a service's upgrade, as reported to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// It is not decided.
+    /// The upgrade is under way.
     Running,
-    /// All of the service has moved.
+    /// All of the service runs the new version.
     Complete,
-    /// The new version gets no work.
+    /// The new version was rejected and gets no requests.
     RolledBack,
 }
 
-/// What operators are told of a service's move.
+/// What operators are told of a service's upgrade.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// How far it is.
+    /// Progress of the upgrade.
     pub progress: Progress,
     /// The new version.
     pub target: id::Version,
 }
 
-/// The store.
+/// The key-value store of the platform.
 pub trait Store {
-    /// Reads a whole realm.
+    /// Reads all values of a keyspace.
     fn list(&self, keyspace: Keyspace) -> LocalBoxFuture<'_, Result<Listing, Error>>;
-    /// Waits for changes of a realm after a place.
+    /// Waits for changes of a keyspace after a position.
     fn watch(&self, keyspace: Keyspace, after: Place)
     -> LocalBoxFuture<'_, Result<Listing, Error>>;
-    /// Writes to the instances' own realms; returns the place of the change.
+    /// Writes to the keyspaces that the instances own; returns the position of the change.
     fn write(&self, write: Write) -> LocalBoxFuture<'_, Result<Place, Error>>;
-    /// Takes a lease.
+    /// Obtains a lease.
     fn grant_lease(&self, term: Duration) -> LocalBoxFuture<'_, Result<Lease, Error>>;
-    /// Renews a lease; one of a former era is gone.
+    /// Renews a lease; one of an earlier era no longer exists.
     fn renew_lease(&self, lease: Lease) -> LocalBoxFuture<'_, Result<(), Error>>;
-    /// Ends a lease; one of a former era is gone.
+    /// Revokes a lease; one of an earlier era no longer exists.
     fn revoke_lease(&self, lease: Lease) -> LocalBoxFuture<'_, Result<(), Error>>;
-    /// The newest era that any answer was from.
+    /// The newest era that any response was from.
     fn era(&self) -> Option<Era>;
-    /// Reads a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
-    /// Names the field that is wrong.
+    /// Names the invalid field.
     fn parse_configuration(&self, value: &[u8]) -> Result<Table, Error>;
-    /// Whether the value of the operators under a name is the configuration.
+    /// Whether a key of the operators' keyspace is that of the configuration.
     fn is_configuration(&self, name: &str) -> bool;
-    /// Reads an order to move a service to another version; none if the value is no order.
+    /// Parses an order to upgrade a service; none if the item is not an order.
     ///
     /// # Errors
-    /// Names the field that is wrong.
+    /// Names the invalid field.
     fn parse_upgrade(&self, item: &Item) -> Result<Option<upgrade::Order>, Error>;
-    /// What is told to the operators of a service's move, and when that was written.
+    /// Reads the report on a service's upgrade, and the position at which it was written.
     fn read_report<'a>(
         &'a self,
         service: &'a id::Service,
     ) -> LocalBoxFuture<'a, Result<Option<(Report, Place)>, Error>>;
-    /// Tells the operators of a service's move, if nothing was told since `had`. Returns the
-    /// place of the change.
+    /// Writes the report on a service's upgrade, provided that the current one is still that of
+    /// `previous`. Returns the position of the change.
     fn write_report<'a>(
         &'a self,
         service: &'a id::Service,
         report: &'a Report,
         previous: Option<Place>,
     ) -> LocalBoxFuture<'a, Result<Place, Error>>;
-    /// Reads an endpoint's registration.
+    /// Parses an endpoint's registration.
     ///
     /// # Errors
-    /// Names the field that is wrong.
+    /// Names the invalid field.
     fn parse_registration(&self, item: &Item) -> Result<Entry, Error>;
 }
 
-/// Who acts, and under which number.
+/// The instance that leads, and its fencing token.
 #[derive(Debug, Clone, Copy)]
 pub struct Leadership<'a> {
-    /// The instance.
+    /// The leader.
     pub instance: &'a id::Instance,
-    /// Rises with each holder.
+    /// Fencing token; it rises with each leader.
     pub fence: Fence,
 }
 
-/// What one instance does at the platform for all.
+/// Calls to the platform that only the leader makes.
 pub trait Cloud {
-    /// Reports a window's usage.
+    /// Reports the usage of a window.
     fn report_usage<'a>(
         &'a self,
         leadership: Leadership<'a>,
         window: u64,
         counts: &'a [Count],
     ) -> LocalBoxFuture<'a, Result<(), Error>>;
-    /// Orders endpoints of a service.
+    /// Sets the number of endpoints of a service in a failure domain.
     fn order_endpoints<'a>(
         &'a self,
         leadership: Leadership<'a>,
@@ -260,7 +260,7 @@
     ) -> LocalBoxFuture<'a, Result<(), Error>>;
 }
 
-/// All that a platform's adapter provides.
+/// Everything that a platform adapter provides.
 pub trait Adapter: Dialect + Store + Cloud {}
 
 impl<T: Dialect + Store + Cloud> Adapter for T {}
--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one endpoint.
+//! One attempt to run a request at one endpoint.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,35 +21,35 @@
 use crate::pool::{Fault, Link, Payload};
 use crate::state::State;
 
-/// A request as it was admitted.
+/// An admitted request.
 #[derive(Debug)]
 pub struct Job {
-    /// Its route.
+    /// The route that it matched.
     pub route: std::sync::Arc<Route>,
     /// The service chosen for it.
     pub service: id::Service,
-    /// What the caller said.
+    /// The parsed headers.
     pub call: Call,
-    /// Its head.
+    /// Method, path and headers.
     pub head: Parts,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// Whose it is.
+    /// The workspace that it belongs to.
     pub workspace: Option<id::Workspace>,
-    /// Its urgency.
+    /// The priority; 0 is the most urgent.
     pub rank: u8,
-    /// Memory of one engine, if engines run it.
+    /// Memory of one engine, in tokens, if the service runs on engines.
     pub memory: Option<Tokens>,
-    /// What it is known by if it crashes endpoints.
+    /// Fingerprint by which requests that crash endpoints are recognised.
     pub print: Print,
-    /// When its head was read.
+    /// When its headers were read.
     pub begun: Time,
-    /// When its final answer is due.
+    /// Deadline of its response.
     pub due: Time,
 }
 
 impl Job {
-    /// What it asks of an endpoint.
+    /// The query by which an endpoint is chosen for it.
     #[must_use]
     pub fn ask<'a>(
         &'a self,
@@ -70,14 +70,14 @@
         }
     }
 
-    /// The caller's name of it, for logs.
+    /// The request id for the log, or `-`.
     #[must_use]
     pub fn id(&self) -> &str {
         self.call.id.as_deref().unwrap_or("-")
     }
 }
 
-/// A run's share of the endpoint's load, given back when it is dropped.
+/// A run's share of an endpoint's load, released when it is dropped.
 #[derive(Debug)]
 pub struct Share {
     state: Rc<State>,
@@ -87,7 +87,7 @@
     service: id::Service,
     version: Option<id::Version>,
     began: Time,
-    /// Whether its first event, or its whole answer, was counted.
+    /// Whether the first event, or the complete response, was counted.
     answered: bool,
     /// The endpoint.
     pub endpoint: id::Endpoint,
@@ -116,8 +116,9 @@
         }
     }
 
-    /// The endpoint answered: the first event of a stream came, or another answer is whole.
-    /// What broke off says nothing of the endpoint's version, as any endpoint may be lost.
+    /// Records that the endpoint answered: the first event of a stream arrived, or another response
+    /// is complete. Interrupted responses are not counted against the endpoint's version, since any
+    /// endpoint may be reclaimed.
     pub fn record_answer(&mut self, failed: bool) {
         if !std::mem::replace(&mut self.answered, true) {
             let took = self.state.now().since(self.began);
@@ -127,7 +128,7 @@
         }
     }
 
-    /// The first part of the answer came.
+    /// Records that the first part of the response arrived.
     pub fn record_first_event(&mut self) {
         if let Some(run) = &mut self.run {
             let now = self.state.now();
@@ -135,14 +136,14 @@
         }
     }
 
-    /// More events of the answer came.
+    /// Records that more events of the response arrived.
     pub fn record_events(&self, events: u64) {
         if let Some(run) = &self.run {
             self.state.roster.borrow_mut().wrote(run, events);
         }
     }
 
-    /// The run ended.
+    /// Ends the run.
     pub fn end(mut self, end: End) {
         self.finish(end);
     }
@@ -162,21 +163,21 @@
     }
 }
 
-/// An answer whose head has come.
+/// A response whose headers have arrived.
 #[derive(Debug)]
 pub struct Sent {
-    /// The answer.
+    /// The response.
     pub response: Response<Incoming>,
-    /// What its head says.
+    /// The parsed headers.
     pub reply: Reply,
-    /// The connection that it comes on.
+    /// The connection that carries it.
     pub link: Link,
-    /// Its share of the load.
+    /// The run's share of the endpoint's load.
     pub share: Share,
     body_sent: Rc<Cell<bool>>,
 }
 
-/// The connection and what is needed to keep it.
+/// A connection that may return to the pool.
 #[derive(Debug)]
 pub struct Checkout {
     link: Link,
@@ -185,7 +186,7 @@
 }
 
 impl Checkout {
-    /// Keeps the connection for another request; the answer came whole.
+    /// Returns the connection to the pool once the response is complete.
     pub fn release(self, state: &State) {
         if self.usable {
             let now = tokio::time::Instant::now();
@@ -195,24 +196,25 @@
 }
 
 impl Sent {
-    /// Takes the answer apart.
+    /// Splits the response into its parts.
     #[must_use]
     pub fn split(self) -> (Response<Incoming>, Reply, Share, Checkout) {
         let checkout = Checkout {
             link: self.link,
             keep_alive: self.reply.keep_alive,
-            // What is left of a body that was answered early would be read as a request.
+            // If the endpoint answered before the whole request body was sent, it would read the
+            // rest of the body as the next request.
             usable: self.body_sent.get() && !self.reply.close,
         };
         (self.response, self.reply, self.share, checkout)
     }
 }
 
-/// Sends a request and waits for the head of the answer; a stream goes on behind the event
-/// `after`, if there is one.
+/// Sends a request and waits for the headers of the response; a stream resumes after the event
+/// `after`, if given.
 ///
 /// # Errors
-/// Says whether the endpoint can have seen it, and gives the share back.
+/// Returns whether the endpoint can have seen the request, and the share of the load.
 pub async fn send(
     state: &Rc<State>,
     job: &Job,
@@ -242,7 +244,7 @@
                 let status = response.status().as_u16();
                 let reply = state.adapter.parse_reply(status, response.headers());
                 if reply.id.is_some() && reply.id != job.call.id {
-                    let fault = Fault::Broken("the answer belongs to another request".into());
+                    let fault = Fault::Broken("the response has the id of another request".into());
                     return Err((fault, share));
                 }
                 return Ok(Sent {
@@ -253,7 +255,7 @@
                     body_sent,
                 });
             }
-            // The kept connection closed before anything was written: a fresh one decides.
+            // The pooled connection was closed before anything was written: retry on a new one.
             Err(Fault::Unsent(_)) if !fresh => {}
             Err(fault) => return Err((fault, share)),
         }
@@ -286,7 +288,7 @@
     request
 }
 
-/// The path and query alone, as an endpoint expects them.
+/// The request target in origin form: path and query only.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(Uri::default, Uri::from)
--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -1,4 +1,4 @@
-//! Registers this instance, and does for all what one instance does at a time.
+//! Keeps this instance registered, takes part in the leader election, and runs the leader's duties.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,31 +19,33 @@
 use crate::time;
 use crate::upgrades::Driver;
 
-/// Term of a registration; a killed instance counts as a member for so long at most.
+/// Lease term of a registration; a killed instance counts as a member for at most this long.
 const REGISTRATION_TTL: Duration = Duration::from_secs(6);
-/// Time between renewals of a registration.
+/// Interval between renewals of the registration.
 const RENEW_INTERVAL: Duration = Duration::from_secs(2);
-/// Time over which registrations that have to be made anew are spread: 330 instances make 660
-/// writes a second then, a fifth of the store's rate, and callers keep addresses for longer.
+/// Time over which instances spread their new registrations after the store was restored: 330
+/// instances then make 660 writes a second, a fifth of the store's rate, and callers keep addresses
+/// for longer than this.
 const MAX_REGISTRATION_JITTER: Duration = Duration::from_millis(1_000);
-/// Time between looks at the election; a third of the shortest term.
+/// Interval of the election and the leader's duties; a third of the shortest lease term.
 const TICK_INTERVAL: Duration = Duration::from_millis(300);
-/// Wait after a window's end until its counts have surely arrived here.
+/// Delay after the end of a window by which all counts of it have arrived from other instances.
 const WINDOW_SETTLE_DELAY: Duration = Duration::from_millis(1_200);
-/// Time between notes of the counts: what is lost with all instances at once is as much.
+/// Interval between snapshots of the usage counts; if all instances are lost at once, at most the
+/// counts of one interval are lost.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(800);
-/// Name of that note.
+/// Key of the snapshot.
 const SNAPSHOT_NAME: &str = "tally";
-/// Notes of reports that are kept at the store.
+/// Usage reports that are kept at the store.
 const MAX_KEPT_REPORTS: u64 = 6;
 
-/// Keeps this instance registered until it stops.
+/// Keeps this instance registered until it shuts down.
 pub async fn register(state: Rc<State>) {
     let mut lease: Option<Lease> = None;
     while !state.stopping.is_cancelled() {
         let outdated = lease.take_if(|lease| Some(lease.era) < state.era());
         if outdated.is_some() {
-            // All instances find their registration gone in the same moment.
+            // All instances lose their registrations at the same moment.
             pause(&state, MAX_REGISTRATION_JITTER.mul_f64(rand::random())).await;
             continue;
         }
@@ -87,8 +89,8 @@
     }
 }
 
-/// Time until the next renewal. Its answer also shows others how old is what a reader of
-/// registrations tells them.
+/// Interval until the next renewal. An answered renewal also confirms that the registrations known
+/// here are current, so instances that read for others renew more often.
 fn renew_interval(state: &State) -> Duration {
     if registrations::reads_for_others(state) {
         RENEW_INTERVAL.min(registrations::budget(state).oldest / 2)
@@ -97,7 +99,7 @@
     }
 }
 
-/// Waits until then, until the store came back from a copy, or until the stop.
+/// Waits for this time, or until the era of the store changes or shutdown begins.
 async fn pause(state: &State, wait: Duration) {
     tokio::select! {
         () = tokio::time::sleep(wait) => {}
@@ -121,9 +123,9 @@
     Ok(lease)
 }
 
-/// Takes part in the election.
+/// Takes part in the leader election.
 ///
-/// Leases are timed by the machine's clock that counts suspension too.
+/// Leases are timed by the boot clock, which includes time spent suspended.
 pub async fn campaign(state: Rc<State>) {
     let mut renew_at = Time::START;
     loop {
@@ -148,8 +150,8 @@
     }
 }
 
-/// Acts while this instance is the holder. It waits for answers apart from the
-/// election: one that took longer than the lease would cost the duty otherwise.
+/// Runs the leader's duties while this instance is the leader. This task is separate from the
+/// election, so that a call that takes longer than the lease does not delay its renewal.
 pub async fn run_leader(state: Rc<State>) {
     let mut term: Option<Term> = None;
     loop {
@@ -168,7 +170,7 @@
     }
 }
 
-/// What the holder keeps in mind under one fence; the next one starts from the store.
+/// State of a leader under one fencing token; a new leader starts from what the store holds.
 #[derive(Debug)]
 struct Term {
     fence: Fence,
@@ -214,7 +216,7 @@
         }
         Err(error) => {
             event::LEADER.emit(format_args!("state=not_holder reason={error:?}"));
-            // Whatever became of the write, without its lease the key cannot stand.
+            // The write may have taken effect; revoking the lease removes the key in any case.
             state.calls.count(Call::Lease);
             if let Err(error) = state.adapter.revoke_lease(lease).await {
                 event::STORE_FAILED.emit(format_args!("step=end_lease reason={error:?}"));
@@ -247,18 +249,18 @@
     }
 }
 
-/// Reports the usage of each window once.
+/// Reports the usage of each window exactly once.
 #[derive(Debug, Default)]
 struct Reporter {
-    /// Whether the notes of the holder before were read.
+    /// Whether the counts that the previous leader saved were restored.
     restored: bool,
-    /// When the counts were noted last.
+    /// When the counts were last saved.
     saved_at: Time,
 }
 
 impl Reporter {
-    /// Takes over the counts that the holder before noted, and notes them from now on, so
-    /// that they outlast the loss of all instances at once.
+    /// Restores the counts that the previous leader saved, and then saves them at intervals, so
+    /// that they survive the loss of all instances at once.
     async fn save_counts(&mut self, state: &State) -> Result<(), Error> {
         if !self.restored {
             state.calls.count(Call::List(Keyspace::Notes));
@@ -266,7 +268,7 @@
             let item = listing.items.iter().find(|item| item.name == SNAPSHOT_NAME);
             if let Some(value) = item.and_then(|item| item.value.as_ref()) {
                 let snapshot: Snapshot = rmp_serde::from_slice(value)
-                    .map_err(|error| Error::Format("read counts", error.to_string()))?;
+                    .map_err(|error| Error::Format("read usage counts", error.to_string()))?;
                 state.usage.borrow_mut().restore(&snapshot);
             }
             self.restored = true;
@@ -282,7 +284,7 @@
         };
         let snapshot = state.usage.borrow().snapshot(window.saturating_sub(1));
         let value = rmp_serde::to_vec(&snapshot)
-            .map_err(|error| Error::Format("note counts", error.to_string()))?;
+            .map_err(|error| Error::Format("save usage counts", error.to_string()))?;
         let write = Write {
             puts: vec![(format!("notes/{SNAPSHOT_NAME}"), value.into(), None)],
             ..Write::default()
@@ -331,7 +333,8 @@
         }
     }
 
-    /// Notes at the store what is to be sent, then sends it; a note that stands goes first.
+    /// Stores the report before sending it. If a leader has already stored one for the window, that
+    /// one is sent instead.
     async fn send(&mut self, state: &State, window: u64) -> Result<(), Error> {
         let counts = state.usage.borrow().sum(window);
         let fence = state.fence().ok_or(Error::Conflict("report"))?;
@@ -358,7 +361,7 @@
     let name = format!("usage/{window}");
     let key = format!("notes/{name}");
     let value =
-        serde_json::to_vec(&counts).map_err(|error| Error::Format("note", error.to_string()))?;
+        serde_json::to_vec(&counts).map_err(|error| Error::Format("store a usage report", error.to_string()))?;
     let write = Write {
         absent: vec![key.clone()],
         puts: vec![(key, value.into(), None)],
@@ -375,8 +378,8 @@
             let listing = state.adapter.list(Keyspace::Notes).await?;
             let item = listing.items.iter().find(|item| item.name == name);
             let value = item.and_then(|item| item.value.as_ref());
-            let value = value.ok_or(Error::Missing("note"))?;
-            serde_json::from_slice(value).map_err(|error| Error::Format("note", error.to_string()))
+            let value = value.ok_or(Error::Missing("read a usage report"))?;
+            serde_json::from_slice(value).map_err(|error| Error::Format("store a usage report", error.to_string()))
         }
         Err(error) => Err(error),
     }
--- a/coltsfoothall-forward/src/health.rs
+++ b/coltsfoothall-forward/src/health.rs
@@ -1,8 +1,8 @@
-//! Whether the store answers, as seen from calls whose answers are due at once.
+//! Whether the store responds, judged by calls that it answers immediately.
 //!
-//! A watch waits for up to half a minute, so one that was lost in a silence of the store
-//! looks like one that waits. Renewals of this instance's registration are answered at
-//! once; when one is answered after others were not, watches are sent again.
+//! A watch may wait for up to half a minute, so one that the store has lost looks like one that is
+//! waiting. Renewals of this instance's registration are answered immediately; when one succeeds
+//! after others have failed, watches are sent again.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,43 +10,44 @@
 use coltsfoothall::clock::Time;
 use tokio::sync::Notify;
 
-/// Time for which failing renewals stand for all calls: two of them are made in it.
+/// How long a failed call waits for a renewal to succeed before it is retried anyway: long enough
+/// for two renewals.
 const MAX_RECOVERY_WAIT: Duration = Duration::from_secs(2);
 
-/// What is known of the store's answers.
+/// Outcome of recent calls to the store.
 #[derive(Debug, Default)]
 pub struct Health {
-    /// When the first call was made that got no answer since the last one that did.
+    /// When the first of the calls was made that have failed since the last success.
     failing_since: Cell<Option<Time>>,
     notify: Notify,
 }
 
 impl Health {
-    /// A call that was made then got no answer, or was turned away.
+    /// Records that a call made at `asked` got no response or was rejected.
     pub fn record_failure(&self, asked: Time) {
         if self.failing_since.get().is_none() {
             self.failing_since.set(Some(asked));
         }
     }
 
-    /// A call was answered; returns how long the store was away, if it was.
+    /// Records that a call was answered. Returns how long the store was unavailable, if it was.
     pub fn record_answer(&self, now: Time) -> Option<Duration> {
         let since = self.failing_since.take()?;
         self.notify.notify_waiters();
         Some(now.since(since))
     }
 
-    /// Waits before a call that failed is made again: while renewals fail too, they alone find
-    /// out when the store is back.
+    /// Waits before a failed call is retried. While renewals fail too, only they probe whether the
+    /// store is available again.
     pub async fn wait_to_retry(&self, delay: Duration) {
         tokio::time::sleep(delay).await;
         if self.failing_since.get().is_some() {
-            // The call itself is the test if a renewal has not answered by then.
+            // If no renewal has succeeded by then, the call itself is the probe.
             let _elapsed = tokio::time::timeout(MAX_RECOVERY_WAIT, self.recovered()).await;
         }
     }
 
-    /// Waits until the store answers again after it was away.
+    /// Waits until the store responds again after an outage.
     pub async fn recovered(&self) {
         self.notify.notified().await;
     }
--- a/coltsfoothall-forward/src/lib.rs
+++ b/coltsfoothall-forward/src/lib.rs
@@ -1,12 +1,14 @@
-//! An entry instance that forwards each request from its own memory alone.
+//! An entry instance that forwards each request using only state that it holds in memory.
 //!
-//! What outlasts it lies in a store outside; what callers and endpoints say is read and
-//! written by a [`adapter::Adapter`], so that nothing here knows the names on the wire.
+//! Durable state lies in an external store. Headers and stored values are parsed and written by an
+//! [`adapter::Adapter`], so that this crate does not depend on the names that a platform uses on
+//! the wire.
 //!
-//! Data flows one way: [`listen`] accepts, [`intake`] reads and admits a request,
+//! Data flows one way: [`listen`] accepts connections, [`intake`] reads and admits a request,
 //! [`dispatch`] sends it, each [`attempt`] to an endpoint that the decision library chose, and
-//! [`relay`] passes the answer back. [`membership`], [`configuration`], [`registrations`], [`gossip`]
-//! and [`duty`] keep [`state`] up to date beside it; [`stop`] ends it all.
+//! [`relay`] passes the response to the caller. Background tasks in [`membership`],
+//! [`configuration`], [`registrations`], [`gossip`] and [`duty`] keep [`state`] up to date;
+//! [`stop`] shuts the instance down.
 
 pub mod adapter;
 pub mod adoption;
