--- a/coltsfoothall-forward/src/adoption.rs
+++ b/coltsfoothall-forward/src/adoption.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and what is known of newer ones.
+//! The configuration in force, and the newest version known to exist.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::rc::Rc;
@@ -12,27 +12,27 @@
 
 use crate::state::State;
 
-/// The configuration in force, as it was written and as it is read.
+/// The configuration in force, in its serialized and its indexed form.
 #[derive(Debug, Clone)]
 pub struct Configuration {
-    /// Its bytes, for operators who ask.
+    /// Its serialized form, for operators.
     pub raw: Bytes,
-    /// Its bytes compressed, for instances that lack it; made when the first one asks.
+    /// Its compressed form, for other instances; created at the first request.
     pub compressed: Rc<OnceCell<Bytes>>,
     /// Indexed for requests.
     pub table: Rc<Table>,
 }
 
-/// What an instance remembers of configurations.
+/// The state of configuration updates.
 #[derive(Debug, Default)]
 pub struct Adoption {
     current: RefCell<Option<Configuration>>,
     changed: Notify,
-    /// Newer ones that others have.
+    /// Newer versions that other instances have in force.
     pub lag: RefCell<Lag>,
-    /// Whether the store did not answer the last call for it.
+    /// Whether the last call to the store for the configuration failed.
     pub store_lost: Cell<bool>,
-    /// What others were sent of it.
+    /// Limits the configurations that are sent to other instances.
     pub egress: RefCell<Outflow>,
 }
 
@@ -57,8 +57,8 @@
         self.version().max(heard)
     }
 
-    /// Takes over a configuration unless it is older than the one in force. Returns its version
-    /// if it can be read.
+    /// Puts a configuration in force unless it is older than the current one. Returns its version
+    /// if it is valid.
     pub fn adopt(&self, raw: &Bytes, source: &str) -> Option<u64> {
         let table = match self.adapter.parse_configuration(raw) {
             Ok(table) => table,
@@ -91,14 +91,14 @@
         Some(version)
     }
 
-    /// Waits until this version of the configuration or a later one is in force.
+    /// Waits until this or a later version of the configuration is in force.
     pub async fn wait_for_version(&self, version: u64) {
         while self.version() < version {
             self.adoption.changed.notified().await;
         }
     }
 
-    /// Another instance has this configuration in force.
+    /// Records that another instance has this version of the configuration in force.
     pub fn record_version(&self, version: u64) {
         if version > self.version() {
             self.adoption.lag.borrow_mut().hear(self.now(), version);
--- a/coltsfoothall-forward/src/calls.rs
+++ b/coltsfoothall-forward/src/calls.rs
@@ -1,22 +1,22 @@
-//! Calls to the store, counted by kind: each is paid for, refused ones too.
+//! Counts calls to the store by kind. Every call is billed, rejected ones included.
 
 use std::cell::Cell;
 use std::fmt;
 
 use crate::adapter::Keyspace;
 
-/// A kind of call.
+/// A kind of call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
-    /// A whole realm is read.
+    /// Reads all values of a keyspace.
     List(Keyspace),
-    /// Changes of a realm are waited for.
+    /// Waits for changes of a keyspace.
     Watch(Keyspace),
-    /// Values are written.
+    /// Writes values.
     Write,
-    /// A lease is taken or ended.
+    /// Obtains or revokes a lease.
     Lease,
-    /// A lease is renewed.
+    /// Renews a lease.
     Renew,
 }
 
@@ -56,14 +56,14 @@
     }
 }
 
-/// Calls since the start, by kind.
+/// Number of calls since the start of the process, by kind.
 #[derive(Debug, Default)]
 pub struct Calls {
     counts: [Cell<u64>; NAMES.len()],
 }
 
 impl Calls {
-    /// A call is made.
+    /// Counts a call.
     pub fn count(&self, call: Call) {
         let count = &self.counts[call.index()];
         count.set(count.get() + 1);
--- a/coltsfoothall-forward/src/compression.rs
+++ b/coltsfoothall-forward/src/compression.rs
@@ -1,4 +1,4 @@
-//! Compression of what instances send each other.
+//! Compression of messages between instances.
 
 use std::io::{self, Read, Write};
 
@@ -8,21 +8,21 @@
 use flate2::read::GzDecoder;
 use flate2::write::GzEncoder;
 
-/// Compresses a value.
+/// Compresses a value with gzip.
 ///
 /// # Panics
-/// Never: what it writes to is memory.
+/// Never, as writing to memory does not fail.
 #[must_use]
 pub fn compress(value: &[u8]) -> Bytes {
     let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
     let written = encoder.write_all(value).and_then(|()| encoder.finish());
-    written.expect("a vector takes all that is written").into()
+    written.expect("writing to a vector does not fail").into()
 }
 
-/// Restores a value.
+/// Decompresses a value.
 ///
 /// # Errors
-/// It is not a compressed value, or is larger than any message may be.
+/// The input is not a compressed value, or the value exceeds the limit on messages.
 pub fn decompress(compressed: &[u8]) -> io::Result<Bytes> {
     let mut value = Vec::new();
     let max_bytes = limit::FRAME as u64;
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: followed at the store, and asked of other instances.
+//! Follows the operators' configuration at the store, and fetches it from other instances.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,10 +19,10 @@
 use crate::state::State;
 use crate::upgrades;
 
-/// Time between looks for a newer configuration at other instances.
+/// Interval at which other instances are queried for a newer configuration.
 const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Follows the configuration at the store for as long as the process runs.
+/// Follows the configuration at the store until the process ends.
 pub async fn follow(state: Rc<State>) {
     let mut follower = Follower::new(Keyspace::Configuration, None);
     let mut backlog = Backlog::default();
@@ -40,12 +40,12 @@
             backlog.brought(version);
         }
         upgrades::apply(&state, &listing, complete).await;
-        // Changes come in groups; one call brings them all.
+        // Changes come in bursts; a delay lets one call return all of them.
         tokio::time::sleep(follower::poll_delay(&state, Keyspace::Configuration)).await;
     }
 }
 
-/// Takes over the newest version of a listing that can be read, and returns it.
+/// Adopts the newest valid configuration of a listing, and returns its version.
 fn adopt_newest(state: &State, listing: &Listing) -> Option<u64> {
     let values = listing.items.iter().rev();
     let values = values.filter(|item| state.adapter.is_configuration(&item.name));
@@ -53,7 +53,7 @@
     values.find_map(|raw| state.adopt(raw, "store"))
 }
 
-/// Asks other instances for a newer configuration that the store does not bring in time.
+/// Fetches a newer configuration from other instances when the store does not deliver it in time.
 pub async fn fetch_from_peers(state: Rc<State>) {
     let client = Client::new();
     loop {
@@ -65,7 +65,8 @@
     }
 }
 
-/// Who is asked now, drawn anew each time: one that is slow or busy is not asked by all.
+/// The instance to query now. It is drawn at random each time, so that not all instances query one
+/// that is slow or busy.
 fn choose_peer(state: &State) -> Option<Profile> {
     let now = state.now();
     let waits = state.version() > 0 && !state.adoption.store_lost.get();
@@ -77,7 +78,8 @@
     ahead.into_iter().choose(&mut rand::rng()).cloned()
 }
 
-/// Asks until the answer is there, or it is of no more use.
+/// Fetches the configuration of another instance, unless its version is reached in another way
+/// first.
 async fn fetch_from(state: &Rc<State>, client: &Client, peer: &Profile) {
     tokio::select! {
         compressed = fetch(state, client, peer, COMPRESSED_CONFIGURATION_PATH) => {
@@ -106,7 +108,7 @@
     }
 }
 
-/// Shows the configuration in force to operators.
+/// Serves the configuration in force to operators.
 pub fn show(state: &State) -> Response<Outgoing> {
     match state.configuration() {
         Some(have) => outgoing::json(Outgoing::full(have.raw)),
@@ -114,7 +116,8 @@
     }
 }
 
-/// Shows the configuration in force to another instance, or refuses while others read it.
+/// Serves the configuration in force to another instance, or refuses when the egress limit is
+/// reached.
 pub fn show_compressed(state: &State) -> Response<Outgoing> {
     let Some(have) = state.configuration() else {
         return outgoing::empty(StatusCode::NOT_FOUND);
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -1,7 +1,7 @@
-//! What instances tell each other by datagrams.
+//! Heartbeats between instances, sent as datagrams.
 //!
-//! A heartbeat holds the sender's whole state that others need, so that a lost one costs
-//! its interval and nothing else.
+//! A heartbeat holds all state of the sender that other instances need, so that the loss of one
+//! only delays updates by an interval.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,26 +26,29 @@
 use crate::state::State;
 use crate::upgrades;
 
-/// Time between two turns of heartbeats. In a small fleet each one goes to all, so that
-/// load and rates are as old; in a large one the turns take the others by parts, so that
-/// one instance never handles more than 160 heartbeats a second each way.
+/// Interval between two batches of heartbeats. In a small fleet each batch goes to all instances,
+/// so load and rates are at most one interval old. In a large fleet each batch goes to a subset, so
+/// that an instance never handles more than 160 heartbeats a second in either direction.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause between two turns before a stop: what a link of 10 Mbit/s needs for one.
+/// Delay between two batches of a broadcast: the time that a link of 10 Mbit/s needs for one.
 const BROADCAST_DELAY: Duration = Duration::from_millis(20);
-/// Profiles of others in one heartbeat; they spread who is there.
+/// Maximum number of other instances' profiles in a heartbeat, by which members discover each
+/// other.
 const MAX_INTRODUCED: usize = 4;
-/// Rows of each list that heartbeats of one turn hold, shared by the turns that a fleet
-/// takes. After a crash of 20 endpoints the evidence alone was tens of kB in each
-/// heartbeat, more than links of 10 Mbit/s carry, and a fleet of 60 fell silent.
+/// Maximum number of rows of each list in a heartbeat, divided by the number of batches that cover
+/// the fleet. After a crash of 20 endpoints the evidence alone took tens of kB in each heartbeat,
+/// more than links of 10 Mbit/s carry, and a fleet of 60 lost contact.
 const MAX_ROWS: usize = 64;
-/// Heartbeats to each instance that tell where a part was sent, as some are lost.
+/// Number of heartbeats to each instance that report where a prompt part was sent, as datagrams may
+/// be lost.
 const HEARTBEATS_PER_PLACEMENT: u32 = 2;
-/// Windows whose counts are told: a report is due two windows after its window's end.
+/// Number of past usage windows whose counts are reported: a usage report is due two windows after
+/// the end of its window.
 const REPORTED_WINDOWS: u64 = 3;
-/// Largest datagram taken.
+/// Largest datagram that is received.
 const MAX_DATAGRAM_BYTES: usize = 60_000;
 
-/// A heartbeat.
+/// A heartbeat, with the state of its sender.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Heartbeat {
     profile: Profile,
@@ -61,16 +64,17 @@
     /// The newest era of the store.
     #[serde(default)]
     era: Option<Era>,
-    /// The last usage window that was reported.
+    /// The last usage window that was reported to the platform.
     #[serde(default)]
     reported: Option<u64>,
-    /// Services that move to another version.
+    /// Services that are being upgraded to another version.
     #[serde(default)]
     upgrades: Vec<Told>,
 }
 
 impl Heartbeat {
-    /// The state as one round of turns tells it: each target has to hear of all in time.
+    /// Builds the heartbeat of a round. Over successive rounds, each target receives all rows in
+    /// time.
     fn build(state: &State, round: usize) -> Self {
         let now = state.now();
         let turns = turn::turns(state.reach().members as usize, TOGETHER);
@@ -107,7 +111,7 @@
     }
 }
 
-/// Sends a heartbeat to everyone without waiting for their turns, as before a stop.
+/// Sends a heartbeat to all instances at once, as before a shutdown.
 pub async fn broadcast(state: &Rc<State>, socket: &UdpSocket) {
     let targets = targets(state);
     for turn in 0..turn::turns(targets.len(), TOGETHER) {
@@ -118,12 +122,12 @@
     }
 }
 
-/// Sends a heartbeat to those of the targets that are due in a turn.
+/// Sends a heartbeat to the targets of a batch.
 async fn send(state: &State, socket: &UdpSocket, targets: &[SocketAddr], turn: usize) {
     let round = turn / turn::turns(targets.len(), TOGETHER);
     let heartbeat = Heartbeat::build(state, round);
     let Ok(bytes) = rmp_serde::to_vec(&heartbeat) else {
-        // Unreachable: the message has no types that the format refuses.
+        // Unreachable: all types of the message can be serialized.
         return;
     };
     for address in turn::due(targets, TOGETHER, turn) {
@@ -133,7 +137,7 @@
     }
 }
 
-/// Sends heartbeats for as long as the process runs.
+/// Sends heartbeats until the process ends.
 pub async fn send_heartbeats(state: Rc<State>, socket: Rc<UdpSocket>) {
     for turn in 0.. {
         let targets = targets(&state);
@@ -144,7 +148,7 @@
     }
 }
 
-/// Everyone known, and the seeds, which may know others.
+/// All known instances, and the seeds, through which further ones are discovered.
 fn targets(state: &State) -> Vec<SocketAddr> {
     let mut targets = state.peers.borrow().addresses();
     for seed in &state.settings().seeds {
@@ -169,7 +173,7 @@
     }
 }
 
-/// Hears heartbeats for as long as the process runs.
+/// Receives heartbeats until the process ends.
 pub async fn receive_heartbeats(state: Rc<State>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -1,4 +1,4 @@
-//! A request from its head to its final answer.
+//! Handles a request from its headers to its final response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,14 +27,14 @@
 use crate::state::{Open, State};
 use crate::stop;
 
-/// When to come back if nothing is known yet.
+/// `Retry-After` while there is no configuration, or a route without a service.
 const NOT_READY_RETRY_DELAY: Duration = Duration::from_millis(600);
-/// When to come back with a request whose like crashed endpoints.
+/// `Retry-After` for a request whose fingerprint has crashed endpoints.
 const POISONOUS_RETRY_DELAY: Duration = Duration::from_secs(30);
-/// Wait of a caller that names none.
+/// Timeout of a caller that names none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Callers' requests.
+/// Serves the requests of callers.
 #[derive(Debug)]
 pub struct Front(pub Rc<State>);
 
@@ -90,7 +90,7 @@
     result.unwrap_or_else(|refusal| refuse(state, id.as_deref(), &path, begun, &refusal))
 }
 
-/// Runs an admitted request to its answer and counts how it ended.
+/// Runs an admitted request and records its outcome.
 async fn finish(state: &Rc<State>, job: Job) -> Result<Response<Outgoing>, Refusal> {
     let job = Rc::new(job);
     let result = run(state, Rc::clone(&job)).await;
@@ -136,7 +136,7 @@
     )
 }
 
-/// Reads a request and checks whether it may go on.
+/// Reads a request and decides whether it may run.
 async fn admit(
     state: &Rc<State>,
     connection: &Connection,
@@ -206,13 +206,14 @@
         begun,
         due,
     };
-    // Before its tokens are granted, as the instance that takes it grants them too.
+    // This precedes the rate limit: the instance that takes over a refused request charges its
+    // tokens too.
     stop::check(state, &job, connection)?;
     grant(state, &job)?;
     Ok(job)
 }
 
-/// Takes a request's tokens from its workspace's rate.
+/// Charges a request to the rate limit of its workspace.
 fn grant(state: &State, job: &Job) -> Result<(), Refusal> {
     let Some(workspace) = &job.workspace else {
         return Ok(());
@@ -251,7 +252,7 @@
         .ok_or(Refusal::Bad(StatusCode::NOT_FOUND, "no such route"))
 }
 
-/// Whose request it is, and how urgent.
+/// The workspace and priority of a request.
 fn identify(
     table: &Table,
     route: &Route,
@@ -268,7 +269,7 @@
     }
 }
 
-/// Sends a request until it has its final answer, at the latest when a stop ends.
+/// Runs a request to its final response, or until shutdown aborts it.
 async fn run(state: &Rc<State>, job: Rc<Job>) -> Result<Response<Outgoing>, Refusal> {
     tokio::select! {
         answer = send(state, job) => answer,
@@ -299,7 +300,7 @@
     }
 }
 
-/// No answer came in time: it takes longer than that.
+/// Records that the request took at least this long, and refuses it.
 fn time_out(state: &State, job: &Job) -> Refusal {
     state.record_duration(&job.route, job.begun);
     timed_out()
--- a/coltsfoothall-forward/src/listen.rs
+++ b/coltsfoothall-forward/src/listen.rs
@@ -1,8 +1,8 @@
-//! Accepts connections and watches over their limits.
+//! Accepts connections and enforces their limits.
 //!
-//! A connection is idle, in the head of a request, or busy with one. The limits on the
-//! first two are kept at the socket, since they must not count against the third. There
-//! too a head is looked through for lengths that contradict each other.
+//! A connection is idle, is receiving the head of a request, or is busy with one. The time limits
+//! of the first two phases are enforced at the socket, so that they do not apply while a request is
+//! served. The socket also scans each head for conflicting message lengths.
 
 use std::io;
 use std::pin::Pin;
@@ -26,25 +26,25 @@
 use crate::outgoing::Outgoing;
 use crate::socket;
 
-/// Pause after a failed accept, so that a lack of descriptors does not become a busy loop.
+/// Delay after a failed accept, which keeps a lack of file descriptors from causing a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Buffer of a connection; a head of the largest size must fit.
+/// Minimum size of a connection's read buffer; it grows to the largest head that is allowed.
 const MIN_BUFFER_BYTES: usize = 32 << 10;
 
-/// Limits of connections, read anew for each.
+/// Limits of a connection, read when it is accepted.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Most bytes of a head.
+    /// Maximum size of the head of a request.
     pub max_head_bytes: usize,
-    /// Time for a whole head.
+    /// Time in which the head must be complete.
     pub head_timeout: Duration,
-    /// Time without a request.
+    /// Time for which a connection may stay open without a request.
     pub idle_timeout: Duration,
 }
 
-/// What answers the requests of a listener.
+/// Answers the requests of a listener.
 pub trait Handler {
-    /// Limits of a new connection.
+    /// The limits of a new connection.
     fn limits(&self) -> Limits;
     /// Answers one request.
     fn handle(
@@ -54,7 +54,7 @@
     ) -> LocalBoxFuture<'static, Response<Outgoing>>;
 }
 
-/// All connections of a listener.
+/// The connections of a listener.
 #[derive(Debug, Clone, Default)]
 pub struct Connections {
     closing: CancellationToken,
@@ -62,19 +62,19 @@
 }
 
 impl Connections {
-    /// Takes no new ones, closes those without a request, and the others after their answer.
+    /// Stops accepting, closes idle connections at once, and the others after their response.
     pub fn close(&self) {
         self.closing.cancel();
         self.open.close();
     }
 
-    /// Waits until all are closed, their answers written.
+    /// Waits until all connections are closed and their responses written.
     pub async fn closed(&self) {
         self.open.wait().await;
     }
 }
 
-/// Accepts until the connections are to be closed.
+/// Accepts connections until they are to be closed.
 pub async fn run(listener: TcpListener, handler: Rc<dyn Handler>, connections: Connections) {
     let closing = &connections.closing;
     loop {
@@ -94,7 +94,7 @@
 
 async fn serve(stream: TcpStream, handler: Rc<dyn Handler>, closing: CancellationToken) {
     if socket::tune(&stream).is_err() {
-        // The peer is gone already.
+        // The peer has already closed the connection.
         return;
     }
     let limits = handler.limits();
@@ -123,7 +123,7 @@
     let mut shutting_down = false;
     loop {
         tokio::select! {
-            // How a connection ends concerns that caller alone.
+            // An error on a connection affects only its caller.
             _ended = serving.as_mut() => return,
             () = closing.cancelled(), if !shutting_down => {
                 shutting_down = true;
@@ -133,21 +133,21 @@
     }
 }
 
-/// Looks through a head for lengths that contradict each other.
+/// Scans the head of a request for conflicting message lengths, as used for request smuggling.
 #[derive(Debug, Default)]
 struct Scan {
     line: Vec<u8>,
     lengths: u32,
     chunked: u32,
-    /// The empty line was seen; what follows is body.
+    /// Whether the empty line was seen, after which the body begins.
     ended: bool,
 }
 
-/// Bytes of a line that matter: the longest name looked for, and its colon.
+/// Prefix of a line that is inspected: it holds the longest header name in question.
 const MAX_LINE_PREFIX_BYTES: usize = 20;
 
 impl Scan {
-    /// Takes the next bytes; true once the head shows two framings.
+    /// Scans the next bytes. Returns whether the head names its length in more than one way.
     fn push(&mut self, bytes: &[u8]) -> bool {
         for byte in bytes {
             if self.ended {
@@ -170,7 +170,7 @@
     }
 }
 
-/// A connection with its limits.
+/// A stream that enforces the time limits of its connection.
 struct TimedStream {
     stream: TcpStream,
     connection: Rc<Connection>,
@@ -180,7 +180,7 @@
 }
 
 impl TimedStream {
-    /// When the present phase has lasted too long.
+    /// The deadline of the current phase.
     fn deadline(&self) -> Option<Instant> {
         let since = self.connection.since.get();
         match self.connection.phase.get() {
@@ -203,8 +203,8 @@
         sleep.as_mut().poll(context)
     }
 
-    /// Bytes of an answer went out. The answer is handed over before all of it is written,
-    /// and a caller who goes on reading it is not idle.
+    /// Restarts the idle time when bytes of a response are written. A response is buffered before
+    /// all of it is written, and a caller that is still reading it is not idle.
     fn record_write(&self) {
         if self.connection.phase.get() == Phase::Idle {
             self.connection.enter(Phase::Idle);
--- a/coltsfoothall-forward/src/refusal.rs
+++ b/coltsfoothall-forward/src/refusal.rs
@@ -1,25 +1,25 @@
-//! Answers of this program's own to requests that get none of an endpoint's.
+//! Responses that this program generates when a request gets none from an endpoint.
 
 use std::time::Duration;
 
 use http::StatusCode;
 
-/// Why an answer ends early when this instance does.
+/// Reason for aborting a response when this instance shuts down.
 pub const SHUTTING_DOWN: &str = "this instance stops";
 
-/// Why a request gets an answer of this program's own.
+/// Why a request gets no response from an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// The request itself is wrong.
+    /// The request itself is invalid.
     Bad(StatusCode, &'static str),
-    /// It did not run and will not; come back after this time.
+    /// It did not run and will not run; the caller may retry after this time.
     NotRun(StatusCode, &'static str, Duration),
     /// It may have run.
     Unknown(StatusCode, &'static str),
 }
 
 impl Refusal {
-    /// Its status, its reason and when to come back.
+    /// The status, the reason and the delay of a retry.
     #[must_use]
     pub fn parts(&self) -> (StatusCode, &'static str, Option<Duration>) {
         match self {
@@ -29,19 +29,19 @@
     }
 }
 
-/// A refusal: nothing ran, and there is no room.
+/// A refusal of a request that did not run, for lack of capacity.
 #[must_use]
 pub fn unavailable(reason: &'static str, retry_after: Duration) -> Refusal {
     Refusal::NotRun(StatusCode::SERVICE_UNAVAILABLE, reason, retry_after)
 }
 
-/// An endpoint broke off a request that may have run.
+/// An endpoint interrupted a request that may have run.
 #[must_use]
 pub fn bad_gateway(reason: &'static str) -> Refusal {
     Refusal::Unknown(StatusCode::BAD_GATEWAY, reason)
 }
 
-/// No answer came by when it was due; the request may have run.
+/// No response arrived by the deadline; the request may have run.
 #[must_use]
 pub fn timed_out() -> Refusal {
     Refusal::Unknown(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -1,6 +1,6 @@
-//! What an instance knows and believes; owned by its one thread.
+//! The in-memory state of an instance, owned by its only thread.
 //!
-//! No borrow of a cell lives across a wait, so none can be found taken.
+//! No borrow of a cell is held across an await point, so borrowing never panics.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -38,20 +38,20 @@
 use crate::settings::Settings;
 use crate::time::{self, Clock};
 
-/// How long an attempt that broke off waits for word of its endpoint: registrations lapse
-/// after three heartbeats, and the store may be away meanwhile.
+/// How long an interrupted attempt is kept as possible evidence until its endpoint is known to be
+/// gone: registrations lapse after three heartbeats, and the store may be unavailable meanwhile.
 const EVIDENCE_RETENTION: Duration = Duration::from_secs(15);
-/// How long news of ended endpoints is told to others.
+/// How long departed endpoints are reported to other instances.
 const DEPARTURE_RETENTION: Duration = Duration::from_secs(6);
-/// After the store came back, removed endpoints get so long to register again.
+/// Time for which removed endpoints may register again after the store recovers.
 pub const REGISTRATION_GRACE: Duration = Duration::from_millis(2_000);
 
-/// Counts a request as under way until it is dropped.
+/// Counts a request as open until it is dropped.
 #[derive(Debug)]
 pub struct Open(Rc<State>);
 
 impl Open {
-    /// One more request is under way.
+    /// Counts one more open request.
     #[must_use]
     pub fn new(state: &Rc<State>) -> Self {
         state.open.set(state.open.get() + 1);
@@ -65,72 +65,72 @@
     }
 }
 
-/// News of an ended endpoint.
+/// A departed endpoint, to be reported to other instances.
 #[derive(Debug, Clone)]
 pub struct Departure {
-    /// What ended, and when.
+    /// The endpoint, and the position at which its departure was written.
     pub ended: Ended,
     at: Time,
 }
 
-/// All state of an instance.
+/// The state of an instance.
 pub struct State {
     settings: RefCell<Rc<Settings>>,
-    /// Name of this instance.
+    /// The name of this instance.
     pub name: id::Instance,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// The platform.
+    /// The platform adapter.
     pub adapter: Rc<dyn Adapter>,
-    /// The runtime's clock.
+    /// The clock of the runtime.
     pub clock: Clock,
-    /// Number of this boot, drawn at random.
+    /// Random number that identifies this run of the process.
     pub boot: u64,
-    /// Set at the first signal to stop.
+    /// Cancelled at the first signal to stop.
     pub stopping: CancellationToken,
-    /// The moments of the stop that is under way.
+    /// Deadlines of the shutdown that is under way.
     pub stop: Cell<Option<Stop>>,
-    /// Set when a planned stop waits no longer for what is under way.
+    /// Cancelled when a planned shutdown no longer waits for open requests.
     pub abort: CancellationToken,
-    /// Endpoints.
+    /// Known endpoints and their load.
     pub roster: RefCell<Roster>,
     /// Connections to endpoints.
     pub pool: RefCell<Pool>,
-    /// Rates of workspaces.
+    /// Rate limits of workspaces.
     pub rate_limiter: RefCell<allowance::Book>,
-    /// How long answers take.
+    /// Response times by route.
     pub durations: RefCell<duration::Table>,
-    /// Services that move to another version.
+    /// Services that are being upgraded to another version.
     pub upgrades: RefCell<upgrade::Book>,
-    /// Requests that began to run.
+    /// Runs by workspace and usage window.
     pub usage: RefCell<usage::Book>,
     /// Other instances.
     pub peers: RefCell<Peers>,
-    /// The election of who acts for all.
+    /// The leader election.
     pub leader: RefCell<Leader>,
-    /// Registrations of endpoints as they were read, for instances that lack them.
+    /// Registrations of endpoints, for the instances that read them from this one.
     pub changelog: RefCell<Changelog>,
-    /// As of when the registrations known here are the store's own; none while it does not
-    /// answer, or is not asked.
+    /// Time as of which the registrations known here match the store; none while the store does not
+    /// answer or this instance does not read it.
     pub registrations_as_of: Cell<Option<Time>>,
-    /// Whether the store did not answer the last call for registrations.
+    /// Whether the last call for registrations failed.
     pub registrations_lost: Cell<bool>,
-    /// The configuration in force, and what is known of newer ones.
+    /// The configuration in force, and the newest version known to exist.
     pub adoption: Adoption,
-    /// Whether the store answers.
+    /// Whether the store responds.
     pub health: Health,
     era: Cell<Option<Era>>,
-    /// Wakes who waits when the store came back from an older copy.
+    /// Notified when the store has been restored from an older copy.
     pub era_changed: Notify,
     reported: Cell<Option<u64>>,
-    /// Calls to the store.
+    /// Counts of calls to the store.
     pub calls: Calls,
-    /// Evidence against requests that crash endpoints.
+    /// Evidence about requests that crash endpoints.
     pub suspicions: RefCell<Docket>,
     next_attempt: Cell<u64>,
-    /// Requests under way.
+    /// Number of open requests.
     pub open: Cell<usize>,
-    /// Counters and histograms for a scrape.
+    /// Metrics.
     pub board: Board,
     pub(crate) served: Cell<u64>,
     retries: RefCell<Retries>,
@@ -148,7 +148,7 @@
 }
 
 impl State {
-    /// The state of an instance that knows nothing yet.
+    /// The initial state of an instance.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -204,7 +204,7 @@
         }
     }
 
-    /// The time now.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Time {
         self.clock.now()
@@ -216,8 +216,8 @@
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Takes over settings that were read again. What is bound to a running process stays:
-    /// its name, its domain, its addresses.
+    /// Applies reloaded settings, except for those that are fixed for a running process, such as
+    /// its name, domain and addresses.
     pub fn reload(&self, settings: Settings) {
         let previous = self.settings();
         *self.settings.borrow_mut() = Rc::new(Settings {
@@ -234,7 +234,7 @@
         event::RELOADED.emit(format_args!("seeds={:?}", self.settings().seeds));
     }
 
-    /// Whether this instance takes callers.
+    /// Whether this instance accepts requests from callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.stopping.is_cancelled()
@@ -242,7 +242,7 @@
             && !self.roster.borrow().nodes().is_empty()
     }
 
-    /// This instance as it describes itself to others.
+    /// The description of this instance that other instances receive.
     #[must_use]
     pub fn profile(&self) -> Profile {
         Profile {
@@ -258,26 +258,26 @@
         }
     }
 
-    /// Where callers reach this instance.
+    /// The address at which callers reach this instance.
     #[must_use]
     pub fn front(&self) -> SocketAddr {
         let unset = SocketAddr::from(([127, 0, 0, 1], 0));
         self.settings().listen.front.unwrap_or(unset)
     }
 
-    /// Members that share the rates.
+    /// The members that share the rate limits.
     #[must_use]
     pub fn reach(&self) -> Reach {
         self.peers.borrow().reach(self.now())
     }
 
-    /// Time since 1970 as most instances have it.
+    /// Time since the Unix epoch, by the majority of the instances' clocks.
     #[must_use]
     pub fn true_time(&self) -> Duration {
         self.peers.borrow().true_time(self.now(), time::wall())
     }
 
-    /// A request of a workspace began to run at an endpoint.
+    /// Counts a run of a workspace's request.
     pub fn count_run(&self, workspace: Option<&id::Workspace>) {
         let Some(workspace) = workspace else {
             return;
@@ -288,9 +288,10 @@
         usage.began(window, workspace);
     }
 
-    /// A run ended. One that broke off is evidence if its endpoint turns out to be gone; a
-    /// whole answer clears its like. Endpoints that leave without a word go on serving, so
-    /// runs that did not break are no evidence.
+    /// Records the end of a run. An interrupted run is evidence against requests with this
+    /// fingerprint if its endpoint turns out to be gone; a complete response clears them. Endpoints
+    /// that leave unannounced still finish their requests, so a run that was not interrupted is no
+    /// evidence.
     pub fn record_evidence(&self, endpoint: &id::Endpoint, print: Print, end: End) {
         let now = self.now();
         let mut suspicions = self.suspicions.borrow_mut();
@@ -302,7 +303,8 @@
                 suspicions.ended(now, attempt, true);
             }
             End::Failed => {
-                // The fleet's attempts differ, since each boot counts from a number of its own.
+                // Attempt numbers are unique in the fleet, as each process counts from a random
+                // number.
                 self.next_attempt.set(attempt.wrapping_add(1));
                 suspicions.started(now, attempt, endpoint.clone(), print, false);
             }
@@ -310,7 +312,8 @@
         }
     }
 
-    /// An endpoint is gone; what ran there is evidence unless that was expected.
+    /// Records that an endpoint is gone. What ran there is evidence unless the departure was
+    /// expected.
     fn record_death(&self, id: &id::Endpoint, announced: bool) {
         let now = self.now();
         let mut suspicions = self.suspicions.borrow_mut();
@@ -325,7 +328,7 @@
         }
     }
 
-    /// A request goes to a service for the first time.
+    /// Counts a request that is sent to a service for the first time.
     pub fn count_sent(&self, service: &id::Service) {
         let (now, members) = (self.now(), self.reach().members);
         self.retries
@@ -333,14 +336,15 @@
             .record_first(now, service, members);
     }
 
-    /// Whether a request may go to one more endpoint of a service.
+    /// Whether a request may be retried at another endpoint of a service; takes one retry from the
+    /// budget.
     #[must_use]
     pub fn may_retry(&self, service: &id::Service) -> bool {
         let (now, members) = (self.now(), self.reach().members);
         self.retries.borrow_mut().allow(now, service, members)
     }
 
-    /// An instance tells what its requests took of the endpoints' time.
+    /// Merges the endpoint time that an instance reports for its requests, by service.
     pub fn merge_work(&self, boot: u64, work: &[(id::Service, u64)]) {
         let now = self.now();
         let mut meters = self.meters.borrow_mut();
@@ -357,7 +361,7 @@
         }
     }
 
-    /// The load of a service over all instances.
+    /// The load of a service, summed over all instances.
     #[must_use]
     pub fn load(&self, service: &id::Service) -> Option<order::Load> {
         let own = self.roster.borrow().work().to_vec();
@@ -369,13 +373,13 @@
             .and_then(|index| meters[index].1.load(self.now()))
     }
 
-    /// A request on a route took this time until its answer was whole or given up.
+    /// Records how long a request took until its response was complete or abandoned.
     pub fn record_duration(&self, route: &Route, begun: Time) {
         let took = self.now().since(begun);
         self.durations.borrow_mut().saw(&route.name, took);
     }
 
-    /// Acts on a change in the list of endpoints.
+    /// Handles a change in the set of endpoints.
     pub fn apply_event(&self, event: Option<Event>, place: Place, source: &str) {
         match event {
             None => {}
@@ -414,7 +418,7 @@
         }
     }
 
-    /// Whether an endpoint's leaving was told before it was gone.
+    /// Whether the departure of an endpoint was announced before it was gone.
     fn has_departed(&self, id: &id::Endpoint) -> bool {
         self.departures
             .borrow()
@@ -428,7 +432,7 @@
         self.departures.borrow_mut().push(Departure { ended, at });
     }
 
-    /// News that others may not have heard yet.
+    /// Departed endpoints that other instances may not know of yet.
     #[must_use]
     pub fn departures(&self) -> Vec<Ended> {
         let now = self.now();
@@ -440,32 +444,33 @@
             .collect()
     }
 
-    /// The store answers again after it was away.
+    /// Records that the store has recovered from an outage.
     pub fn store_returned(&self) {
         self.store_returned_at.set(Some(self.now()));
     }
 
-    /// Whether the fleet is so small that each instance reads registrations for itself alone.
+    /// Whether the fleet is so small that every instance reads the registrations from the store.
     #[must_use]
     pub fn reads_directly(&self) -> bool {
         self.reach().members as usize <= self.settings().read_alone
     }
 
-    /// The newest era of the store that this instance knows of.
+    /// The newest known era of the store.
     #[must_use]
     pub fn era(&self) -> Option<Era> {
         self.era.get()
     }
 
-    /// Learns the era of the store's answers.
+    /// Records the newest era that the adapter has seen in responses of the store.
     pub fn refresh_era(&self) {
         if let Some(era) = self.adapter.era() {
             self.record_era(era);
         }
     }
 
-    /// An answer of the store or another instance names an era. A later one than was known
-    /// ends what holds for the earlier: watches, leases, and that what is missing is gone.
+    /// Records an era named by the store or by another instance. A newer era invalidates what
+    /// depends on the previous one: watches, leases, and the assumption that a missing registration
+    /// was removed.
     pub fn record_era(&self, era: Era) {
         let known = self.era.get();
         if known >= Some(era) {
@@ -481,25 +486,25 @@
         self.era_changed.notify_waiters();
     }
 
-    /// The number under which this instance may act for all now, if it may.
+    /// The fencing token under which this instance leads now, if it does.
     #[must_use]
     pub fn fence(&self) -> Option<Fence> {
         self.refresh_era();
         self.leader.borrow().fence(time::boot())
     }
 
-    /// The last usage window that any holder is known to have reported.
+    /// The last usage window that any leader is known to have reported.
     #[must_use]
     pub fn reported(&self) -> Option<u64> {
         self.reported.get()
     }
 
-    /// A usage window was reported, and all before it.
+    /// Records that a usage window, and all before it, have been reported.
     pub fn record_reported(&self, window: u64) {
         self.reported.set(self.reported.get().max(Some(window)));
     }
 
-    /// Time that a removed endpoint still has to register again.
+    /// Time that removed endpoints still have to register again; none if no such period is running.
     #[must_use]
     pub fn registration_grace(&self) -> Option<Duration> {
         let returned = self.store_returned_at.get()?;
