--- a/coltsfoothall-entry/src/control.rs
+++ b/coltsfoothall-entry/src/control.rs
@@ -133,7 +133,7 @@
         }
         self.resend.look(&self.node);
         self.slots.look(now, &self.members, self.leaving);
-        let taken = self.slots.take_back(now);
+        let taken = self.slots.retract(now);
         self.node.desk.adopt(&self.node, taken);
         self.node.desk.with_ledger(|ledger| ledger.retire(now));
         self.node.desk.flush_all();
@@ -163,7 +163,11 @@
         let board = &self.node.board;
         board.members(self.members.count() as u64);
         board.queued(self.dispatch.queued() as u64);
-        board.slots(self.node.desk.with_ledger(|ledger| ledger.owned().count()) as u64);
+        board.slots(
+            self.node
+                .desk
+                .with_ledger(|ledger| ledger.served_slots().count()) as u64,
+        );
     }
 
     /// Takes in what a peer said of itself and others.
@@ -182,7 +186,11 @@
             id: sender.instance.clone(),
             age: None,
         };
-        if self.config.hear(&source, Revision(sender.revision), now) == Need::Fetch {
+        if self
+            .config
+            .merge_revision(&source, Revision(sender.revision), now)
+            == Need::Fetch
+        {
             fetch::config(Arc::clone(&self.node), sender.instance.clone());
         }
         if sender.slots > self.slots.version() {
@@ -227,11 +235,14 @@
                 self.dispatch.report(now, &endpoint, &report);
             }
             Message::Cache(endpoint, events) => {
-                let _lost = self.dispatch.router().cache_events(&endpoint, &events);
+                let _lost = self
+                    .dispatch
+                    .router()
+                    .record_cache_events(&endpoint, &events);
             }
             Message::Catalog(source, catalog) => self.adopt(&source, catalog),
             Message::Held { base, reply } => {
-                let held = self.config.held().cloned().unwrap_or_default();
+                let held = self.config.current().cloned().unwrap_or_default();
                 let base = self.config.at(base).cloned();
                 let _gone = reply.send(Held { held, base });
             }
@@ -313,15 +324,15 @@
         match self.config.offer(source, catalog, now) {
             Outcome::Adopted { from, to } => {
                 event::ADOPTED.emit(format_args!("from={from} to={to} source={source:?}"));
-                if let Some(held) = self.config.held() {
+                if let Some(held) = self.config.current() {
                     self.dispatch.set_workspaces(&held.workspaces);
                     self.node.board.revision(held.revision.0);
                 }
                 self.publish();
             }
             Outcome::Same => {}
-            Outcome::Older { offered, held } => {
-                event::OLDER.emit(format_args!("offered={offered} held={held}"));
+            Outcome::Older { offered, current } => {
+                event::OLDER.emit(format_args!("offered={offered} held={current}"));
             }
             Outcome::Fork { revision } => {
                 self.node
@@ -362,7 +373,7 @@
         let Ok(endpoint) = instance.as_str().parse::<id::Endpoint>() else {
             return;
         };
-        self.dispatch.router().leaving(&endpoint);
+        self.dispatch.router().mark_leaving(&endpoint);
         let input = Input::Leaving {
             endpoint,
             finishes: false,
@@ -395,7 +406,7 @@
     }
 
     fn own_config(&self) -> Option<peer::Config> {
-        let held = self.config.held()?;
+        let held = self.config.current()?;
         Some(peer::Config {
             from: self.node.settings.instance.clone(),
             age: self.config.age(self.node.now()).map(Millis::from),
--- a/coltsfoothall-entry/src/members.rs
+++ b/coltsfoothall-entry/src/members.rs
@@ -5,12 +5,12 @@
 
 use coltsfoothall::catalog::Revision;
 use coltsfoothall::clock::Time;
+use coltsfoothall::fingerprint::Evidence;
 use coltsfoothall::id;
 use coltsfoothall::member::{self, Digest, Event, Heartbeat, Table};
-use coltsfoothall::print::Evidence;
 use coltsfoothall::size::Millis;
 use coltsfoothall::slot::Candidate;
-use coltsfoothall::stall::{self, Watch};
+use coltsfoothall::stall::{self, Monitor};
 use coltsfoothall_shell::event;
 use coltsfoothall_shell::metric::Flow;
 use coltsfoothall_wire::caller::{Address, Addresses};
@@ -41,7 +41,7 @@
 pub struct Members {
     node: Arc<Node>,
     table: Table,
-    watch: Watch,
+    watch: Monitor,
     /// Addresses for peers from the instance list, sorted.
     seeds: Vec<String>,
     /// When it last could not be told whether others or this instance stalled.
@@ -90,7 +90,7 @@
         };
         Self {
             table: Table::new(me, limits),
-            watch: Watch::new(node.now(), stall),
+            watch: Monitor::new(node.now(), stall),
             seeds: Vec::new(),
             doubted: None,
             starts: Vec::new(),
@@ -140,7 +140,7 @@
     /// This instance's heartbeat as an answer to `sender`.
     #[must_use]
     pub fn answer(&self, sender: Option<&Digest>) -> Heartbeat {
-        let former = sender.and_then(|sender| self.table.former(sender));
+        let former = sender.and_then(|sender| self.table.newer_incarnation(sender));
         Heartbeat {
             digests: vec![self.table.me().clone()],
             deaths: former.into_iter().collect(),
@@ -149,7 +149,7 @@
 
     /// Takes in a heartbeat; true if somebody joined or is leaving.
     pub fn hear(&mut self, now: Time, heartbeat: Heartbeat) -> bool {
-        self.watch.heard(now);
+        self.watch.record_message(now);
         let events = self.table.merge(now, heartbeat);
         for event in &events {
             if let Event::Joined(instance) = event {
@@ -238,7 +238,7 @@
     /// Whether this instance watches the key-value service for its failure domain.
     #[must_use]
     pub fn watches(&self) -> bool {
-        self.table.watches()
+        self.table.is_watcher()
     }
 
     /// Others that can be reached, sorted by name.
@@ -273,7 +273,7 @@
         let own = self.table.me();
         let others = self.table.live().map(|member| {
             let revision = Revision(member.digest.revision);
-            row(&member.digest, revision, now.since(member.heard))
+            row(&member.digest, revision, now.since(member.last_seen))
         });
         let mut members: Vec<Member> = others.collect();
         members.push(row(own, revision, Duration::ZERO));
--- a/coltsfoothall-entry/src/order.rs
+++ b/coltsfoothall-entry/src/order.rs
@@ -89,7 +89,7 @@
     let share = share::Settings {
         rate: settings.weight_rate,
         services,
-        at_once: settings.loads,
+        max_loads: settings.loads,
     };
     let settle = settings.settle.duration();
     let settings = rollout::Settings {
@@ -123,7 +123,7 @@
             return;
         };
         let engines: Vec<Engine> = seen.iter().map(|seen| seen.engine.clone()).collect();
-        let orders = self.rollout.step(duty.node.now(), &wanted, &engines);
+        let orders = self.rollout.tick(duty.node.now(), &wanted, &engines);
         duty.surge
             .store(self.rollout.progress().surge, Ordering::Relaxed);
         self.check(duty);
--- a/coltsfoothall-entry/src/pick.rs
+++ b/coltsfoothall-entry/src/pick.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use coltsfoothall::choice::{self, Ask};
+use coltsfoothall::choice::{self, Query};
 use coltsfoothall::clock::Time;
+use coltsfoothall::fingerprint::Fingerprint;
 use coltsfoothall::id;
 use coltsfoothall::limit::{Number, Ticket};
 use coltsfoothall::prefix::{self, Block};
-use coltsfoothall::print::Print;
 use coltsfoothall::record::{Intake, Work};
 use coltsfoothall::size::Tokens;
 
@@ -29,7 +29,7 @@
     /// Endpoints that are not to be chosen, sorted.
     pub exclude: Vec<id::Endpoint>,
     /// The marks of its content.
-    pub print: Print,
+    pub fingerprint: Fingerprint,
     /// Whether it may run more than once.
     pub idempotent: bool,
     model: Option<id::Model>,
@@ -50,13 +50,13 @@
     ) -> Self {
         // One that is carried on is owed its place until its deadline.
         let ticket = demand(intake, deadline);
-        let print = Print::new(intake);
+        let fingerprint = Fingerprint::new(intake);
         let bare = Self {
             number: None,
             ticket,
             attempt,
             exclude,
-            print,
+            fingerprint,
             idempotent: intake.idempotent,
             model: None,
             blocks: Vec::new(),
@@ -88,13 +88,13 @@
     }
 
     /// What the router is asked. `exclude` names the endpoints that are out of question.
-    pub(crate) fn ask<'a>(
+    pub(crate) fn query<'a>(
         &'a self,
         domain: &'a id::Domain,
         exclude: &'a [id::Endpoint],
-        alone: bool,
-    ) -> Ask<'a> {
-        Ask {
+        isolated: bool,
+    ) -> Query<'a> {
+        Query {
             service: &self.ticket.service,
             model: self.model.as_ref(),
             blocks: &self.blocks,
@@ -103,7 +103,7 @@
             class: self.ticket.class,
             domain,
             exclude,
-            alone,
+            isolated,
         }
     }
 }
--- a/coltsfoothall-entry/src/round.rs
+++ b/coltsfoothall-entry/src/round.rs
@@ -12,7 +12,7 @@
 use coltsfoothall::ledger::Ledger;
 use coltsfoothall::record::Record;
 use coltsfoothall::replica::{Taken, Whole};
-use coltsfoothall::slot::{Candidate, Process, Refused, SLOTS, Table};
+use coltsfoothall::slot::{Candidate, Process, Refused, SLOT_COUNT, Table};
 use coltsfoothall::step::Input;
 use coltsfoothall_shell::event;
 use coltsfoothall_wire::http;
@@ -84,7 +84,7 @@
         let asked = self.node.now();
         // A write whose outcome is not known blocks its slot until a later
         // version of the table settles it, so there has to be one.
-        let open = self.node.desk.with_ledger(|ledger| ledger.proposing());
+        let open = self.node.desk.with_ledger(|ledger| ledger.has_proposals());
         let outcome = if open {
             Some(self.write(&changed).await)
         } else if self.read {
@@ -133,8 +133,8 @@
                 desk.with_ledger(|ledger| ledger.seal(*slot));
                 desk.carry_on(&node, *slot);
             }
-            Duty::Alone(slot) => {
-                desk.with_ledger(|ledger| ledger.go_alone(*slot));
+            Duty::RunUnreplicated(slot) => {
+                desk.with_ledger(|ledger| ledger.run_unreplicated(*slot));
                 desk.carry_on(&node, *slot);
             }
             Duty::Yield(slot) => self.yield_slot(*slot).await,
@@ -232,7 +232,7 @@
         let entry = table.entry(slot)?.clone();
         let base = self.base.version;
         let (known, noted) = self.node.desk.with_ledger(|ledger| {
-            let known = ledger.noted(slot);
+            let known = ledger.has_proposal(slot);
             (known, ledger.propose(slot, base, entry))
         });
         if noted.is_ok() && !known {
@@ -259,7 +259,7 @@
             return Ok(None);
         }
         // Each instance named in it then claims its slots, known to be empty.
-        let Ok(table) = Table::first(SLOTS, live) else {
+        let Ok(table) = Table::first(SLOT_COUNT, live) else {
             return Ok(None);
         };
         self.put(&table, 0).await
--- a/coltsfoothall-forward/src/adapter.rs
+++ b/coltsfoothall-forward/src/adapter.rs
@@ -5,10 +5,10 @@
 
 use bytes::Bytes;
 use coltsfoothall::forward::choice::Part;
-use coltsfoothall::forward::history::{Era, Fence, Lease, Place};
+use coltsfoothall::forward::config::Config;
+use coltsfoothall::forward::history::{Era, Fence, Lease, Position};
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::forward::order::Order;
-use coltsfoothall::forward::table::Table;
 use coltsfoothall::forward::upgrade;
 use coltsfoothall::forward::usage::Count;
 use coltsfoothall::id;
@@ -139,9 +139,9 @@
     /// The value; none if the key was deleted.
     pub value: Option<Bytes>,
     /// Position of the change that wrote the value.
-    pub position: Place,
+    pub position: Position,
     /// Position of the change that created the key; the default if the key was deleted.
-    pub created: Place,
+    pub created: Position,
 }
 
 /// Values of a keyspace, or changes to them, up to a position in the history of the store.
@@ -150,7 +150,7 @@
     /// The values or changes, in order.
     pub items: Vec<Item>,
     /// The last change that the listing covers.
-    pub position: Place,
+    pub position: Position,
 }
 
 /// An atomic write to the keyspaces that the instances own. Names begin with `live/` or `notes/`.
@@ -189,10 +189,13 @@
     /// Reads all values of a keyspace.
     fn list(&self, keyspace: Keyspace) -> LocalBoxFuture<'_, Result<Listing, Error>>;
     /// Waits for changes of a keyspace after a position.
-    fn watch(&self, keyspace: Keyspace, after: Place)
-    -> LocalBoxFuture<'_, Result<Listing, Error>>;
+    fn watch(
+        &self,
+        keyspace: Keyspace,
+        after: Position,
+    ) -> LocalBoxFuture<'_, Result<Listing, Error>>;
     /// Writes to the keyspaces that the instances own; returns the position of the change.
-    fn write(&self, write: Write) -> LocalBoxFuture<'_, Result<Place, Error>>;
+    fn write(&self, write: Write) -> LocalBoxFuture<'_, Result<Position, Error>>;
     /// Obtains a lease.
     fn grant_lease(&self, term: Duration) -> LocalBoxFuture<'_, Result<Lease, Error>>;
     /// Renews a lease; one of an earlier era no longer exists.
@@ -205,7 +208,7 @@
     ///
     /// # Errors
     /// Names the invalid field.
-    fn parse_configuration(&self, value: &[u8]) -> Result<Table, Error>;
+    fn parse_configuration(&self, value: &[u8]) -> Result<Config, Error>;
     /// Whether a key of the operators' keyspace is that of the configuration.
     fn is_configuration(&self, name: &str) -> bool;
     /// Parses an order to upgrade a service; none if the item is not an order.
@@ -217,15 +220,15 @@
     fn read_report<'a>(
         &'a self,
         service: &'a id::Service,
-    ) -> LocalBoxFuture<'a, Result<Option<(Report, Place)>, Error>>;
+    ) -> LocalBoxFuture<'a, Result<Option<(Report, Position)>, Error>>;
     /// Writes the report on a service's upgrade, provided that the current one is still that of
     /// `previous`. Returns the position of the change.
     fn write_report<'a>(
         &'a self,
         service: &'a id::Service,
         report: &'a Report,
-        previous: Option<Place>,
-    ) -> LocalBoxFuture<'a, Result<Place, Error>>;
+        previous: Option<Position>,
+    ) -> LocalBoxFuture<'a, Result<Position, Error>>;
     /// Parses an endpoint's registration.
     ///
     /// # Errors
--- a/coltsfoothall-forward/src/adoption.rs
+++ b/coltsfoothall-forward/src/adoption.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
+use coltsfoothall::forward::config::Config;
+use coltsfoothall::forward::egress;
 use coltsfoothall::forward::lag::Lag;
-use coltsfoothall::forward::outflow::Outflow;
-use coltsfoothall::forward::table::Table;
 use coltsfoothall_shell::event;
 use tokio::sync::Notify;
 
@@ -20,7 +20,7 @@
     /// Its compressed form, for other instances; created at the first request.
     pub compressed: Rc<OnceCell<Bytes>>,
     /// Indexed for requests.
-    pub table: Rc<Table>,
+    pub table: Rc<Config>,
 }
 
 /// The state of configuration updates.
@@ -33,7 +33,7 @@
     /// Whether the last call to the store for the configuration failed.
     pub store_lost: Cell<bool>,
     /// Limits the configurations that are sent to other instances.
-    pub egress: RefCell<Outflow>,
+    pub egress: RefCell<egress::Limiter>,
 }
 
 impl State {
--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -6,13 +6,13 @@
 
 use bytes::Bytes;
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::choice::{Ask, Pick};
+use coltsfoothall::forward::choice::{Pick, Query};
+use coltsfoothall::forward::config::Route;
 use coltsfoothall::forward::roster::{End, Run};
-use coltsfoothall::forward::table::Route;
 use coltsfoothall::forward::upgrade::Versions;
 use coltsfoothall::id;
 use coltsfoothall::size::Tokens;
-use coltsfoothall::suspicion::Print;
+use coltsfoothall::suspicion::Fingerprint;
 use http::request::Parts;
 use http::{Request, Response, Uri};
 use hyper::body::Incoming;
@@ -41,7 +41,7 @@
     /// Memory of one engine, in tokens, if the service runs on engines.
     pub memory: Option<Tokens>,
     /// Fingerprint by which requests that crash endpoints are recognised.
-    pub print: Print,
+    pub fingerprint: Fingerprint,
     /// When its headers were read.
     pub begun: Time,
     /// Deadline of its response.
@@ -56,9 +56,9 @@
         domain: &'a id::Domain,
         exclude: &'a [id::Endpoint],
         versions: &'a Versions,
-    ) -> Ask<'a> {
+    ) -> Query<'a> {
         let (prompt, answer) = self.call.tokens.unwrap_or_default();
-        Ask {
+        Query {
             service: &self.service,
             parts: &self.call.parts,
             prompt,
@@ -82,7 +82,7 @@
 pub struct Share {
     state: Rc<State>,
     run: Option<Run>,
-    print: Print,
+    fingerprint: Fingerprint,
     route: std::sync::Arc<Route>,
     service: id::Service,
     version: Option<id::Version>,
@@ -94,7 +94,7 @@
 }
 
 impl Share {
-    fn new(state: &Rc<State>, pick: &Pick, ask: &Ask<'_>, job: &Job) -> Self {
+    fn new(state: &Rc<State>, pick: &Pick, ask: &Query<'_>, job: &Job) -> Self {
         let now = state.now();
         let run = state.roster.borrow_mut().began(now, pick, ask);
         let version = pick.version.as_ref();
@@ -106,7 +106,7 @@
         Self {
             state: Rc::clone(state),
             run: Some(run),
-            print: job.print,
+            fingerprint: job.fingerprint,
             route: std::sync::Arc::clone(&job.route),
             service: job.service.clone(),
             version: pick.version.clone(),
@@ -152,7 +152,8 @@
         if let Some(run) = self.run.take() {
             let now = self.state.now();
             self.state.roster.borrow_mut().finish(now, &run, end);
-            self.state.record_evidence(&self.endpoint, self.print, end);
+            self.state
+                .record_evidence(&self.endpoint, self.fingerprint, end);
         }
     }
 }
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -7,17 +7,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coltsfoothall::forward::allowance::Spent;
+use coltsfoothall::batch;
 use coltsfoothall::forward::gossip::Count as Counted;
-use coltsfoothall::forward::history::{Era, Place};
+use coltsfoothall::forward::history::{Era, Position};
 use coltsfoothall::forward::node::Load;
-use coltsfoothall::forward::peer::{Profile, TOGETHER};
+use coltsfoothall::forward::peer::{MAX_HEARTBEATS_PER_BATCH, Profile};
+use coltsfoothall::forward::rate_limit::Granted;
 use coltsfoothall::forward::roster::Ended;
 use coltsfoothall::forward::upgrade::Told;
 use coltsfoothall::forward::usage::Count;
 use coltsfoothall::id;
 use coltsfoothall::suspicion::Evidence;
-use coltsfoothall::turn;
 use coltsfoothall_shell::event;
 use rand::seq::IteratorRandom;
 use serde::{Deserialize, Serialize};
@@ -54,7 +54,7 @@
     profile: Profile,
     introduced: Vec<Profile>,
     loads: Vec<Counted<Load>>,
-    spent: Vec<Spent>,
+    spent: Vec<Granted>,
     counts: Vec<Count>,
     ended: Vec<Ended>,
     work: Vec<(id::Service, u64)>,
@@ -77,7 +77,7 @@
     /// time.
     fn build(state: &State, round: usize) -> Self {
         let now = state.now();
-        let turns = turn::turns(state.reach().members as usize, TOGETHER);
+        let turns = batch::count(state.reach().members as usize, MAX_HEARTBEATS_PER_BATCH);
         let rows = MAX_ROWS / turns;
         let span = HEARTBEAT_INTERVAL * (turns as u32 + 1) * HEARTBEATS_PER_PLACEMENT;
         let window = {
@@ -94,16 +94,16 @@
             profile: state.profile(),
             introduced,
             loads: state.roster.borrow().own(),
-            spent: state.rate_limiter.borrow().spent(),
+            spent: state.rate_limiter.borrow().granted(),
             counts: state
                 .usage
                 .borrow()
                 .own(window.saturating_sub(REPORTED_WINDOWS)),
-            ended: turn::due(&state.departures(), rows, round),
+            ended: batch::select(&state.departures(), rows, round),
             work: state.roster.borrow().work().to_vec(),
-            failed: turn::due(&state.roster.borrow().failed(), rows, round),
+            failed: batch::select(&state.roster.borrow().failed(), rows, round),
             placed,
-            evidence: state.suspicions.borrow().part(now, rows, round),
+            evidence: state.suspicions.borrow().evidence_batch(now, rows, round),
             era: state.era(),
             reported: state.reported(),
             upgrades: state.upgrades.borrow().told(now),
@@ -114,7 +114,7 @@
 /// Sends a heartbeat to all instances at once, as before a shutdown.
 pub async fn broadcast(state: &Rc<State>, socket: &UdpSocket) {
     let targets = targets(state);
-    for turn in 0..turn::turns(targets.len(), TOGETHER) {
+    for turn in 0..batch::count(targets.len(), MAX_HEARTBEATS_PER_BATCH) {
         if turn > 0 {
             tokio::time::sleep(BROADCAST_DELAY).await;
         }
@@ -124,13 +124,13 @@
 
 /// Sends a heartbeat to the targets of a batch.
 async fn send(state: &State, socket: &UdpSocket, targets: &[SocketAddr], turn: usize) {
-    let round = turn / turn::turns(targets.len(), TOGETHER);
+    let round = turn / batch::count(targets.len(), MAX_HEARTBEATS_PER_BATCH);
     let heartbeat = Heartbeat::build(state, round);
     let Ok(bytes) = rmp_serde::to_vec(&heartbeat) else {
         // Unreachable: all types of the message can be serialized.
         return;
     };
-    for address in turn::due(targets, TOGETHER, turn) {
+    for address in batch::select(targets, MAX_HEARTBEATS_PER_BATCH, turn) {
         if let Err(error) = socket.send_to(&bytes, address).await {
             event::LINK_FAILED.emit(format_args!("peer={address} reason={error:?}"));
         }
@@ -223,13 +223,16 @@
     roster.hear_placed(now, &heartbeat.placed);
     drop(roster);
     for event in restarted {
-        state.apply_event(Some(event), Place::default(), "peer");
+        state.apply_event(Some(event), Position::default(), "peer");
     }
     state
         .suspicions
         .borrow_mut()
         .merge(now, &heartbeat.evidence);
-    state.rate_limiter.borrow_mut().hear(boot, &heartbeat.spent);
+    state
+        .rate_limiter
+        .borrow_mut()
+        .merge_granted(boot, &heartbeat.spent);
     state.usage.borrow_mut().hear(boot, &heartbeat.counts);
     state.merge_work(boot, &heartbeat.work);
     state
@@ -238,6 +241,6 @@
         .hear(now, boot, heartbeat.upgrades);
     for ended in &heartbeat.ended {
         let event = state.roster.borrow_mut().ended(ended);
-        state.apply_event(event, ended.place, "peer");
+        state.apply_event(event, ended.position, "peer");
     }
 }
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::table::{Route, Table};
+use coltsfoothall::forward::config::{Config, Route};
 use coltsfoothall::id;
-use coltsfoothall::suspicion::{Print, Verdict};
+use coltsfoothall::suspicion::{Fingerprint, Verdict};
 use coltsfoothall_shell::event;
 use coltsfoothall_wire::http as body;
 use futures_util::future::LocalBoxFuture;
@@ -175,8 +175,8 @@
     };
     let holder = workspace.as_ref().map_or("", id::Workspace::as_str);
     let asked = head.uri.path_and_query().map_or("", |asked| asked.as_str());
-    let print = Print::of_call(holder, head.method.as_str(), asked, &body);
-    let verdict = state.suspicions.borrow().verdict(state.now(), print);
+    let fingerprint = Fingerprint::of_call(holder, head.method.as_str(), asked, &body);
+    let verdict = state.suspicions.borrow().verdict(state.now(), fingerprint);
     if verdict == Verdict::Poisonous {
         return Err(unavailable(
             "such requests crashed endpoints",
@@ -202,7 +202,7 @@
         body,
         workspace,
         rank,
-        print,
+        fingerprint,
         begun,
         due,
     };
@@ -236,12 +236,12 @@
     Err(Refusal::NotRun(
         StatusCode::TOO_MANY_REQUESTS,
         "over the workspace's rate",
-        short.again,
+        short.retry_after,
     ))
 }
 
 fn find_route<'a>(
-    table: &'a Table,
+    table: &'a Config,
     head: &http::request::Parts,
 ) -> Result<&'a std::sync::Arc<Route>, Refusal> {
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
@@ -254,7 +254,7 @@
 
 /// The workspace and priority of a request.
 fn identify(
-    table: &Table,
+    table: &Config,
     route: &Route,
     call: &Call,
 ) -> Result<(Option<id::Workspace>, u8), Refusal> {
--- a/coltsfoothall-forward/src/orders.rs
+++ b/coltsfoothall-forward/src/orders.rs
@@ -1,8 +1,8 @@
 //! Orders endpoints while this instance acts for all.
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::order::{Book, Live, Load, Order, Settings};
-use coltsfoothall::forward::table::{Scaling, Service};
+use coltsfoothall::forward::config::{Scaling, Service};
+use coltsfoothall::forward::order::{Live, Load, Order, Planner, Settings};
 use coltsfoothall::id;
 use coltsfoothall_shell::event;
 
@@ -17,7 +17,7 @@
 struct Entry {
     service: id::Service,
     scaling: Scaling,
-    planner: Book,
+    planner: Planner,
 }
 
 /// The orders for all services, begun anew by each holder from what it finds.
@@ -61,7 +61,7 @@
                 .await;
             log(service, &order, load, &outcome);
             match outcome {
-                Ok(()) => entry.planner.taken(&order),
+                Ok(()) => entry.planner.accepted(&order),
                 Err(Error::Conflict(_)) => entry.planner.refused(state.now(), &order),
                 // It may have been done; what is missing later is ordered again.
                 Err(_unknown) => {}
@@ -88,7 +88,7 @@
         if let Some(index) = known {
             self.entries.remove(index);
         }
-        let planner = Book::new(now, scaling.clone(), found, Settings::default());
+        let planner = Planner::new(now, scaling.clone(), found, Settings::default());
         self.entries.push(Entry {
             service: service.name.clone(),
             scaling: scaling.clone(),
@@ -130,7 +130,7 @@
     domains
         .map(|domain| {
             let live = Live {
-                steady: count(domain, false),
+                on_demand: count(domain, false),
                 reclaimable: count(domain, true),
             };
             (domain.clone(), live)
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coltsfoothall::forward::history::Place;
+use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::node::Entry;
 use coltsfoothall::forward::peer::Profile;
 use coltsfoothall::forward::reader::{Budget, Candidate, Reading, Source};
@@ -113,8 +113,8 @@
     state: &Rc<State>,
     client: &Client,
     had: Cursor,
-    known: Place,
-) -> Option<(Cursor, Place)> {
+    known: Position,
+) -> Option<(Cursor, Position)> {
     let log_lost = |reason: &str, age: Option<Duration>| {
         let reader = &had.reader;
         event::STORE.emit(format_args!(
@@ -159,7 +159,7 @@
     client: &Client,
     reader: &Profile,
     had: &Cursor,
-    known: Place,
+    known: Position,
 ) -> Option<Page> {
     let by_place = Since::Position(known);
     let after = had.next.map_or(by_place, Since::Sequence);
@@ -202,7 +202,7 @@
                     name,
                     value: Some(value),
                     position,
-                    created: Place::default(),
+                    created: Position::default(),
                 };
                 register(state, &item, PEER);
             }
@@ -294,7 +294,7 @@
 }
 
 /// A reader says that an endpoint is about to leave.
-fn leave(state: &State, name: &str, leaves: Option<Millis>, at: Place) {
+fn leave(state: &State, name: &str, leaves: Option<Millis>, at: Position) {
     let Ok(id) = name.parse::<id::Endpoint>() else {
         event::STORE_FAILED.emit(format_args!("endpoint={name:?} reason=\"not a name\""));
         return;
@@ -309,7 +309,7 @@
 }
 
 /// A registration is gone; after the store was away it may only have lapsed.
-fn remove(state: &Rc<State>, name: &str, at: Place) {
+fn remove(state: &Rc<State>, name: &str, at: Position) {
     let Ok(id) = name.parse::<id::Endpoint>() else {
         event::STORE_FAILED.emit(format_args!("endpoint={name:?} reason=\"not a name\""));
         return;
@@ -326,7 +326,7 @@
 }
 
 /// No endpoint is registered under an id, as of then.
-fn forget(state: &State, id: &id::Endpoint, at: Place, source: &str) {
+fn forget(state: &State, id: &id::Endpoint, at: Position, source: &str) {
     let event = state.roster.borrow_mut().removed(id, at);
     state.apply_event(event, at, source);
 }
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -8,20 +8,20 @@
 use std::time::Duration;
 
 use coltsfoothall::clock::Time;
-use coltsfoothall::forward::allowance::{self, Reach};
 use coltsfoothall::forward::choice;
+use coltsfoothall::forward::config::Route;
 use coltsfoothall::forward::duration;
-use coltsfoothall::forward::history::{Era, Fence, Place};
+use coltsfoothall::forward::history::{Era, Fence, Position};
 use coltsfoothall::forward::leader::Leader;
 use coltsfoothall::forward::order::{self, Meter};
 use coltsfoothall::forward::peer::{self, Peers, Profile};
+use coltsfoothall::forward::rate_limit::{self, Coverage};
 use coltsfoothall::forward::roster::{End, Ended, Event, Roster};
 use coltsfoothall::forward::stop::Stop;
-use coltsfoothall::forward::table::Route;
 use coltsfoothall::forward::upgrade;
 use coltsfoothall::forward::usage;
 use coltsfoothall::id;
-use coltsfoothall::suspicion::{self, Docket, Print};
+use coltsfoothall::suspicion::{self, Fingerprint, Tracker};
 use coltsfoothall_shell::event;
 use coltsfoothall_shell::metric::Board;
 use rand::Rng;
@@ -97,7 +97,7 @@
     /// Connections to endpoints.
     pub pool: RefCell<Pool>,
     /// Rate limits of workspaces.
-    pub rate_limiter: RefCell<allowance::Book>,
+    pub rate_limiter: RefCell<rate_limit::Limiter>,
     /// Response times by route.
     pub durations: RefCell<duration::Table>,
     /// Services that are being upgraded to another version.
@@ -126,7 +126,7 @@
     /// Counts of calls to the store.
     pub calls: Calls,
     /// Evidence about requests that crash endpoints.
-    pub suspicions: RefCell<Docket>,
+    pub suspicions: RefCell<Tracker>,
     next_attempt: Cell<u64>,
     /// Number of open requests.
     pub open: Cell<usize>,
@@ -179,7 +179,7 @@
             era_changed: Notify::new(),
             reported: Cell::default(),
             calls: Calls::default(),
-            suspicions: RefCell::new(Docket::new(suspicion::Settings::default())),
+            suspicions: RefCell::new(Tracker::new(suspicion::Settings::default())),
             next_attempt: Cell::new(boot),
             open: Cell::new(0),
             board,
@@ -267,8 +267,8 @@
 
     /// The members that share the rate limits.
     #[must_use]
-    pub fn reach(&self) -> Reach {
-        self.peers.borrow().reach(self.now())
+    pub fn reach(&self) -> Coverage {
+        self.peers.borrow().coverage(self.now())
     }
 
     /// Time since the Unix epoch, by the majority of the instances' clocks.
@@ -292,21 +292,21 @@
     /// fingerprint if its endpoint turns out to be gone; a complete response clears them. Endpoints
     /// that leave unannounced still finish their requests, so a run that was not interrupted is no
     /// evidence.
-    pub fn record_evidence(&self, endpoint: &id::Endpoint, print: Print, end: End) {
+    pub fn record_evidence(&self, endpoint: &id::Endpoint, fingerprint: Fingerprint, end: End) {
         let now = self.now();
         let mut suspicions = self.suspicions.borrow_mut();
         let attempt = self.next_attempt.get();
         match end {
             End::Whole if suspicions.is_empty() => {}
             End::Whole => {
-                suspicions.started(now, attempt, endpoint.clone(), print, false);
-                suspicions.ended(now, attempt, true);
+                suspicions.record_start(now, attempt, endpoint.clone(), fingerprint, false);
+                suspicions.record_end(now, attempt, true);
             }
             End::Failed => {
                 // Attempt numbers are unique in the fleet, as each process counts from a random
                 // number.
                 self.next_attempt.set(attempt.wrapping_add(1));
-                suspicions.started(now, attempt, endpoint.clone(), print, false);
+                suspicions.record_start(now, attempt, endpoint.clone(), fingerprint, false);
             }
             End::Refused | End::Unreachable | End::Abandoned => {}
         }
@@ -319,7 +319,7 @@
         let mut suspicions = self.suspicions.borrow_mut();
         suspicions.abandon(now - EVIDENCE_RETENTION);
         suspicions.expire(now);
-        let marks = suspicions.died(now, id, announced);
+        let marks = suspicions.record_death(now, id, announced);
         if !marks.is_empty() {
             event::ENDPOINT_DIED.emit(format_args!(
                 "endpoint={id} announced={announced} suspects={}",
@@ -357,7 +357,7 @@
                     index
                 }
             };
-            meters[index].1.hear(now, boot, *micros);
+            meters[index].1.merge_work(now, boot, *micros);
         }
     }
 
@@ -380,7 +380,7 @@
     }
 
     /// Handles a change in the set of endpoints.
-    pub fn apply_event(&self, event: Option<Event>, place: Place, source: &str) {
+    pub fn apply_event(&self, event: Option<Event>, place: Position, source: &str) {
         match event {
             None => {}
             Some(Event::Added(id)) => {
@@ -426,9 +426,12 @@
             .any(|departure| departure.ended.id == *id)
     }
 
-    fn record_departure(&self, id: id::Endpoint, place: Place) {
+    fn record_departure(&self, id: id::Endpoint, place: Position) {
         let at = self.now();
-        let ended = Ended { id, place };
+        let ended = Ended {
+            id,
+            position: place,
+        };
         self.departures.borrow_mut().push(Departure { ended, at });
     }
 
--- a/coltsfoothall/src/forward/mod.rs
+++ b/coltsfoothall/src/forward/mod.rs
@@ -4,23 +4,23 @@
 //! the connection that brought it. Instances agree through an external store and
 //! tell each other what ages too fast for it.
 
-pub mod allowance;
 pub mod choice;
+pub mod config;
 pub mod duration;
+pub mod egress;
 pub mod gossip;
 pub mod history;
 pub mod lag;
+pub mod latency;
 pub mod leader;
 pub mod node;
 pub mod order;
-pub mod outflow;
-pub mod pace;
 pub mod peer;
+pub mod poll;
+pub mod rate_limit;
 pub mod reader;
-pub mod rest;
 pub mod roster;
 pub mod stop;
-pub mod table;
 pub mod upgrade;
 pub mod usage;
 pub mod verdict;
--- a/coltsfoothall/src/forward/allowance.rs
+++ b/coltsfoothall/src/forward/rate_limit.rs
@@ -6,7 +6,7 @@
 //! of rate and burst, which that member may be granting on its own.
 
 use crate::clock::Time;
-use crate::forward::table::{Unit, Workspace};
+use crate::forward::config::{Unit, Workspace};
 use crate::id;
 use crate::size::Tokens;
 
@@ -24,14 +24,14 @@
 
 /// Members that share the rates, and those of them that are heard, this one included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reach {
+pub struct Coverage {
     /// Members that may grant.
     pub members: u32,
     /// Members whose grants are known.
     pub heard: u32,
 }
 
-impl Reach {
+impl Coverage {
     /// The part of a rate that this instance may treat as known to it.
     fn part(self) -> f64 {
         f64::from(self.heard.max(1)) / f64::from(self.members.max(self.heard).max(1))
@@ -40,7 +40,7 @@
 
 /// Units that an instance has granted to a workspace since its boot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spent {
+pub struct Granted {
     /// The workspace.
     pub workspace: id::Workspace,
     /// Units in all.
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Shortage {
     /// When its units will be there.
-    pub again: Duration,
+    pub retry_after: Duration,
     /// Units that it takes.
     pub units: u64,
     /// Units that were left.
@@ -83,7 +83,7 @@
 }
 
 impl Account {
-    fn advance(&mut self, now: Time, reach: Reach) {
+    fn advance(&mut self, now: Time, reach: Coverage) {
         let part = reach.part();
         let passed = now.since(self.at).as_secs_f64();
         self.level = (self.level + passed * self.rate * part).min(self.burst * part);
@@ -94,7 +94,7 @@
     /// Units that must be there before a request is granted. Small ones leave in the bucket
     /// what a large one needs, so that both are refused as often; else the small ones, which
     /// fit first, keep the bucket too low for the large ones for as long as they come.
-    fn needed(&mut self, units: u64, reach: Reach) -> f64 {
+    fn needed(&mut self, units: u64, reach: Coverage) -> f64 {
         let burst = self.burst * reach.part();
         self.largest = self.largest.max(units as f64);
         let kept = self.largest.min(burst * KEPT);
@@ -105,12 +105,12 @@
 
 /// What the workspaces may still be granted.
 #[derive(Debug, Clone, Default)]
-pub struct Book {
+pub struct Limiter {
     /// Sorted by workspace.
     accounts: Vec<Account>,
 }
 
-impl Book {
+impl Limiter {
     /// Takes over the limits of a configuration; what was granted before still counts.
     pub fn configure(&mut self, now: Time, workspaces: &[Workspace]) {
         let old = std::mem::take(&mut self.accounts);
@@ -144,7 +144,7 @@
         now: Time,
         workspace: &id::Workspace,
         tokens: Option<Tokens>,
-        reach: Reach,
+        reach: Coverage,
     ) -> Result<(), Shortage> {
         let Some(account) = self.account(workspace) else {
             return Ok(());
@@ -158,7 +158,7 @@
         if account.rate > 0.0 && account.level < needed {
             let wait = (needed - account.level) / (account.rate * reach.part());
             return Err(Shortage {
-                again: Duration::from_secs_f64(wait.min(LONGEST.as_secs_f64())),
+                retry_after: Duration::from_secs_f64(wait.min(LONGEST.as_secs_f64())),
                 units,
                 level: account.level,
                 rate: account.rate,
@@ -170,7 +170,7 @@
     }
 
     /// Charges what another instance says it has granted since its boot.
-    pub fn hear(&mut self, boot: u64, spent: &[Spent]) {
+    pub fn merge_granted(&mut self, boot: u64, spent: &[Granted]) {
         for said in spent {
             let Some(account) = self.account(&said.workspace) else {
                 continue;
@@ -196,10 +196,10 @@
 
     /// What this instance has granted since its boot.
     #[must_use]
-    pub fn spent(&self) -> Vec<Spent> {
+    pub fn granted(&self) -> Vec<Granted> {
         let limited = self.accounts.iter().filter(|account| account.rate > 0.0);
         limited
-            .map(|account| Spent {
+            .map(|account| Granted {
                 workspace: account.workspace.clone(),
                 units: account.spent,
             })
--- a/coltsfoothall/src/request.rs
+++ b/coltsfoothall/src/request.rs
@@ -217,21 +217,25 @@
     fn step_backup(&mut self, input: &Input, out: &mut Vec<Action>) -> Option<Result<(), Broken>> {
         let sealed = self.phase == Phase::Sealed;
         match input {
-            Input::Acked { .. } | Input::Alone | Input::Backed | Input::Doubted | Input::Sealed
+            Input::Acked { .. }
+            | Input::Unreplicated
+            | Input::Replicated
+            | Input::Retracted
+            | Input::Sealed
                 if sealed =>
             {
                 Some(Ok(()))
             }
-            Input::Doubted => {
+            Input::Retracted => {
                 if let Some(End::NotRun(cause)) = self.record.end {
                     self.record.end = Some(End::Unknown(cause));
                 }
                 Some(Ok(()))
             }
             Input::Acked { seq } => Some(self.acked(*seq)),
-            Input::Alone => Some(self.alone(out)),
-            Input::Backed => {
-                self.log.set_alone(false);
+            Input::Unreplicated => Some(self.unreplicated(out)),
+            Input::Replicated => {
+                self.log.set_unreplicated(false);
                 Some(Ok(()))
             }
             Input::Sealed => {
@@ -308,7 +312,7 @@
             self.phase = Phase::Ending(0);
             return Ok(());
         }
-        if self.record.whole() {
+        if self.record.is_complete() {
             return self.finish(End::Done, out);
         }
         if self.record.begun() && !self.record.intake.idempotent {
@@ -325,12 +329,12 @@
         Err(Broken::Unrecorded(name, seq, self.log.recorded()))
     }
 
-    fn alone(&mut self, out: &mut Vec<Action>) -> Result<(), Broken> {
+    fn unreplicated(&mut self, out: &mut Vec<Action>) -> Result<(), Broken> {
         let unsafe_now = !self.record.intake.idempotent && self.running.is_none();
         if unsafe_now && self.phase == Phase::Open {
             self.give_up(Cause::NotSafe, out)?;
         }
-        self.log.set_alone(true);
+        self.log.set_unreplicated(true);
         Ok(())
     }
 
--- a/coltsfoothall/tests/fleet.rs
+++ b/coltsfoothall/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Cheapest sets against brute force and against plain rules.
 
 use coltsfoothall::catalog::Placement;
-use coltsfoothall::fleet::{Cell, Demand, Lend, Loss, Offer, Plan, Speed, plan};
+use coltsfoothall::fleet::{Capacity, Demand, Kind, Lend, Loss, Offer, Plan, plan};
 use coltsfoothall::size::Price;
 use proptest::prelude::*;
 
@@ -9,7 +9,7 @@
     let domain = format!("domain-{domain:02}").parse().expect("a name");
     let class = format!("class-{class}").parse().expect("a name");
     Offer {
-        cell: Cell {
+        kind: Kind {
             domain,
             class,
             lend,
@@ -18,12 +18,12 @@
     }
 }
 
-fn speeds(loads: &[u64]) -> Vec<Speed> {
-    let speed = |(n, load): (usize, &u64)| Speed {
+fn capacities(loads: &[u64]) -> Vec<Capacity> {
+    let capacity = |(n, load): (usize, &u64)| Capacity {
         class: format!("class-{n}").parse().expect("a name"),
         load: *load,
     };
-    loads.iter().enumerate().map(speed).collect()
+    loads.iter().enumerate().map(capacity).collect()
 }
 
 fn anywhere() -> Placement {
@@ -39,17 +39,17 @@
 /// Load that is left after the worst domain, for counts in the order of the offers.
 fn carried(demand: &Demand, offers: &[Offer], counts: &[u32]) -> u64 {
     let load = |(offer, count): (&Offer, &u32)| {
-        let speed = demand
-            .speeds
+        let capacity = demand
+            .capacities
             .iter()
-            .find(|s| s.class == offer.cell.class)
+            .find(|s| s.class == offer.kind.class)
             .expect("the test sets it up");
-        speed.load * u64::from(*count)
+        capacity.load * u64::from(*count)
     };
     let rows = || offers.iter().zip(counts);
-    let lost = |o: &Offer| demand.loss == Loss::All || o.cell.lend == Lend::Reclaimable;
+    let lost = |o: &Offer| demand.loss == Loss::All || o.kind.lend == Lend::Reclaimable;
     let domain = |d: &Offer| {
-        let there = rows().filter(|(o, _)| o.cell.domain == d.cell.domain && lost(o));
+        let there = rows().filter(|(o, _)| o.kind.domain == d.kind.domain && lost(o));
         there.map(load).sum::<u64>()
     };
     rows().map(load).sum::<u64>() - offers.iter().map(domain).max().unwrap_or(0)
@@ -71,7 +71,7 @@
         let count: u32 = counts.iter().sum();
         let rows = || offers.iter().zip(&counts);
         let lasting = rows()
-            .filter(|(o, _)| o.cell.lend == Lend::OnDemand)
+            .filter(|(o, _)| o.kind.lend == Lend::OnDemand)
             .map(|(_, n)| n);
         let met = count >= demand.min
             && (demand.max == 0 || count <= demand.max)
@@ -90,12 +90,20 @@
 }
 
 fn check(found: &Plan, demand: &Demand) {
-    let offers: Vec<Offer> = found.holds.iter().map(|hold| hold.offer.clone()).collect();
-    let counts: Vec<u32> = found.holds.iter().map(|hold| hold.count).collect();
+    let offers: Vec<Offer> = found
+        .allocations
+        .iter()
+        .map(|allocation| allocation.offer.clone())
+        .collect();
+    let counts: Vec<u32> = found
+        .allocations
+        .iter()
+        .map(|allocation| allocation.count)
+        .collect();
     assert_eq!(found.cost.0, cost(&offers, &counts));
     assert_eq!(found.count, counts.iter().sum::<u32>());
     let left = carried(demand, &offers, &counts);
-    assert_eq!(found.short, demand.load.saturating_sub(left));
+    assert_eq!(found.shortfall, demand.load.saturating_sub(left));
 }
 
 proptest! {
@@ -118,14 +126,14 @@
         };
         let offers: Vec<Offer> = prices.iter().enumerate().map(place).collect();
         let loss = if all { Loss::All } else { Loss::Reclaimable };
-        let demand = Demand { load, speeds: speeds(&loads), loss, min, max, };
+        let demand = Demand { load, capacities: capacities(&loads), loss, min, max, };
         let placement = Placement { on_demand, ..anywhere() };
         let found = plan(&demand, &offers, &placement);
         check(&found, &demand);
         let best = brute(&demand, &offers, &placement, 4);
         prop_assert!(found.exact || best.is_none());
         let allowed = max == 0 || max >= min.max(on_demand);
-        prop_assert!(found.short == 0 || (max > 0 && best.is_none()), "{:?}", found);
+        prop_assert!(found.shortfall == 0 || (max > 0 && best.is_none()), "{:?}", found);
         prop_assert!(allowed || best.is_none());
         prop_assert!(best.is_none_or(|best| found.cost.0 <= best), "{:?} {:?}", best, found);
         prop_assert!(found.count > 4 || best.is_none() || best == Some(found.cost.0));
@@ -148,8 +156,8 @@
 
 /// As many of the cheapest class everywhere as carry the load with one domain fewer.
 fn spread(demand: &Demand, offers: &[Offer], domains: u64) -> u64 {
-    let per = |class: &Speed| {
-        let there = |o: &&Offer| o.cell.class == class.class && o.cell.lend == Lend::Reclaimable;
+    let per = |class: &Capacity| {
+        let there = |o: &&Offer| o.kind.class == class.class && o.kind.lend == Lend::Reclaimable;
         let each = demand.load.div_ceil(class.load).div_ceil(domains - 1);
         offers
             .iter()
@@ -158,7 +166,7 @@
             .sum::<u64>()
     };
     demand
-        .speeds
+        .capacities
         .iter()
         .map(per)
         .min()
@@ -167,14 +175,14 @@
 
 /// The load on demand at the lowest price, with nothing to spare.
 fn lasting(demand: &Demand, offers: &[Offer]) -> u64 {
-    let lasting = offers.iter().filter(|o| o.cell.lend == Lend::OnDemand);
+    let lasting = offers.iter().filter(|o| o.kind.lend == Lend::OnDemand);
     let all = |o: &Offer| {
-        let speed = demand
-            .speeds
+        let capacity = demand
+            .capacities
             .iter()
-            .find(|s| s.class == o.cell.class)
+            .find(|s| s.class == o.kind.class)
             .expect("the test sets it up");
-        demand.load.div_ceil(speed.load) * o.price.0
+        demand.load.div_ceil(capacity.load) * o.price.0
     };
     lasting.map(all).min().expect("the test sets it up")
 }
@@ -182,26 +190,26 @@
 /// No set costs less: instances may be bought in part, the loss of a domain being at most `lost`.
 fn relaxed(demand: &Demand, offers: &[Offer], domains: usize, lost: u64) -> f64 {
     let load = |o: &Offer| {
-        let speed = demand
-            .speeds
+        let capacity = demand
+            .capacities
             .iter()
-            .find(|s| s.class == o.cell.class)
+            .find(|s| s.class == o.kind.class)
             .expect("the test sets it up");
-        speed.load as f64
+        capacity.load as f64
     };
     let mut rows: Vec<&Offer> = offers.iter().collect();
     rows.sort_by(|a, b| (a.price.0 as f64 / load(a)).total_cmp(&(b.price.0 as f64 / load(b))));
     let mut room = vec![lost as f64; domains];
     let (mut missing, mut cost) = ((demand.load + lost) as f64, 0.0);
     for row in rows {
-        let domain: usize = row.cell.domain.as_str()["domain-".len()..]
+        let domain: usize = row.kind.domain.as_str()["domain-".len()..]
             .parse()
             .expect("a name");
-        let bought = match row.cell.lend {
+        let bought = match row.kind.lend {
             Lend::Reclaimable => missing.min(room[domain]),
             Lend::OnDemand => missing,
         };
-        if row.cell.lend == Lend::Reclaimable {
+        if row.kind.lend == Lend::Reclaimable {
             room[domain] -= bought;
         }
         missing -= bought;
@@ -214,7 +222,7 @@
     let offers = market(domains, prices);
     let demand = Demand {
         load,
-        speeds: speeds(loads),
+        capacities: capacities(loads),
         ..Demand::default()
     };
     let found = plan(&demand, &offers, &anywhere());
@@ -229,7 +237,7 @@
         "{name}: {} instances cost {}; spread evenly with a domain to spare {spread}; on demand {lasting}; none below {bound:.0}; proved {}",
         found.count, found.cost, found.exact
     );
-    assert_eq!(found.short, 0);
+    assert_eq!(found.shortfall, 0);
     assert!(found.cost.0 <= spread && found.cost.0 < lasting);
     found
 }
@@ -266,18 +274,18 @@
     let offers = market(1, &[100]);
     let demand = Demand {
         load: 3,
-        speeds: speeds(&[1]),
+        capacities: capacities(&[1]),
         loss: Loss::All,
         ..Demand::default()
     };
     let found = plan(&demand, &offers, &anywhere());
-    assert_eq!((found.count, found.short), (3, 3));
+    assert_eq!((found.count, found.shortfall), (3, 3));
     let demand = Demand {
         loss: Loss::Reclaimable,
         ..demand
     };
     assert_eq!(
-        plan(&demand, &offers, &anywhere()).short,
+        plan(&demand, &offers, &anywhere()).shortfall,
         0,
         "on demand survives a reclaim"
     );
@@ -297,22 +305,22 @@
     };
     let demand = Demand {
         load: 6,
-        speeds: speeds(&[1, 2]),
+        capacities: capacities(&[1, 2]),
         ..Demand::default()
     };
     let found = plan(&demand, &offers, &placement);
     let lasting = found
-        .holds
+        .allocations
         .iter()
-        .filter(|h| h.offer.cell.lend == Lend::OnDemand);
-    assert!(lasting.map(|hold| hold.count).sum::<u32>() >= 2);
-    for hold in &found.holds {
-        assert!(placement.domains.contains(&hold.offer.cell.domain));
-        assert!(placement.classes.contains(&hold.offer.cell.class));
+        .filter(|h| h.offer.kind.lend == Lend::OnDemand);
+    assert!(lasting.map(|allocation| allocation.count).sum::<u32>() >= 2);
+    for allocation in &found.allocations {
+        assert!(placement.domains.contains(&allocation.offer.kind.domain));
+        assert!(placement.classes.contains(&allocation.offer.kind.class));
     }
     let demand = Demand { max: 2, ..demand };
     assert!(
-        plan(&demand, &offers, &placement).short > 0,
+        plan(&demand, &offers, &placement).shortfall > 0,
         "two can't carry it"
     );
 }
--- a/coltsfoothall/tests/world/mod.rs
+++ b/coltsfoothall/tests/world/mod.rs
@@ -268,7 +268,7 @@
         };
         let base = self.nodes[at].table.version;
         let entry = table.entry(slot).unwrap().clone();
-        let known = self.nodes[at].ledger.noted(slot);
+        let known = self.nodes[at].ledger.has_proposal(slot);
         if self.nodes[at].ledger.propose(slot, base, entry).is_err() {
             return false;
         }
@@ -473,7 +473,7 @@
         let ledger = &self.nodes[at].ledger;
         let open = ledger
             .record(slot, name)
-            .is_some_and(|r| r.end.is_none() && !r.whole());
+            .is_some_and(|r| r.end.is_none() && !r.is_complete());
         if open {
             let answer = Answer {
                 status: 200,
@@ -572,7 +572,7 @@
     }
 
     fn intake(&mut self, at: usize) -> Intake {
-        let owned: Vec<_> = self.nodes[at].ledger.owned().collect();
+        let owned: Vec<_> = self.nodes[at].ledger.served_slots().collect();
         let unique = self.rng.random();
         let key = match owned.choose(&mut self.rng) {
             Some((slot, epoch)) if unique % 2 == 0 => Key::mint(*slot, *epoch, unique),
@@ -654,14 +654,14 @@
     /// The owner carries its open requests on.
     fn work(&mut self, at: usize) {
         let ledger = &self.nodes[at].ledger;
-        let owned: Vec<_> = ledger.owned().map(|(slot, _)| slot).collect();
+        let owned: Vec<_> = ledger.served_slots().map(|(slot, _)| slot).collect();
         for slot in owned {
             let ledger = &self.nodes[at].ledger;
             let open: Vec<_> = ledger.open(slot).cloned().collect();
             for record in open {
                 let name = record.intake.name.clone();
                 let mine = self.nodes[at].pending.iter().position(|p| p.name == name);
-                if record.whole() {
+                if record.is_complete() {
                     self.end(at, slot, &name, End::Done);
                 } else if let Some(place) = mine {
                     if self.chance(0.01) {
@@ -709,7 +709,7 @@
             return self.read(at);
         };
         let me = node.name.clone();
-        let owner = node.ledger.owned().any(|(owned, _)| owned == slot);
+        let owner = node.ledger.served_slots().any(|(owned, _)| owned == slot);
         if entry.primary == me {
             self.lead(at, slot, &entry, owner);
         } else if entry.backup.as_ref() == Some(&me) && self.passes(at, slot) {
@@ -744,7 +744,7 @@
         let other = self.rng.random_range(0..self.nodes.len());
         let backup = entry.backup.as_ref().map(|name| self.at(name));
         if self.alone && backup.is_some() && self.chance(0.02) {
-            self.nodes[at].ledger.go_alone(slot);
+            self.nodes[at].ledger.run_unreplicated(slot);
         }
         if let Some(backup) = backup {
             self.resend(at, backup, slot);
