--- a/coltsfoothall-forward/src/changelog.rs
+++ b/coltsfoothall-forward/src/changelog.rs
@@ -1,4 +1,4 @@
-//! Registrations as they were read, for instances that hear of them from this one.
+//! Log of changes to registrations, for the instances that read them from this one.
 
 use bytes::Bytes;
 use coltsfoothall::forward::history::Position;
@@ -8,47 +8,47 @@
 
 use crate::adapter::Item;
 
-/// Most removed registrations remembered; one that is forgotten was removed long ago.
+/// Maximum number of removed registrations in the log; the oldest are evicted.
 const MAX_REMOVED: usize = 4096;
 
-/// What became of a registration.
+/// A change to a registration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// It says this, and that its endpoint takes work.
+    /// The endpoint accepts requests; the value of its registration.
     Registered(Bytes),
-    /// Its endpoint is about to leave. When a domain is reclaimed all of its endpoints leave at
-    /// once, and what else they say would take narrow links seconds.
+    /// The endpoint is about to leave. When a failure domain is reclaimed, all of its endpoints
+    /// leave at once, and sending their complete registrations would take seconds on narrow links.
     Leaving {
-        /// Time left until it is taken away, as of the registration, if it said so.
+        /// Time until the machine is reclaimed, as of the registration, if it says so.
         leaves: Option<Millis>,
     },
-    /// It was removed.
+    /// The registration was removed.
     Removed,
 }
 
-/// A registration as one instance tells another.
+/// The last change to a registration, as sent to other instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Name of the endpoint.
+    /// The name of the endpoint.
     pub name: String,
-    /// What became of it.
+    /// The change.
     pub change: Change,
-    /// When that was written.
+    /// Position at which the change was written.
     #[serde(rename = "place")]
     pub position: Position,
 }
 
-/// What changed after a number.
+/// The changes after a sequence number or position.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Page {
-    /// The process that counts so.
+    /// The run of the process that assigned the sequence numbers.
     pub boot: u64,
-    /// The number to go on from.
+    /// The sequence number from which to resume.
     pub next: u64,
-    /// The last change at the store that the reader knows of.
+    /// The last change at the store that the reader knows.
     #[serde(rename = "place")]
     pub position: Position,
-    /// Age in milliseconds of what the reader knows; none if the store does not answer it.
+    /// Age of the reader's data in milliseconds; none if the store does not answer it.
     pub age_ms: Option<u64>,
     /// The changes.
     pub rows: Vec<Row>,
@@ -57,25 +57,25 @@
 #[derive(Debug)]
 struct Record {
     row: Row,
-    /// What it says, if it takes work.
+    /// The parsed registration, if the endpoint accepts requests.
     entry: Option<Entry>,
-    /// Number of its last change of any account.
+    /// Sequence number of its last relevant change.
     sequence: u64,
-    /// When that was written, or earlier.
+    /// Position of that change.
     changed: Position,
 }
 
-/// From where an instance goes on.
+/// Where an instance resumes reading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Since {
-    /// From a number that this process told.
+    /// After a sequence number of this process.
     Sequence(u64),
-    /// From a place in the store's history up to which it has read itself.
+    /// After a position in the history of the store, up to which the instance has read by itself.
     Position(Position),
 }
 
-/// All registrations, with changes numbered. An endpoint that writes again what stood there
-/// has not changed.
+/// All registrations, with numbered changes. A heartbeat that rewrites an unchanged registration is
+/// not a change.
 #[derive(Debug, Default)]
 pub struct Changelog {
     /// Sorted by name.
@@ -85,7 +85,7 @@
 }
 
 impl Changelog {
-    /// A registration was read.
+    /// Records a registration.
     pub fn put(&mut self, item: &Item, entry: &Entry) {
         if entry.leaving {
             self.record_leaving(&item.name, entry.leaves.map(Millis::from), item.position);
@@ -108,8 +108,8 @@
         }
     }
 
-    /// An endpoint is about to leave, as of then; that it still is when it writes again is no
-    /// change.
+    /// Records that an endpoint is about to leave. Later heartbeats of a leaving endpoint are not
+    /// changes.
     pub fn record_leaving(&mut self, name: &str, leaves: Option<Millis>, at: Position) {
         let row = Row {
             name: name.to_owned(),
@@ -125,7 +125,7 @@
         }
     }
 
-    /// A registration is gone, as of then.
+    /// Records that a registration is gone.
     pub fn remove(&mut self, name: &str, at: Position) {
         let row = Row {
             name: name.to_owned(),
@@ -140,19 +140,19 @@
         self.evict_removed();
     }
 
-    /// All changes at the store up to there are in here.
+    /// Records that all changes up to a position are in the log.
     pub fn advance_to(&mut self, position: Position) {
         self.position = self.position.max(position);
     }
 
-    /// The last change at the store that is in here.
+    /// The position up to which all changes are in the log.
     #[must_use]
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// What changed since then, and the number to go on from. After the number 0 it is all that
-    /// is there.
+    /// The changes since then, and the sequence number from which to resume. After sequence number
+    /// 0, these are all current registrations.
     #[must_use]
     pub fn since(&self, after: Since) -> (u64, Vec<Row>) {
         let is_newer = |record: &&Record| match after {
--- a/coltsfoothall-forward/src/connection.rs
+++ b/coltsfoothall-forward/src/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection, as its limits and its requests see it.
+//! The state of a caller's connection, shared by its limits and its requests.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,13 +11,13 @@
 pub(crate) enum Phase {
     /// Between two requests.
     Idle,
-    /// Within the head of a request.
+    /// The head of a request is being received.
     Head,
     /// A request is being answered.
     Busy,
 }
 
-/// A connection as its requests see it.
+/// State of a caller's connection.
 #[derive(Debug)]
 pub struct Connection {
     pub(crate) phase: Cell<Phase>,
@@ -28,7 +28,7 @@
 }
 
 impl Connection {
-    /// One that was accepted now.
+    /// A connection that has just been accepted.
     pub(crate) fn new() -> Self {
         let now = Instant::now();
         Self {
@@ -40,25 +40,25 @@
         }
     }
 
-    /// Time since it was accepted.
+    /// Time since the connection was accepted.
     #[must_use]
     pub fn age(&self) -> Duration {
         self.accepted.elapsed()
     }
 
-    /// Requests that it carried, the one under way included.
+    /// Number of requests that it carried, including the current one.
     #[must_use]
     pub fn requests(&self) -> u32 {
         self.requests.get()
     }
 
-    /// Whether the head of the request under way names its length in two ways.
+    /// Whether the head of the current request names its length in more than one way.
     #[must_use]
     pub fn is_ambiguous(&self) -> bool {
         self.ambiguous.get()
     }
 
-    /// Another phase begins now.
+    /// Starts a phase.
     pub(crate) fn enter(&self, phase: Phase) {
         self.phase.set(phase);
         self.since.set(Instant::now());
--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one endpoint after another until one has run it.
+//! Sends a request to one endpoint after another until one runs it.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -15,38 +15,39 @@
 use crate::refusal::{Refusal, bad_gateway, unavailable};
 use crate::state::State;
 
-/// Most sendings of one request, turned away ones included.
+/// Maximum number of times that a request is sent, including those that endpoints reject.
 const MAX_SENDS: usize = 5;
-/// One request in so many has a log line of its own for its first endpoint: at 120 requests
-/// a second that is two lines.
+/// One request in this many logs the choice of its first endpoint: two lines a second at 120
+/// requests a second.
 const REQUESTS_PER_CHOICE_LOG: u64 = 64;
-/// When to come back if there is no room: about one batch of short answers.
+/// `Retry-After` when all endpoints are full: about the time of one batch of short answers.
 const FULL_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// When to come back if no endpoint is there.
+/// `Retry-After` when there is no endpoint.
 const NO_ENDPOINT_RETRY_DELAY: Duration = Duration::from_millis(600);
-/// Times the route's aim, or the expected wait, after which an endpoint counts as silent:
-/// a lost answer then still comes within the time of most callers.
+/// Multiple of the route's target latency, or of the expected wait, after which an endpoint counts
+/// as silent. A retry then still completes within the timeout of most callers.
 const SILENCE_FACTOR: u32 = 2;
-/// Times the route's aim that a first event may be expected to take.
+/// Multiple of the route's target latency that the first event may be expected to take.
 const MAX_FIRST_EVENT_FACTOR: f64 = 1.5;
-/// When to come back with a request that fits in no engine: only other engines would help.
+/// `Retry-After` for a request that exceeds the memory of every engine: only larger engines would
+/// help.
 const TOO_LARGE_RETRY_DELAY: Duration = Duration::from_secs(30);
-/// Patience with an endpoint where no other could answer.
+/// Response timeout of an endpoint when no other may run the request.
 const LAST_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What is known of a request's sendings so far.
+/// Attempts of a request so far.
 #[derive(Debug, Default)]
 pub struct Trail {
-    /// Endpoints that failed it or turned it away.
+    /// Endpoints that failed or rejected it.
     pub exclude: Vec<id::Endpoint>,
-    /// Sendings.
+    /// Number of times that it was sent.
     pub sends: usize,
-    /// Sendings that may have run.
+    /// Number of times that it was sent and may have run.
     pub runs: u32,
 }
 
-/// How long to wait for the head of an answer that another endpoint could give too. One
-/// that may run only once, or has no attempt left, waits until it is due.
+/// How long to wait for the headers of a response before another endpoint may take over. A request
+/// that may run only once, or has no attempt left, waits until its deadline.
 fn response_timeout(job: &Job, trail: &Trail, pick: &Pick) -> Duration {
     let last = trail.runs + 1 >= job.route.attempts;
     if last || !job.route.kind.repeats() {
@@ -55,25 +56,25 @@
     job.route.aim.duration().max(pick.wait) * SILENCE_FACTOR
 }
 
-/// Whether an engine is so far behind that the first event would be worth little.
+/// Whether the first event is expected too late to be of use.
 fn is_late(job: &Job, pick: &Pick) -> bool {
     job.memory.is_some() && pick.wait > job.route.aim.duration().mul_f64(MAX_FIRST_EVENT_FACTOR)
 }
 
-/// Whether a request that may have run can go to one more endpoint.
+/// Whether a request that may have run can be retried at another endpoint.
 pub fn may_repeat(state: &State, job: &Job, trail: &Trail) -> bool {
     job.route.kind.repeats() && trail.runs < job.route.attempts && state.may_retry(&job.service)
 }
 
-/// Whether to give up an endpoint that is silent and may still answer: only if another one has
-/// room for the request now, and a retry is left, which is taken.
+/// Whether another endpoint takes over from a silent one that may still answer: only if one has
+/// room for the request now and a retry is left, which is then used up.
 pub fn take_over(state: &State, job: &Job, trail: &Trail, silent: &id::Endpoint) -> bool {
     let mut exclude = trail.exclude.clone();
     exclude.push(silent.clone());
     choose(state, job, &exclude).is_ok() && may_repeat(state, job, trail)
 }
 
-/// Chooses an endpoint of the versions that may run the request now, the preferred ones first.
+/// Chooses an endpoint among the versions that may run the request now, in order of preference.
 fn choose(state: &State, job: &Job, exclude: &[id::Endpoint]) -> Result<Pick, Unavailable> {
     let versions = {
         let upgrades = state.upgrades.borrow();
@@ -90,7 +91,7 @@
     found
 }
 
-/// Sends a request to one endpoint; none if that is silent and another one takes over.
+/// Sends a request to one endpoint; none if it stays silent and another one takes over.
 async fn send(
     state: &Rc<State>,
     job: &Job,
@@ -105,7 +106,7 @@
         if let Ok(outcome) = tokio::time::timeout(response_timeout, sending.as_mut()).await {
             return Some(outcome);
         }
-        // It may run there.
+        // The request may be running there.
         trail.runs += 1;
         if take_over(state, job, trail, &pick.endpoint) {
             return None;
@@ -114,8 +115,8 @@
     }
 }
 
-/// Logs where a request goes: each second sending, and the first of one request in
-/// [`REQUESTS_PER_CHOICE_LOG`], the same ones at all instances.
+/// Logs the chosen endpoint: for every retry, and for the first send of one request in
+/// [`REQUESTS_PER_CHOICE_LOG`], sampled by request id so that all instances log the same requests.
 fn log_choice(state: &State, job: &Job, trail: &Trail, pick: &Pick) {
     if trail.sends == 1 && !xxh3_64(job.id().as_bytes()).is_multiple_of(REQUESTS_PER_CHOICE_LOG) {
         return;
@@ -134,11 +135,11 @@
     ));
 }
 
-/// The head of an answer of an endpoint that ran the request; a stream goes on behind the
-/// event `after`, if there is one.
+/// Sends a request until an endpoint runs it, and returns the headers of its response. A stream
+/// resumes after the event `after`, if given.
 ///
 /// # Errors
-/// No endpoint took it, or the last one broke it off.
+/// No endpoint accepted the request, or the last one interrupted it.
 pub async fn next(
     state: &Rc<State>,
     job: &Job,
@@ -147,7 +148,8 @@
 ) -> Result<Sent, Refusal> {
     loop {
         let pick = match choose(state, job, &trail.exclude) {
-            // An answer that comes late anyway makes others late too; this one has not run.
+            // A response that would be late anyway would delay others as well; this request has not
+            // run yet.
             Ok(pick) if trail.sends == 0 && is_late(job, &pick) => {
                 let retry_after = pick.wait.saturating_sub(job.route.aim.duration() / 2);
                 return Err(unavailable(
--- a/coltsfoothall-forward/src/fetch.rs
+++ b/coltsfoothall-forward/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Questions to other instances, at their control addresses.
+//! Requests to the control addresses of other instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 
 use crate::state::State;
 
-/// Time in which another instance must begin to answer.
+/// Time in which another instance must begin to respond.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Path at which an instance shows the configuration in force to operators.
+/// Path at which an instance serves its configuration to operators.
 pub const CONFIGURATION_PATH: &str = "/v1/configuration";
-/// Path at which it shows the same to other instances, compressed.
+/// Path at which an instance serves its configuration to other instances, compressed.
 pub const COMPRESSED_CONFIGURATION_PATH: &str = "/v1/configuration.gz";
-/// Path at which an instance shows the endpoints that it knows.
+/// Path at which an instance serves the registrations that it knows.
 pub const ENDPOINTS_PATH: &str = "/v1/endpoints";
 
-/// Asks another instance for what it shows under a path.
+/// Fetches a path of another instance.
 pub async fn fetch(state: &State, client: &Client, peer: &Profile, path: &str) -> Option<Bytes> {
     let port = state.settings().listen.control?.port();
     let address = SocketAddr::new(peer.front.ip(), port).to_string();
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -1,4 +1,4 @@
-//! Follows one part of the store, one call after the other.
+//! Follows a keyspace of the store, one call at a time.
 
 use std::time::Duration;
 
@@ -13,48 +13,50 @@
 use crate::calls::Call;
 use crate::state::State;
 
-/// Wait after a failed call, doubled up to [`MAX_RETRY_DELAY`]: refused calls are paid for, and
-/// the store's rate is shared by all instances.
+/// Delay after a failed call, doubled up to [`MAX_RETRY_DELAY`]: rejected calls are billed, and all
+/// instances share the rate limit of the store.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Wait after an answer from another era than was asked for.
+/// Delay after a response from another era than expected.
 const ERA_MISMATCH_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait: what the store says must be in force two seconds after it is back.
+/// Longest delay after a failed call: the state of the store must be in force two seconds after the
+/// store recovers.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
-/// A store that was away for so long may have let registrations lapse.
+/// After a longer outage of the store, registrations may have lapsed.
 pub const OUTAGE_THRESHOLD: Duration = Duration::from_millis(900);
-/// Rest between two readings of endpoints' registrations: a sixth of the time in which
-/// leaving endpoints must get no more work, to save calls while heartbeats change them.
+/// Delay between two reads of registrations, which saves calls while heartbeats change them: a
+/// sixth of the time in which leaving endpoints must stop getting requests.
 const ENDPOINTS_POLL_DELAY: Duration = Duration::from_millis(350);
-/// Rest after a change of the configuration, for several in quick succession.
+/// Delay after a change of the configuration, so that one call returns several changes in quick
+/// succession.
 const CONFIGURATION_POLL_DELAY: Duration = Duration::from_millis(50);
-/// Most by which that rest grows.
+/// Maximum factor by which that delay grows with the fleet.
 const MAX_CONFIGURATION_POLL_FACTOR: u32 = 3;
-/// Part of the time in which leaving endpoints must get no more work that an instance may
-/// rest: the call after it and news from others have the other half.
+/// Divisor of the time in which leaving endpoints must stop getting requests. Half of it bounds the
+/// delay; the other half is for the next call and for changes from other instances.
 const DRAIN_DIVISOR: u32 = 2;
 
-/// What a call brought.
+/// The result of a call.
 #[derive(Debug)]
 pub struct Update {
-    /// Values or changes.
+    /// The values or changes.
     pub listing: Listing,
-    /// Whether they are all values of the realm.
+    /// Whether the listing holds all values of the keyspace.
     pub complete: bool,
 }
 
-/// Where following one part of the store stands.
+/// Progress in following a keyspace.
 #[derive(Debug)]
 pub struct Follower {
     keyspace: Keyspace,
-    /// When the first call was made that got no answer since the last one that did.
+    /// When the first of the calls was made that have failed since the last success.
     failing_since: Option<Time>,
-    /// The last change that is known; none before a whole list was read.
+    /// Position of the last known change; none before a complete list was read.
     position: Option<Position>,
     retry_delay: Duration,
 }
 
 impl Follower {
-    /// One that goes on from a place up to which all is known; none if nothing is.
+    /// A follower that resumes from a position up to which all changes are known, if any.
     #[must_use]
     pub fn new(keyspace: Keyspace, position: Option<Position>) -> Self {
         Self {
@@ -65,18 +67,18 @@
         }
     }
 
-    /// The place up to which all is known.
+    /// The position up to which all changes are known.
     #[must_use]
     pub fn position(&self) -> Option<Position> {
         self.position
     }
 
-    /// The next call reads the values that stand there now, and no history.
+    /// Makes the next call read the current values instead of the history.
     pub fn reset(&mut self) {
         self.position = None;
     }
 
-    /// Makes one call; what it brings, if it brings anything.
+    /// Makes one call. Returns its result, if it succeeded.
     pub async fn tick(&mut self, state: &State) -> Option<Update> {
         let keyspace = self.keyspace;
         let asked = state.now();
@@ -103,8 +105,8 @@
         };
         state.refresh_era();
         match outcome {
-            // It is from before the store came back, or goes on in a history that it does not
-            // begin in.
+            // The response is from before the store was restored, or from another era than the
+            // position of the watch.
             Ok(listing) if !is_current(state, self.position, &listing) => {
                 self.position = None;
                 tokio::time::sleep(ERA_MISMATCH_DELAY).await;
@@ -153,8 +155,8 @@
         match keyspace {
             Keyspace::Configuration => state.adoption.store_lost.set(false),
             Keyspace::Endpoints => {
-                // Pages of a list are read one after the other; a watch is answered at once
-                // when there is a change.
+                // A list reads its pages one after the other, so it is current as of its start; a
+                // watch returns as soon as there is a change.
                 state
                     .registrations_as_of
                     .set(Some(if complete { asked } else { state.now() }));
@@ -167,21 +169,21 @@
     }
 }
 
-/// Whether a listing is of the newest era, and of the one that it was asked in.
+/// Whether a listing is of the newest era, and of the era of the position that was watched.
 fn is_current(state: &State, position: Option<Position>, listing: &Listing) -> bool {
     let era = listing.position.era;
     Some(era) >= state.era() && position.is_none_or(|position| position.era == era)
 }
 
-/// How long an instance rests after a change, longer in a large fleet. What one reads in its
-/// rest the others have told it, and each call is paid for: a fleet of 64 made 5,900 in 76 s.
+/// Delay after a change, longer in a large fleet. Meanwhile, other instances report what they read,
+/// and every call is billed: a fleet of 64 made 5,900 calls in 76 s.
 pub fn poll_delay(state: &State, keyspace: Keyspace) -> Duration {
     let turns = batch::count(state.reach().members as usize, MAX_HEARTBEATS_PER_BATCH) as u32;
     match keyspace {
         Keyspace::Configuration => {
             CONFIGURATION_POLL_DELAY * turns.min(MAX_CONFIGURATION_POLL_FACTOR)
         }
-        // Others wait for what this one reads.
+        // Other instances depend on what this one reads.
         Keyspace::Endpoints if !state.reads_directly() => ENDPOINTS_POLL_DELAY,
         Keyspace::Endpoints => {
             let max_delay = state.settings().bounds.drain.duration() / DRAIN_DIVISOR;
--- a/coltsfoothall-forward/src/membership.rs
+++ b/coltsfoothall-forward/src/membership.rs
@@ -1,4 +1,5 @@
-//! Follows who is there, and asks other instances for what the store cannot give.
+//! Follows the members of the fleet and the leader's key, and fetches endpoints from other
+//! instances while the store is unavailable.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,14 +17,14 @@
 use crate::state::State;
 use crate::time;
 
-/// Time between questions to other instances.
+/// Interval between queries to other instances.
 const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(250);
-/// Start of the names under which instances register.
+/// Prefix of the keys under which instances register.
 pub const MEMBER_PREFIX: &str = "member/";
-/// Name of the key whose holder acts for all.
+/// Key that the leader holds.
 pub const LEADER_KEY: &str = "leader";
 
-/// Follows who is there for as long as the process runs.
+/// Follows the members until the process ends.
 pub async fn follow(state: Rc<State>) {
     let mut follower = Follower::new(Keyspace::Live, None);
     loop {
@@ -33,19 +34,19 @@
         let changed = !listing.items.is_empty();
         apply(&state, &listing, complete);
         if changed {
-            // Changes come in groups; one call brings them all.
+            // Changes come in bursts; a delay lets one call return all of them.
             tokio::time::sleep(follower::poll_delay(&state, Keyspace::Live)).await;
         }
     }
 }
 
-/// Notes whether the store answered a call, made then, whose answer was due at once.
+/// Records whether the store answered a call, made at `asked`, that it answers immediately.
 pub fn record_call(state: &State, asked: Time, answered: bool) {
     if !answered {
         state.health.record_failure(asked);
         return;
     }
-    // A watch that waits would have told of a change by then.
+    // An open watch would have returned any change by then.
     state.registrations_as_of.set(
         state
             .registrations_as_of
@@ -97,12 +98,13 @@
     }
 }
 
-/// Asks other instances for endpoints while none are known.
+/// Fetches endpoints from other instances while none are known.
 pub async fn fetch_endpoints(state: Rc<State>) {
     let client = Client::new();
     loop {
         tokio::time::sleep(PEER_QUERY_INTERVAL).await;
-        // While the store answers, each reads there: others' links are narrower.
+        // While the store answers, each instance reads it: the links of other instances are
+        // narrower.
         if state.registrations_lost.get() && state.roster.borrow().nodes().is_empty() {
             fetch_from_one(&state, &client).await;
         }
--- a/coltsfoothall-forward/src/orders.rs
+++ b/coltsfoothall-forward/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders endpoints while this instance acts for all.
+//! Scales services while this instance leads.
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::forward::config::{Scaling, Service};
@@ -9,10 +9,10 @@
 use crate::adapter::{Error, Leadership};
 use crate::state::State;
 
-/// Name of the duty in the settings.
+/// Name of this duty in the settings.
 const DUTY: &str = "autoscale";
 
-/// The orders for one service.
+/// Scaling state of one service.
 #[derive(Debug)]
 struct Entry {
     service: id::Service,
@@ -20,14 +20,14 @@
     planner: Planner,
 }
 
-/// The orders for all services, begun anew by each holder from what it finds.
+/// Scales all services. Each leader starts from the endpoints that it finds.
 #[derive(Debug, Default)]
 pub struct Autoscaler {
     entries: Vec<Entry>,
 }
 
 impl Autoscaler {
-    /// Looks at all services once and gives the orders that are due.
+    /// Checks all services once and places the orders that are due.
     pub async fn tick(&mut self, state: &State) {
         if !state.settings().duties.iter().any(|duty| duty == DUTY) {
             return;
@@ -63,7 +63,8 @@
             match outcome {
                 Ok(()) => entry.planner.accepted(&order),
                 Err(Error::Conflict(_)) => entry.planner.refused(state.now(), &order),
-                // It may have been done; what is missing later is ordered again.
+                // The order may have taken effect; endpoints that are still missing later are
+                // ordered again.
                 Err(_unknown) => {}
             }
         }
@@ -109,8 +110,8 @@
     ));
 }
 
-/// Endpoints that take work, by domain and kind. Those that a service may be moved to are
-/// started beside the others by whoever ordered the move, and replace none yet.
+/// Endpoints that accept requests, by failure domain and kind. Endpoints of an upgrade candidate
+/// are started by whoever ordered the upgrade, in addition to the others, and do not count yet.
 fn count_live(state: &State, service: &id::Service, scaling: &Scaling) -> Vec<(id::Domain, Live)> {
     let roster = state.roster.borrow();
     let upgrades = state.upgrades.borrow();
--- a/coltsfoothall-forward/src/outgoing.rs
+++ b/coltsfoothall-forward/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Responses and their bodies.
 
 use std::convert::Infallible;
 use std::io;
@@ -16,7 +16,7 @@
 use crate::connection::Busy;
 use crate::state::Open;
 
-/// What is passed on as it comes.
+/// A body that is relayed chunk by chunk.
 pub type Chunks = LocalBoxStream<'static, Result<Bytes, io::Error>>;
 
 enum Content {
@@ -24,12 +24,12 @@
     Chunks(Chunks),
 }
 
-/// A body, whole or passed on as it comes.
+/// A response body, either complete or streamed.
 pub struct Outgoing {
     content: Content,
-    /// Tells the connection when the answer has ended.
+    /// Marks the connection as busy until the body is dropped.
     _busy: Option<Busy>,
-    /// Counts the request as under way.
+    /// Counts the request as open until the body is dropped.
     _open: Option<Open>,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Outgoing {
-    /// A whole body.
+    /// A complete body.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self {
             content: Content::Full(Full::new(bytes.into())),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A body passed on as it comes; an error in it breaks the connection off.
+    /// A streamed body; an error in it aborts the connection.
     #[must_use]
     pub fn chunks(chunks: Chunks) -> Self {
         Self {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The same body, which marks its connection as busy until it is dropped.
+    /// Keeps the connection marked as busy until the body is dropped.
     #[must_use]
     pub fn with_busy(self, busy: Busy) -> Self {
         Self {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The same body, which counts its request as under way until it is dropped.
+    /// Keeps the request counted as open until the body is dropped.
     #[must_use]
     pub fn with_open(self, open: Open) -> Self {
         Self {
@@ -112,7 +112,7 @@
     }
 }
 
-/// An answer with these headers.
+/// A response with these headers.
 pub fn answer(status: StatusCode, headers: HeaderMap, body: Outgoing) -> Response<Outgoing> {
     let mut answer = Response::new(body);
     *answer.status_mut() = status;
@@ -120,13 +120,13 @@
     answer
 }
 
-/// An empty answer without headers of its own.
+/// An empty response without headers.
 #[must_use]
 pub fn empty(status: StatusCode) -> Response<Outgoing> {
     answer(status, HeaderMap::new(), Outgoing::full(Bytes::new()))
 }
 
-/// An answer of JSON.
+/// A JSON response.
 #[must_use]
 pub fn json(body: Outgoing) -> Response<Outgoing> {
     let mut headers = HeaderMap::new();
--- a/coltsfoothall-forward/src/pool.rs
+++ b/coltsfoothall-forward/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints, kept between requests; one request at a time on each.
+//! Pool of connections to endpoints; each carries one request at a time.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -20,14 +20,14 @@
 
 use crate::socket;
 
-/// Idle time of a connection whose endpoint names none.
+/// Idle timeout of a connection whose endpoint names none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Taken off the idle time that an endpoint names, for the way there.
+/// Subtracted from the idle timeout that an endpoint names, to allow for network latency.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(600);
-/// Idle connections kept for one endpoint; it bounds descriptors and memory.
+/// Maximum number of idle connections to one endpoint, which bounds file descriptors and memory.
 const MAX_IDLE_PER_ENDPOINT: usize = 24;
 
-/// A request's body, which notes when all of it was handed over.
+/// A request body that records when all of it was passed to the connection.
 #[derive(Debug)]
 pub struct Payload {
     bytes: Option<Bytes>,
@@ -35,7 +35,7 @@
 }
 
 impl Payload {
-    /// A body of these bytes.
+    /// A body of these bytes; `sent` is set when they have been passed on.
     #[must_use]
     pub fn new(bytes: Bytes, sent: Rc<Cell<bool>>) -> Self {
         sent.set(bytes.is_empty());
@@ -66,7 +66,7 @@
     }
 }
 
-/// Ends the connection's task when it is dropped.
+/// Aborts the task of a connection when it is dropped.
 #[derive(Debug)]
 struct Driver(JoinHandle<()>);
 
@@ -85,12 +85,12 @@
     expires_at: Instant,
 }
 
-/// Why a request was not sent, or what became of it.
+/// Why a request got no response.
 #[derive(Debug)]
 pub enum Fault {
-    /// Not a byte of it was written.
+    /// No byte of it was written.
     Unsent(String),
-    /// It may have arrived.
+    /// It may have reached the endpoint.
     Broken(String),
 }
 
@@ -109,7 +109,7 @@
             .await
             .map_err(|error| unsent(error.to_string()))?;
         let driver = Driver(tokio::task::spawn_local(async move {
-            // Its end shows at the sender, with the reason.
+            // The sender reports its error.
             let _ended = connection.await;
         }));
         Ok(Self {
@@ -120,10 +120,10 @@
         })
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the headers of the response.
     ///
     /// # Errors
-    /// Says whether anything was written.
+    /// Returns whether anything was written.
     pub async fn send(&mut self, request: Request<Payload>) -> Result<Response<Incoming>, Fault> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
@@ -154,7 +154,7 @@
 }
 
 impl Pool {
-    /// An idle connection that still stands.
+    /// Takes an idle connection that is still open.
     pub fn take(&mut self, endpoint: &id::Endpoint, now: Instant) -> Option<Link> {
         let index = self.index(endpoint).ok()?;
         let links = &mut self.groups[index].links;
@@ -166,7 +166,8 @@
         None
     }
 
-    /// Keeps a connection whose answer came whole; `keep` is the endpoint's own word.
+    /// Returns a connection whose response is complete; `keep_alive` is the timeout that the
+    /// endpoint named.
     pub fn put(&mut self, mut link: Link, now: Instant, keep_alive: Option<Duration>) {
         let idle_timeout = keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |keep_alive| {
             keep_alive
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -1,4 +1,4 @@
-//! Endpoints' registrations: read at the store, or heard from an instance that reads there.
+//! Registrations of endpoints, read from the store or from an instance that reads the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,23 +20,23 @@
 use crate::follower::{self, Follower, Update};
 use crate::state::State;
 
-/// Where a change was heard of, as the log names it.
+/// Source of a change, as logged.
 const STORE: &str = "store";
 const PEER: &str = "peer";
-/// Fields of a question: the number, or the place, to go on from.
+/// Query parameters: the sequence number, or the position, from which to resume.
 const AFTER_PARAM: &str = "after";
 const PLACE_PARAM: &str = "place";
 
-/// What an instance has heard of its reader.
+/// How far an instance has followed its reader.
 #[derive(Debug)]
 struct Cursor {
     reader: id::Instance,
     boot: u64,
-    /// The number to go on from, once it was told one.
+    /// The sequence number from which to resume, once known.
     next: Option<u64>,
 }
 
-/// Follows the registrations for as long as the process runs.
+/// Follows the registrations until the process ends.
 pub async fn follow(state: Rc<State>) {
     let client = Client::new();
     let mut reading = Reading::default();
@@ -44,7 +44,7 @@
     let mut cursor: Option<Cursor> = None;
     loop {
         match (source(&state, &reading), follower.position()) {
-            // What was read from the store once is not sent over a reader's link.
+            // The first complete list is always read from the store, to spare the reader's link.
             (Source::Reader(reader), Some(known)) => {
                 state.registrations_as_of.set(None);
                 let had = cursor.take().filter(|had| had.reader == reader);
@@ -70,7 +70,8 @@
                 let changed = !listing.items.is_empty();
                 apply_listing(&state, listing, complete);
                 if changed {
-                    // Heartbeats change them all the time; one call brings many.
+                    // Heartbeats change registrations all the time; a delay lets one call return
+                    // many changes.
                     tokio::time::sleep(follower::poll_delay(&state, Keyspace::Endpoints)).await;
                 }
             }
@@ -97,18 +98,18 @@
     reading.source(state.now(), me, &local, members, max_direct_members)
 }
 
-/// Whether this instance is one of those that read for others.
+/// Whether this instance is one of those that read the store for others.
 pub fn reads_for_others(state: &State) -> bool {
     !state.reads_directly() && source(state, &Reading::default()) == Source::Store
 }
 
-/// How the time in which leaving endpoints must get no more work is spent.
+/// How the time in which leaving endpoints must stop getting requests is divided.
 pub fn budget(state: &State) -> Budget {
     Budget::of(state.settings().bounds.drain.duration())
 }
 
-/// Takes over what a reader knows, and the place up to which all is known then; none if it does
-/// not answer, or knows nothing new enough.
+/// Applies the changes of a reader. Returns the new cursor and the position up to which all changes
+/// are known; none if the reader does not answer or its data is too old.
 async fn read_page(
     state: &Rc<State>,
     client: &Client,
@@ -153,7 +154,8 @@
     Some((now, place))
 }
 
-/// What a reader tells after what was heard of it, or after a place if it counts anew.
+/// Fetches the changes after a cursor, or after a position if the reader has restarted its
+/// numbering.
 async fn fetch_changes(
     state: &State,
     client: &Client,
@@ -170,7 +172,7 @@
     fetch(state, client, reader, by_place).await
 }
 
-/// Asks another instance for the registrations that changed there since then.
+/// Fetches the registrations that changed since then from another instance.
 pub async fn fetch(state: &State, client: &Client, peer: &Profile, after: Since) -> Option<Page> {
     let path = match after {
         Since::Sequence(number) => format!("{ENDPOINTS_PATH}?{AFTER_PARAM}={number}"),
@@ -188,7 +190,7 @@
     }
 }
 
-/// Takes over what another instance told.
+/// Applies a page of changes from another instance.
 pub fn apply_page(state: &Rc<State>, page: Page) {
     for row in page.rows {
         let Row {
@@ -213,7 +215,7 @@
     state.changelog.borrow_mut().advance_to(page.position);
 }
 
-/// What this instance tells others of the registrations, compressed.
+/// The page of changes that answers a query of another instance, compressed.
 pub fn page(state: &State, query: Option<&str>) -> Option<Bytes> {
     let after = match query.and_then(|query| query.split_once('=')) {
         Some((AFTER_PARAM, number)) => Since::Sequence(number.parse().ok()?),
@@ -239,7 +241,7 @@
         .map(|raw| compression::compress(&raw))
 }
 
-/// Takes over registrations from the store; a whole list also shows which ones are gone.
+/// Applies registrations from the store; a complete list also shows which ones are gone.
 pub fn apply_listing(state: &Rc<State>, listing: Listing, complete: bool) {
     let mut entries = Vec::new();
     for item in listing.items {
@@ -258,7 +260,7 @@
     }
 }
 
-/// Takes over a registration; what it says, if it can be read.
+/// Applies a registration, and returns it if it is valid.
 fn register(state: &State, item: &Item, source: &str) -> Option<Entry> {
     match state.adapter.parse_registration(item) {
         Ok(entry) => {
@@ -280,7 +282,7 @@
                 item.name,
                 error.to_string()
             ));
-            // Whoever wrote it, it names no endpoint to use, whatever its id was before.
+            // An invalid registration removes the endpoint that was registered under its name.
             if let Ok(id) = item.name.parse() {
                 state
                     .changelog
@@ -293,7 +295,7 @@
     }
 }
 
-/// A reader says that an endpoint is about to leave.
+/// Applies a reader's report that an endpoint is about to leave.
 fn leave(state: &State, name: &str, leaves: Option<Millis>, at: Position) {
     let Ok(id) = name.parse::<id::Endpoint>() else {
         event::STORE_FAILED.emit(format_args!("endpoint={name:?} reason=\"not a name\""));
@@ -308,7 +310,8 @@
         .record_leaving(name, leaves, at);
 }
 
-/// A registration is gone; after the store was away it may only have lapsed.
+/// Handles the removal of a registration. After an outage of the store it may merely have lapsed,
+/// so the endpoint gets time to register again.
 fn remove(state: &Rc<State>, name: &str, at: Position) {
     let Ok(id) = name.parse::<id::Endpoint>() else {
         event::STORE_FAILED.emit(format_args!("endpoint={name:?} reason=\"not a name\""));
@@ -325,7 +328,7 @@
     });
 }
 
-/// No endpoint is registered under an id, as of then.
+/// Removes an endpoint as of a position.
 fn forget(state: &State, id: &id::Endpoint, at: Position, source: &str) {
     let event = state.roster.borrow_mut().removed(id, at);
     state.apply_event(event, at, source);
--- a/coltsfoothall-forward/src/relay.rs
+++ b/coltsfoothall-forward/src/relay.rs
@@ -1,8 +1,9 @@
-//! Passes an endpoint's answer on to the caller.
+//! Relays an endpoint's response to the caller.
 //!
-//! A plain answer is read whole first. Of a stream only whole events are passed on, as
-//! they come; one that breaks off goes on at another endpoint where its kind allows that,
-//! and otherwise breaks the caller's connection, so that it cannot look complete.
+//! A plain response is buffered completely before it is sent. A stream is relayed event by event,
+//! and only complete events are sent. An interrupted stream resumes at another endpoint if the kind
+//! of its route allows that; otherwise the caller's connection is aborted, so that the stream does
+//! not look complete.
 
 use std::io;
 use std::rc::Rc;
@@ -25,19 +26,19 @@
 use crate::refusal::{self, Refusal};
 use crate::state::State;
 
-/// Largest answer that is read whole before it is passed on.
+/// Largest response that is buffered.
 const MAX_BUFFERED_BYTES: usize = 8 << 20;
 
-/// A pause between events after which an endpoint counts as stalled. Callers accept pauses of
-/// 0.8 s, and batches with long prompts come close to that.
+/// Time without an event after which an endpoint counts as stalled. Callers accept gaps of 0.8 s,
+/// and batches with long prompts come close to that.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// An answer that another endpoint may better.
+/// A failed attempt that may be repeated at another endpoint.
 #[derive(Debug)]
 pub struct Failure {
-    /// What the caller is told if it stays the last.
+    /// The refusal for the caller if this is the last attempt.
     pub refusal: Refusal,
-    /// The endpoint's own answer, where it gave one; it goes before the refusal.
+    /// The endpoint's own response, if any; it takes precedence over the refusal.
     pub answer: Option<Response<Outgoing>>,
 }
 
@@ -50,10 +51,10 @@
     }
 }
 
-/// Turns an endpoint's answer into the caller's.
+/// Builds the caller's response from that of an endpoint.
 ///
 /// # Errors
-/// The answer is not whole or not the endpoint's own; another endpoint may do better.
+/// The response is incomplete or not the endpoint's own; another endpoint may succeed.
 pub async fn answer(
     state: &Rc<State>,
     job: &Rc<Job>,
@@ -109,7 +110,7 @@
     }
 }
 
-/// Logs an answer that came later than its route's aim.
+/// Logs a response that took longer than the target of its route.
 fn log_late(state: &State, job: &Job, endpoint: &id::Endpoint) {
     let took = state.now().since(job.begun);
     if took > job.route.aim.duration() {
@@ -125,7 +126,7 @@
     }
 }
 
-/// A stream under way.
+/// A stream that is being relayed.
 struct Relay {
     state: Rc<State>,
     job: Rc<Job>,
@@ -134,12 +135,12 @@
     share: Option<Share>,
     checkout: Option<Checkout>,
     splitter: Splitter,
-    /// Events that are counted as work of their endpoint.
+    /// Number of events already credited to an endpoint.
     counted: u64,
     ended: bool,
 }
 
-/// What came next of a stream.
+/// The next part of a stream.
 enum Next {
     Events(Bytes),
     End,
@@ -166,7 +167,7 @@
         counted: 0,
         ended: false,
     };
-    // Until an event is there the answer can still be another endpoint's.
+    // Until the first event is sent, the request can still move to another endpoint.
     let first = match relay.read().await {
         Next::Events(bytes) => Some(bytes),
         Next::End => None,
@@ -208,7 +209,7 @@
 }
 
 impl Relay {
-    /// Reads until whole events are there, the stream ends, or it breaks.
+    /// Reads until complete events are available, or the stream ends or is interrupted.
     async fn read(&mut self) -> Next {
         loop {
             match self.content.frame().await {
@@ -229,7 +230,7 @@
         }
     }
 
-    /// The next events for the caller, unless this instance ends before them.
+    /// The next events for the caller, unless shutdown aborts the stream first.
     async fn next_chunk(&mut self) -> Option<Result<Bytes, io::Error>> {
         let aborting = self.state.abort.clone();
         tokio::select! {
@@ -238,7 +239,8 @@
         }
     }
 
-    /// The next events for the caller; none when the stream is complete.
+    /// The next events for the caller, from another endpoint if this one fails; none when the
+    /// stream is complete.
     async fn read_or_resume(&mut self) -> Option<Result<Bytes, io::Error>> {
         if self.ended {
             return None;
@@ -286,7 +288,8 @@
         }
     }
 
-    /// Until when the next event is awaited here, where another endpoint could go on.
+    /// When this endpoint counts as stalled; the request's deadline if no other endpoint may
+    /// resume.
     fn stall_deadline(&self) -> tokio::time::Instant {
         let now = tokio::time::Instant::now();
         let last = self.trail.runs >= self.job.route.attempts;
@@ -296,7 +299,7 @@
         now + STALL_TIMEOUT
     }
 
-    /// Whether another endpoint goes on in place of this one, which is silent.
+    /// Whether another endpoint can take over from this one, which is stalled.
     fn can_take_over(&self) -> bool {
         let share = self.share.as_ref();
         share.is_some_and(|share| {
@@ -304,7 +307,7 @@
         })
     }
 
-    /// Goes on behind the last event at another endpoint.
+    /// Resumes the stream after its last event at another endpoint.
     async fn resume(&mut self) -> Result<(), Refusal> {
         self.splitter.discard();
         let after = self.splitter.last().map(ToOwned::to_owned);
@@ -336,7 +339,7 @@
         }
     }
 
-    /// Breaks the caller's connection, so that the stream does not look complete.
+    /// Aborts the caller's connection, so that the stream does not look complete.
     fn abort(&mut self, reason: &'static str) -> io::Error {
         self.ended = true;
         self.finish(End::Abandoned);
--- a/coltsfoothall-forward/src/report.rs
+++ b/coltsfoothall-forward/src/report.rs
@@ -1,4 +1,4 @@
-//! What operators are told of requests: metrics, and log lines that sum up.
+//! Metrics and summary log lines for operators.
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
@@ -8,12 +8,12 @@
 
 use crate::state::State;
 
-/// Rank from which a request is batch work in the metrics.
+/// Lowest rank that the metrics count as batch work.
 const MIN_BATCH_RANK: u8 = 5;
 
 impl State {
-    /// Labels of a request for its metrics. A request is interactive here unless its rank
-    /// is the last of three.
+    /// Metric labels of a request. A request counts as interactive unless its rank is in the last
+    /// of the three classes.
     #[must_use]
     pub fn labels(&self, workspace: &id::Workspace, rank: u8) -> Labels {
         let class = if rank < MIN_BATCH_RANK {
@@ -24,7 +24,7 @@
         self.board.labels(workspace, class)
     }
 
-    /// A request ended with this status.
+    /// Records that a request ended with this status.
     pub fn record_ended(&self, labels: &Labels, status: u16, begun: Time) {
         let (code, outcome) = match status {
             200..=299 => ("ok", "done"),
@@ -39,12 +39,12 @@
         self.board.ended(labels, End { code, outcome });
     }
 
-    /// A request ended well; such ones are counted in the log and not listed.
+    /// Counts a successful request. The log shows only the number of these.
     pub fn count_served(&self) {
         self.served.set(self.served.get() + 1);
     }
 
-    /// Logs how many requests ended well since the last time, and what is known now.
+    /// Logs the number of successful requests since the last summary, and the current state.
     pub fn log_summary(&self) {
         let served = self.served.take();
         let reach = self.reach();
@@ -59,7 +59,7 @@
         ));
     }
 
-    /// Sets the gauges from what is known now.
+    /// Updates the gauges from the current state.
     pub fn update_gauges(&self) {
         let roster = self.roster.borrow();
         let leaving = roster.nodes().iter().filter(|node| node.entry.leaving);
--- a/coltsfoothall-forward/src/retries.rs
+++ b/coltsfoothall-forward/src/retries.rs
@@ -1,15 +1,15 @@
-//! How often requests may go to one more endpoint, by service.
+//! Retry budgets by service.
 
 use coltsfoothall::clock::Time;
 use coltsfoothall::id;
 use coltsfoothall::retry::{Budget, Settings, Verdict};
 use coltsfoothall::size::Millis;
 
-/// Part of the retry slack that is used; the rest covers members that come and go.
+/// Share of the retry slack that is used; the rest covers changes in membership.
 const SLACK_SHARE: f64 = 0.6;
-/// Part of the retry ratio that is used, for the same reason.
+/// Share of the retry ratio that is used, for the same reason.
 const RATIO_SHARE: f64 = 0.8;
-/// Members that a budget is made for at least: others may only not be heard yet.
+/// Minimum number of members that share a budget, as other members may not be known yet.
 const MIN_MEMBERS: u32 = 3;
 
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     budget: Budget,
 }
 
-/// This instance's part of the retries that all may make.
+/// This instance's share of the retries of the fleet.
 #[derive(Debug)]
 pub struct Retries {
     ratio: f64,
@@ -28,7 +28,7 @@
 }
 
 impl Retries {
-    /// Retries as a part of first attempts, and a slack that all instances share.
+    /// Retries as a share of first attempts, plus a slack that all instances share.
     #[must_use]
     pub fn new(ratio: f64, slack: f64) -> Self {
         Self {
@@ -38,12 +38,12 @@
         }
     }
 
-    /// A request goes to a service for the first time.
+    /// Records the first attempt of a request.
     pub fn record_first(&mut self, now: Time, service: &id::Service, members: u32) {
         self.budget(service, members).record_first_attempt(now);
     }
 
-    /// Whether a request may go to one more endpoint of a service; takes it from the budget.
+    /// Whether a request may be retried; takes the retry from the budget.
     pub fn allow(&mut self, now: Time, service: &id::Service, members: u32) -> bool {
         let budget = self.budget(service, members);
         matches!(budget.retry(now, 1, &mut rand::rng()), Verdict::After(_))
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of an instance and stops them in order.
+//! Starts the tasks of an instance, and stops them in order.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,13 +27,13 @@
 use crate::state::State;
 use crate::{configuration, duty, gossip, membership, registrations, stop};
 
-/// Time between two log lines that count what went well.
+/// Interval between summary log lines.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
-/// Time between readings of the settings file without a signal.
+/// Interval at which the settings file is read without a signal.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
-/// Path of the metrics on the control address.
+/// Path of the metrics at the control address.
 const METRICS_PATH: &str = "/metrics";
-/// Largest head that a control listener takes.
+/// Largest request head that a control listener accepts.
 const MAX_HEAD_BYTES: usize = 8 << 10;
 
 quick_error! {
@@ -59,7 +59,7 @@
     }
 }
 
-/// Runs an instance until it is told to stop.
+/// Runs an instance until it receives a signal to stop.
 ///
 /// # Errors
 /// An address cannot be bound, or signals cannot be listened to.
@@ -124,7 +124,7 @@
     tokio::task::spawn_local(duty::run_leader(Rc::clone(state)));
 }
 
-/// Logs what went well, now and then.
+/// Logs summaries at intervals.
 async fn log_summaries(state: Rc<State>) {
     loop {
         tokio::time::sleep(SUMMARY_INTERVAL).await;
@@ -132,7 +132,7 @@
     }
 }
 
-/// Reads the settings again at each SIGHUP and, as they may change without one, now and then.
+/// Reloads the settings at each SIGHUP and, since the file may change without one, at intervals.
 async fn reload(state: Rc<State>, file: PathBuf, mut hangup: Signal) {
     let mut last = settings::load::<Settings>(&file).ok();
     loop {
@@ -146,14 +146,13 @@
                 last = Some(settings.clone());
                 state.reload(settings);
             }
-            // The last good ones stay in force.
+            // The last valid settings stay in force.
             Err(error) => event::RELOAD_FAILED.emit(format_args!("reason={:?}", error.to_string())),
         }
     }
 }
 
-/// Binds and serves all listeners of the settings. What is not for callers is served
-/// until the process ends.
+/// Binds all listeners of the settings. Those that do not serve callers run until the process ends.
 async fn serve(state: &Rc<State>, callers: &Connections) -> Result<(), Error> {
     let listen = state.settings().listen.clone();
     let control: Rc<dyn Handler> = Rc::new(Control(Rc::clone(state)));
@@ -177,7 +176,7 @@
     Ok(())
 }
 
-/// Readiness, addresses, and what other instances and operators ask.
+/// Serves readiness checks, addresses, and requests of other instances and operators.
 #[derive(Debug)]
 struct Control(Rc<State>);
 
--- a/coltsfoothall-forward/src/settings.rs
+++ b/coltsfoothall-forward/src/settings.rs
@@ -9,7 +9,7 @@
 use coltsfoothall_shell::settings::{Check, Fault};
 use serde::{Deserialize, Serialize};
 
-/// Shortest history of the store with which watching it makes sense.
+/// Shortest history of the store that watches can work with.
 const MIN_HISTORY: Millis = Millis(1_000);
 
 /// Where an instance listens.
@@ -18,33 +18,33 @@
 pub struct Listen {
     /// Callers.
     pub front: Option<SocketAddr>,
-    /// Checks of whether it takes callers.
+    /// Readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Callers who ask for addresses.
+    /// Requests for the addresses of instances.
     pub directory: Option<SocketAddr>,
-    /// Other instances' and operators' questions; metrics are there too.
+    /// Requests of other instances and operators, and metrics.
     pub control: Option<SocketAddr>,
 }
 
-/// Time limits that the operators' promises rest on.
+/// Limits on which the operators' service guarantees depend.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
     /// Time from a stop's signal until the process is killed.
     pub grace: Millis,
-    /// How long callers may keep an answer with addresses.
+    /// How long callers may keep addresses.
     pub addresses: Millis,
-    /// Term of the lease under which one instance acts for all.
+    /// Term of the leader's lease.
     pub lease: Millis,
-    /// Part of first attempts that may be tried again.
+    /// Retries as a share of first attempts.
     pub retry_ratio: f64,
-    /// Retries beside that in one window, over all instances.
+    /// Additional retries in one window, over all instances.
     pub retry_slack: f64,
     /// Length of a usage window.
     pub usage_window: Millis,
     /// Time after a window's end in which its report is due.
     pub usage_due: Millis,
-    /// Time after which a leaving endpoint must get no more work.
+    /// Time after which a leaving endpoint must get no more requests.
     pub drain: Millis,
 }
 
@@ -75,7 +75,7 @@
     pub listen: Listen,
     /// Port for datagrams between instances, the same on all.
     pub peer_port: u16,
-    /// Control addresses of instances that may be up.
+    /// Addresses of instances through which others are discovered.
     pub seeds: Vec<SocketAddr>,
     /// The store.
     pub store: Option<SocketAddr>,
--- a/coltsfoothall-forward/src/socket.rs
+++ b/coltsfoothall-forward/src/socket.rs
@@ -1,4 +1,4 @@
-//! Options of connections, so that a peer that vanished is noticed.
+//! Socket options by which the loss of a peer is detected.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,22 +8,22 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Time in which a connection to an endpoint or peer must come up: the longest hop is a
-/// few milliseconds, and a lost opening packet is sent again only after a second.
+/// Timeout of connecting to an endpoint or peer: the longest hop takes a few milliseconds, and a
+/// lost SYN is retransmitted only after a second.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Bytes unacknowledged for so long mean that the peer is gone.
+/// Time for which sent data may stay unacknowledged before the connection is closed.
 const ACK_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A silent connection is probed after so long.
+/// Idle time after which keepalive probes are sent.
 const KEEPALIVE_DELAY: Duration = Duration::from_secs(1);
-/// Time between probes.
+/// Interval between keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer that end a connection.
+/// Number of unanswered probes after which the connection is closed.
 const MAX_KEEPALIVE_PROBES: u32 = 2;
 
-/// Sets the options on a connection, either side.
+/// Sets the options on an accepted or an opened connection.
 ///
 /// # Errors
-/// The system refuses an option.
+/// The operating system rejects an option.
 pub fn tune(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -38,7 +38,7 @@
 /// Connects to an address.
 ///
 /// # Errors
-/// Nothing listens there, or no connection came up in time.
+/// The connection was refused or timed out.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
--- a/coltsfoothall-forward/src/stop.rs
+++ b/coltsfoothall-forward/src/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of this instance, and what it still takes meanwhile.
+//! Planned shutdown, and which requests are still accepted meanwhile.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,14 +15,13 @@
 use crate::refusal::{Refusal, unavailable};
 use crate::state::State;
 
-/// Time for the answers and log lines of requests that are cut.
+/// Time for writing the responses and log lines of aborted requests.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
-/// When to come back while no other instance takes requests: about when callers get new
-/// addresses.
+/// `Retry-After` when no other instance is ready: about when callers fetch new addresses.
 const NO_PEER_RETRY_DELAY: Duration = Duration::from_millis(600);
 
-/// Stops: out of the addresses at once, then on with what is open, until callers were to drop
-/// this instance's address and all answers are written.
+/// Shuts down. This instance is no longer listed to callers at once, but keeps serving until
+/// callers have had time to drop its address and all responses are written.
 pub async fn run(state: &Rc<State>, socket: &Rc<UdpSocket>, callers: &Connections) {
     let bounds = state.settings().bounds.clone();
     let stop = Stop::new(
@@ -33,7 +32,8 @@
     state.stop.set(Some(stop));
     event::STOPPING.emit(format_args!("open={}", state.open.get()));
     state.leader.borrow_mut().stop();
-    // Beside the stop, whose moments must not wait for a large fleet to be told.
+    // In a separate task, so that the deadlines of the shutdown do not wait for a broadcast to a
+    // large fleet.
     tokio::task::spawn_local({
         let (state, socket) = (Rc::clone(state), Rc::clone(socket));
         async move { gossip::broadcast(&state, &socket).await }
@@ -56,22 +56,22 @@
         ));
         state.abort.cancel();
     }
-    // Callers who do not read hold nobody up.
+    // Callers that do not read do not delay the shutdown.
     let _closed = timeout(FLUSH_TIMEOUT, callers.closed()).await;
-    // What ran last is in no heartbeat yet; with 60 others this takes some 0.07 s.
+    // The last runs are in no heartbeat yet; with 60 other instances this takes about 0.07 s.
     gossip::broadcast(state, socket).await;
 }
 
-/// Milliseconds since the signal.
+/// Milliseconds since the signal to stop.
 fn elapsed_ms(state: &State, stop: Stop) -> u128 {
     state.now().since(stop.signalled).as_millis()
 }
 
-/// Refuses a request that might outlast the stop under way: it goes to another instance
-/// at once. Taken it would be cut, and most streams cannot be run again.
+/// Refuses a request that might outlast the shutdown, so that the caller sends it to another
+/// instance at once. It would otherwise be aborted, and most streams cannot be run again.
 ///
 /// # Errors
-/// It may need longer than is left.
+/// The request may need more time than is left.
 pub fn check(state: &State, job: &Job, connection: &Connection) -> Result<(), Refusal> {
     let Some(stop) = state.stop.get() else {
         return Ok(());
@@ -103,7 +103,7 @@
     Err(unavailable("this instance stops; use another", retry_after))
 }
 
-/// Whether another instance takes requests.
+/// Whether another instance is ready.
 fn other_is_ready(state: &State) -> bool {
     let peers = state.peers.borrow();
     let profiles = peers.profiles(state.now());
--- a/coltsfoothall-forward/src/time.rs
+++ b/coltsfoothall-forward/src/time.rs
@@ -13,7 +13,7 @@
 }
 
 impl Clock {
-    /// A clock that begins now.
+    /// A clock that starts now.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -21,28 +21,28 @@
         }
     }
 
-    /// The reading now.
+    /// The current reading.
     #[must_use]
     pub fn now(self) -> Time {
         Time::since_start(self.began.elapsed())
     }
 
-    /// The runtime's instant of a reading.
+    /// The runtime's instant that corresponds to a reading.
     #[must_use]
     pub fn instant(self, time: Time) -> Instant {
         self.began + time.since(Time::START)
     }
 }
 
-/// Time since 1970 by this machine's time of day, which may jump.
+/// Time since the Unix epoch by the wall clock of this machine, which may jump.
 #[must_use]
 pub fn wall() -> Duration {
     read(ClockId::Realtime)
 }
 
-/// Time since the machine started, spans of suspension included.
+/// Time since the machine booted, including time spent suspended.
 ///
-/// The runtime's clock stands still while a machine is suspended; a lease does not.
+/// The runtime's clock stops while a machine is suspended; leases keep running.
 #[must_use]
 pub fn boot() -> Time {
     Time::since_start(read(ClockId::Boottime))
--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -1,5 +1,5 @@
-//! Services that move to another version: orders are taken over, candidates judged, and operators
-//! told.
+//! Upgrades of services to another version: applies orders, judges candidates, and reports to
+//! operators.
 
 use coltsfoothall::forward::history::Position;
 use coltsfoothall::forward::upgrade::{Change, Order, Stage, View};
@@ -9,7 +9,7 @@
 use crate::adapter::{Error, Listing, Progress, Report};
 use crate::state::State;
 
-/// Takes over the orders of a listing; of one that holds all of them some may be settled.
+/// Applies the orders of a listing. In a complete listing, some may have been decided already.
 pub async fn apply(state: &State, listing: &Listing, complete: bool) {
     for item in &listing.items {
         if item.value.is_none() {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Takes over an order; whether it is news.
+/// Applies an order. Returns whether it is new.
 fn accept(state: &State, order: Order) -> bool {
     let service = order.service.clone();
     let fields = format!(
@@ -54,8 +54,8 @@
     true
 }
 
-/// Takes over how an order ended, if it did. Where the store does not tell, the candidate is
-/// on trial again until who acts for all reads it.
+/// Applies the outcome of an order that has been decided. If the store does not answer, the
+/// candidate is probed again until the leader reads the outcome.
 async fn settle(state: &State, order: &Order) {
     match state.adapter.read_report(&order.service).await {
         Ok(Some((report, place))) if place > order.position => {
@@ -77,7 +77,7 @@
     ));
 }
 
-/// Judges the candidates by what all instances counted.
+/// Judges the candidates by the counts of all instances.
 pub fn judge(state: &State) {
     let changes = state.upgrades.borrow_mut().judge(state.now());
     for change in changes {
@@ -102,23 +102,23 @@
     ));
 }
 
-/// What operators were told of a service.
+/// The last report to operators on a service.
 #[derive(Debug)]
 struct Record {
     service: id::Service,
-    /// The order that it is about.
+    /// Position of the order that it is about.
     order: Position,
     written: Option<(Report, Position)>,
 }
 
-/// Moves services on and tells operators, while this instance acts for all.
+/// Advances upgrades and reports to operators, while this instance leads.
 #[derive(Debug, Default)]
 pub struct Driver {
     records: Vec<Record>,
 }
 
 impl Driver {
-    /// Looks at all orders once.
+    /// Advances every order once.
     pub async fn tick(&mut self, state: &State) {
         let orders: Vec<Order> = {
             let upgrades = state.upgrades.borrow();
@@ -126,7 +126,7 @@
         };
         for order in &orders {
             if let Err(error) = self.advance_one(state, order).await {
-                // The next look tries again; a conflict is read first.
+                // The next tick retries; after a conflict it reads the report first.
                 self.records
                     .retain(|record| record.service != order.service);
                 log_failure(order, &error);
@@ -183,7 +183,7 @@
         Ok(())
     }
 
-    /// What was told of an order, read at the store the first time.
+    /// The record of an order, read from the store the first time.
     async fn record(&mut self, state: &State, order: &Order) -> Result<&mut Record, Error> {
         let known =
             |record: &Record| record.service == order.service && record.order == order.position;
@@ -205,7 +205,7 @@
     }
 }
 
-/// The final stage that operators were told of an order.
+/// The final stage of an order, if one was reported to operators.
 fn settled(report: &Report, order: &Order) -> Option<Stage> {
     if report.target != order.target {
         return None;
