--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -25,7 +25,7 @@
 const PEER: &str = "peer";
 /// Query parameters: the sequence number, or the position, from which to resume.
 const AFTER_PARAM: &str = "after";
-const PLACE_PARAM: &str = "place";
+const POSITION_PARAM: &str = "place";
 
 /// How far an instance has followed its reader.
 #[derive(Debug)]
@@ -53,10 +53,10 @@
                     boot: 0,
                     next: None,
                 });
-                if let Some((now, place)) = read_page(&state, &client, had, known).await {
+                if let Some((now, position)) = read_page(&state, &client, had, known).await {
                     reading.answered();
                     cursor = Some(now);
-                    follower = Follower::new(Keyspace::Endpoints, Some(place));
+                    follower = Follower::new(Keyspace::Endpoints, Some(position));
                     tokio::time::sleep(budget(&state).pause).await;
                 } else {
                     reading.failed(state.now());
@@ -149,9 +149,9 @@
         next: Some(page.next),
         ..had
     };
-    let place = known.max(page.position);
+    let position = known.max(page.position);
     apply_page(state, page);
-    Some((now, place))
+    Some((now, position))
 }
 
 /// Fetches the changes after a cursor, or after a position if the reader has restarted its
@@ -176,7 +176,7 @@
 pub async fn fetch(state: &State, client: &Client, peer: &Profile, after: Since) -> Option<Page> {
     let path = match after {
         Since::Sequence(number) => format!("{ENDPOINTS_PATH}?{AFTER_PARAM}={number}"),
-        Since::Position(place) => format!("{ENDPOINTS_PATH}?{PLACE_PARAM}={place}"),
+        Since::Position(position) => format!("{ENDPOINTS_PATH}?{POSITION_PARAM}={position}"),
     };
     let raw = fetch::fetch(state, client, peer, &path).await?;
     let read = compression::decompress(&raw).map_err(|error| error.to_string());
@@ -219,7 +219,7 @@
 pub fn page(state: &State, query: Option<&str>) -> Option<Bytes> {
     let after = match query.and_then(|query| query.split_once('=')) {
         Some((AFTER_PARAM, number)) => Since::Sequence(number.parse().ok()?),
-        Some((PLACE_PARAM, place)) => Since::Position(place.parse().ok()?),
+        Some((POSITION_PARAM, position)) => Since::Position(position.parse().ok()?),
         Some(_) => return None,
         None => Since::Sequence(0),
     };
--- a/coltsfoothall-forward/src/report.rs
+++ b/coltsfoothall-forward/src/report.rs
@@ -12,8 +12,8 @@
 const MIN_BATCH_RANK: u8 = 5;
 
 impl State {
-    /// Metric labels of a request. A request counts as interactive unless its rank is in the last
-    /// of the three classes.
+    /// Metric labels of a request. A request counts as interactive unless it has the last of three
+    /// ranks.
     #[must_use]
     pub fn labels(&self, workspace: &id::Workspace, rank: u8) -> Labels {
         let class = if rank < MIN_BATCH_RANK {
--- a/coltsfoothall-forward/src/settings.rs
+++ b/coltsfoothall-forward/src/settings.rs
@@ -75,7 +75,7 @@
     pub listen: Listen,
     /// Port for datagrams between instances, the same on all.
     pub peer_port: u16,
-    /// Addresses of instances through which others are discovered.
+    /// Control addresses of instances through which others are discovered.
     pub seeds: Vec<SocketAddr>,
     /// The store.
     pub store: Option<SocketAddr>,
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -380,21 +380,21 @@
     }
 
     /// Handles a change in the set of endpoints.
-    pub fn apply_event(&self, event: Option<Event>, place: Position, source: &str) {
+    pub fn apply_event(&self, event: Option<Event>, position: Position, source: &str) {
         match event {
             None => {}
             Some(Event::Added(id)) => {
                 let roster = self.roster.borrow();
                 if let Some(entry) = roster.node(&id).map(|node| &node.entry) {
                     event::ENDPOINT.emit(format_args!(
-                        "endpoint={id} state=added service={} domain={} address={} slots={} reclaimable={} place={place} source={source}",
+                        "endpoint={id} state=added service={} domain={} address={} slots={} reclaimable={} place={position} source={source}",
                         entry.service, entry.domain, entry.address, entry.slots, entry.reclaimable
                     ));
                 }
             }
             Some(Event::Restarted(id)) => {
                 event::ENDPOINT.emit(format_args!(
-                    "endpoint={id} state=restarted place={place} source={source}"
+                    "endpoint={id} state=restarted place={position} source={source}"
                 ));
                 self.pool.borrow_mut().remove(&id);
                 let announced = self.has_departed(&id);
@@ -402,18 +402,18 @@
             }
             Some(Event::Leaving(id)) => {
                 event::ENDPOINT.emit(format_args!(
-                    "endpoint={id} state=leaving place={place} source={source}"
+                    "endpoint={id} state=leaving place={position} source={source}"
                 ));
-                self.record_departure(id, place);
+                self.record_departure(id, position);
             }
             Some(Event::Gone(id)) => {
                 event::ENDPOINT.emit(format_args!(
-                    "endpoint={id} state=gone place={place} source={source}"
+                    "endpoint={id} state=gone place={position} source={source}"
                 ));
                 self.pool.borrow_mut().remove(&id);
                 let announced = self.registration_grace().is_some() || self.has_departed(&id);
                 self.record_death(&id, announced);
-                self.record_departure(id, place);
+                self.record_departure(id, position);
             }
         }
     }
@@ -426,12 +426,9 @@
             .any(|departure| departure.ended.id == *id)
     }
 
-    fn record_departure(&self, id: id::Endpoint, place: Position) {
+    fn record_departure(&self, id: id::Endpoint, position: Position) {
         let at = self.now();
-        let ended = Ended {
-            id,
-            position: place,
-        };
+        let ended = Ended { id, position };
         self.departures.borrow_mut().push(Departure { ended, at });
     }
 
--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -58,7 +58,7 @@
 /// candidate is probed again until the leader reads the outcome.
 async fn settle(state: &State, order: &Order) {
     match state.adapter.read_report(&order.service).await {
-        Ok(Some((report, place))) if place > order.position => {
+        Ok(Some((report, position))) if position > order.position => {
             if let Some(stage) = settled(&report, order) {
                 let mut upgrades = state.upgrades.borrow_mut();
                 upgrades.settled(state.now(), &order.service, stage);
@@ -137,8 +137,8 @@
     async fn advance_one(&mut self, state: &State, order: &Order) -> Result<(), Error> {
         let now = state.now();
         let record = self.record(state, order).await?;
-        if let Some((report, place)) = &record.written
-            && *place > order.position
+        if let Some((report, position)) = &record.written
+            && *position > order.position
             && let Some(stage) = settled(report, order)
         {
             state
@@ -170,16 +170,16 @@
         let is_written = record
             .written
             .as_ref()
-            .is_some_and(|(written, place)| *written == report && *place > order.position);
+            .is_some_and(|(written, position)| *written == report && *position > order.position);
         if is_written || state.fence().is_none() {
             return Ok(());
         }
-        let previous = record.written.as_ref().map(|(_, place)| *place);
-        let place = state
+        let previous = record.written.as_ref().map(|(_, position)| *position);
+        let position = state
             .adapter
             .write_report(&order.service, &report, previous)
             .await?;
-        record.written = Some((report, place));
+        record.written = Some((report, position));
         Ok(())
     }
 
