--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -153,7 +153,7 @@
             Ok(pick) if trail.sends == 0 && is_late(job, &pick) => {
                 let retry_after = pick.wait.saturating_sub(job.route.aim.duration() / 2);
                 return Err(unavailable(
-                    "all endpoints are behind",
+                    "expected wait too long at all endpoints",
                     retry_after.max(FULL_RETRY_DELAY),
                 ));
             }
@@ -223,7 +223,7 @@
                     continue;
                 }
                 state.count_run(job.workspace.as_ref());
-                return Err(bad_gateway("the endpoint broke off"));
+                return Err(bad_gateway("the endpoint interrupted the response"));
             }
         };
         trail.exclude.push(pick.endpoint);
--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -360,8 +360,8 @@
 async fn store_report(state: &State, window: u64, counts: Vec<Count>) -> Result<Vec<Count>, Error> {
     let name = format!("usage/{window}");
     let key = format!("notes/{name}");
-    let value = serde_json::to_vec(&counts)
-        .map_err(|error| Error::Format("store a usage report", error.to_string()))?;
+    let value =
+        serde_json::to_vec(&counts).map_err(|error| Error::Format("note", error.to_string()))?;
     let write = Write {
         absent: vec![key.clone()],
         puts: vec![(key, value.into(), None)],
@@ -378,9 +378,8 @@
             let listing = state.adapter.list(Keyspace::Notes).await?;
             let item = listing.items.iter().find(|item| item.name == name);
             let value = item.and_then(|item| item.value.as_ref());
-            let value = value.ok_or(Error::Missing("read a usage report"))?;
-            serde_json::from_slice(value)
-                .map_err(|error| Error::Format("store a usage report", error.to_string()))
+            let value = value.ok_or(Error::Missing("note"))?;
+            serde_json::from_slice(value).map_err(|error| Error::Format("note", error.to_string()))
         }
         Err(error) => Err(error),
     }
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -80,7 +80,10 @@
     let id = call.id.clone();
     let path = head.uri.path().to_owned();
     let result = if connection.is_ambiguous() {
-        Err(Refusal::Bad(StatusCode::BAD_REQUEST, "two framings"))
+        Err(Refusal::Bad(
+            StatusCode::BAD_REQUEST,
+            "conflicting message lengths",
+        ))
     } else {
         match admit(state, connection, call, head, content, begun).await {
             Ok(job) => finish(state, job).await,
@@ -165,11 +168,16 @@
                 "body too large",
             ));
         }
-        Ok(Err(_broken)) => return Err(Refusal::Bad(StatusCode::BAD_REQUEST, "broken body")),
+        Ok(Err(_broken)) => {
+            return Err(Refusal::Bad(
+                StatusCode::BAD_REQUEST,
+                "request body interrupted",
+            ));
+        }
         Err(_elapsed) => {
             return Err(Refusal::Bad(
                 StatusCode::REQUEST_TIMEOUT,
-                "body came too slowly",
+                "request body not received in time",
             ));
         }
     };
@@ -179,7 +187,7 @@
     let verdict = state.suspicions.borrow().verdict(state.now(), fingerprint);
     if verdict == Verdict::Poisonous {
         return Err(unavailable(
-            "such requests crashed endpoints",
+            "similar requests crashed endpoints",
             POISONOUS_RETRY_DELAY,
         ));
     }
@@ -235,7 +243,7 @@
     ));
     Err(Refusal::NotRun(
         StatusCode::TOO_MANY_REQUESTS,
-        "over the workspace's rate",
+        "rate limit of the workspace exceeded",
         short.retry_after,
     ))
 }
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -141,7 +141,7 @@
         .age_ms
         .map(|age| Duration::from_millis(age) + round_trip);
     if age.is_none_or(|age| age > budget.oldest) {
-        log_lost("its knowledge is old", age);
+        log_lost("its data is too old", age);
         return None;
     }
     let now = Cursor {
--- a/coltsfoothall-forward/src/stop.rs
+++ b/coltsfoothall-forward/src/stop.rs
@@ -100,7 +100,10 @@
     } else {
         NO_PEER_RETRY_DELAY
     };
-    Err(unavailable("this instance stops; use another", retry_after))
+    Err(unavailable(
+        "instance is shutting down; use another",
+        retry_after,
+    ))
 }
 
 /// Whether another instance is ready.
