--- a/coltsfoothall-forward/src/adapter.rs
+++ b/coltsfoothall-forward/src/adapter.rs
@@ -175,7 +175,7 @@
     RolledBack,
 }
 
-/// What operators are told of a service's upgrade.
+/// The report to operators on a service's upgrade.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
     /// Progress of the upgrade.
--- a/coltsfoothall-forward/src/settings.rs
+++ b/coltsfoothall-forward/src/settings.rs
@@ -83,22 +83,22 @@
     pub store_history: Millis,
     /// The interface for usage reports and orders.
     pub cloud: Option<SocketAddr>,
-    /// Duties that one instance does for all.
+    /// Duties that the leader carries out.
     pub duties: Vec<String>,
-    /// Most members of a fleet in which each instance reads endpoints' registrations for
-    /// itself; in a larger one a few of each failure domain read for the others.
+    /// Largest fleet in which each instance reads the registrations of endpoints from the store; in
+    /// a larger one a few instances of each failure domain read for the others.
     pub read_alone: usize,
-    /// What the machine's link carries, in Mbit/s; zero where it is not known. The widest ones
-    /// read for others.
+    /// Bandwidth of the machine's link in Mbit/s; zero if unknown. The instances with the fastest
+    /// links read for others.
     pub link: f64,
-    /// Promised limits.
+    /// Limits on which the operators' service guarantees depend.
     pub bounds: Bounds,
     /// The log.
     pub log: Log,
 }
 
 impl Settings {
-    /// What the machine's link carries, in whole Mbit/s.
+    /// Bandwidth of the machine's link, rounded down to Mbit/s.
     #[must_use]
     pub fn link(&self) -> Megabits {
         Megabits(self.link as u64)
