--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -1,4 +1,4 @@
-//! A request from its head to its final answer.
+//! Handles a request from its headers to its final response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,14 +27,14 @@
 use crate::state::{Open, State};
 use crate::stop;
 
-/// When to come back if nothing is known yet.
+/// `Retry-After` while there is no configuration, or a route without a service.
 const NOT_READY_RETRY_DELAY: Duration = Duration::from_millis(600);
-/// When to come back with a request whose like crashed endpoints.
+/// `Retry-After` for a request whose fingerprint has crashed endpoints.
 const POISONOUS_RETRY_DELAY: Duration = Duration::from_secs(30);
-/// Wait of a caller that names none.
+/// Timeout of a caller that names none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Callers' requests.
+/// Serves the requests of callers.
 #[derive(Debug)]
 pub struct Front(pub Rc<State>);
 
@@ -80,7 +80,10 @@
     let id = call.id.clone();
     let path = head.uri.path().to_owned();
     let result = if connection.is_ambiguous() {
-        Err(Refusal::Bad(StatusCode::BAD_REQUEST, "two framings"))
+        Err(Refusal::Bad(
+            StatusCode::BAD_REQUEST,
+            "conflicting message lengths",
+        ))
     } else {
         match admit(state, connection, call, head, content, begun).await {
             Ok(job) => finish(state, job).await,
@@ -90,7 +93,7 @@
     result.unwrap_or_else(|refusal| refuse(state, id.as_deref(), &path, begun, &refusal))
 }
 
-/// Runs an admitted request to its answer and counts how it ended.
+/// Runs an admitted request and records its outcome.
 async fn finish(state: &Rc<State>, job: Job) -> Result<Response<Outgoing>, Refusal> {
     let job = Rc::new(job);
     let result = run(state, Rc::clone(&job)).await;
@@ -136,7 +139,7 @@
     )
 }
 
-/// Reads a request and checks whether it may go on.
+/// Reads a request and decides whether it may run.
 async fn admit(
     state: &Rc<State>,
     connection: &Connection,
@@ -165,11 +168,16 @@
                 "body too large",
             ));
         }
-        Ok(Err(_broken)) => return Err(Refusal::Bad(StatusCode::BAD_REQUEST, "broken body")),
+        Ok(Err(_broken)) => {
+            return Err(Refusal::Bad(
+                StatusCode::BAD_REQUEST,
+                "request body interrupted",
+            ));
+        }
         Err(_elapsed) => {
             return Err(Refusal::Bad(
                 StatusCode::REQUEST_TIMEOUT,
-                "body came too slowly",
+                "request body not received in time",
             ));
         }
     };
@@ -179,7 +187,7 @@
     let verdict = state.suspicions.borrow().verdict(state.now(), fingerprint);
     if verdict == Verdict::Poisonous {
         return Err(unavailable(
-            "such requests crashed endpoints",
+            "similar requests crashed endpoints",
             POISONOUS_RETRY_DELAY,
         ));
     }
@@ -206,13 +214,14 @@
         begun,
         due,
     };
-    // Before its tokens are granted, as the instance that takes it grants them too.
+    // This precedes the rate limit: the instance that takes over a refused request charges its
+    // tokens too.
     stop::check(state, &job, connection)?;
     grant(state, &job)?;
     Ok(job)
 }
 
-/// Takes a request's tokens from its workspace's rate.
+/// Charges a request to the rate limit of its workspace.
 fn grant(state: &State, job: &Job) -> Result<(), Refusal> {
     let Some(workspace) = &job.workspace else {
         return Ok(());
@@ -234,7 +243,7 @@
     ));
     Err(Refusal::NotRun(
         StatusCode::TOO_MANY_REQUESTS,
-        "over the workspace's rate",
+        "rate limit of the workspace exceeded",
         short.retry_after,
     ))
 }
@@ -251,7 +260,7 @@
         .ok_or(Refusal::Bad(StatusCode::NOT_FOUND, "no such route"))
 }
 
-/// Whose request it is, and how urgent.
+/// The workspace and priority of a request.
 fn identify(
     table: &Config,
     route: &Route,
@@ -271,7 +280,7 @@
     }
 }
 
-/// Sends a request until it has its final answer, at the latest when a stop ends.
+/// Runs a request to its final response, or until shutdown aborts it.
 async fn run(state: &Rc<State>, job: Rc<Job>) -> Result<Response<Outgoing>, Refusal> {
     tokio::select! {
         answer = send(state, job) => answer,
@@ -302,7 +311,7 @@
     }
 }
 
-/// No answer came in time: it takes longer than that.
+/// Records that the request took at least this long, and refuses it.
 fn time_out(state: &State, job: &Job) -> Refusal {
     state.record_duration(&job.route, job.begun);
     timed_out()
