--- a/coltsfoothall/benches/gossip.rs
+++ b/coltsfoothall/benches/gossip.rs
@@ -1,4 +1,4 @@
-//! Time of one heartbeat, and of one choice, by the size of the fleet.
+//! Time to merge a heartbeat and to choose an endpoint, by the size of the fleet.
 //!
 //! `cargo bench -p coltsfoothall --bench gossip`
 
@@ -18,11 +18,11 @@
 
 /// Instances and endpoints of each fleet.
 const FLEETS: [(u64, usize); 4] = [(9, 18), (30, 298), (100, 1002), (300, 2997)];
-/// Endpoints at which one instance has something open.
+/// Endpoints at which each instance has open requests.
 const OPEN: usize = 24;
 /// Workspaces whose requests are counted.
 const WORKSPACES: usize = 19;
-/// Heartbeats of each instance that are measured.
+/// Measured heartbeats of each instance.
 const ROUNDS: usize = 8;
 
 fn main() {
@@ -77,7 +77,7 @@
         pairs: 10_000,
         memory: 2_000,
     };
-    let said = |boot: u64, round: usize| -> Vec<Count<Load>> {
+    let report = |boot: u64, round: usize| -> Vec<Count<Load>> {
         let first = (boot as usize * 31 + round * 7) % endpoints;
         let mut at: Vec<usize> = (0..OPEN)
             .map(|step| (first + step * 37) % endpoints)
@@ -94,9 +94,9 @@
     let mut took = Duration::ZERO;
     for round in 0..ROUNDS {
         for boot in 0..instances {
-            let said = said(boot, round);
+            let report = report(boot, round);
             let begun = Instant::now();
-            black_box(roster.merge_loads(Time::START, boot, &said));
+            black_box(roster.merge_loads(Time::START, boot, &report));
             took += begun.elapsed();
         }
     }
--- a/coltsfoothall/benches/verdict.rs
+++ b/coltsfoothall/benches/verdict.rs
@@ -1,7 +1,7 @@
-//! Two ways to find a version that answers worse, over 1,000 seeds each: evidence added up answer by
-//! answer, and a threshold on the part of bad answers.
+//! Compares two methods that detect a worse version, over 1,000 seeds each: the cumulative evidence
+//! of all answers, and a threshold on the share of bad answers.
 //!
-//! Prints, for each way and kind of version, how often it was found within 400 answers and
+//! Prints for each method and kind of version how often it was detected within 400 answers, and
 //! after how many.
 
 use std::time::Duration;
@@ -14,12 +14,12 @@
 const ANSWERS: u32 = 400;
 /// Answers of the baseline for each of the candidate.
 const BASELINE: u32 = 11;
-/// The threshold: bad answers above the baseline's part, once there are enough.
-const ABOVE: f64 = 0.1;
-const ENOUGH: u32 = 30;
+/// Threshold method: share of bad answers above the baseline's, and the answers required.
+const EXCESS_THRESHOLD: f64 = 0.1;
+const MIN_ANSWERS: u32 = 30;
 
-/// A kind of version: the part that the baseline fails, and what the candidate fails besides, from
-/// an answer on.
+/// A kind of version: the share that the baseline fails, and the additional share that the candidate
+/// fails from some answer on.
 struct Kind {
     name: &'static str,
     usual: f64,
@@ -78,7 +78,7 @@
     },
 ];
 
-/// After how many answers each way found it, if it did.
+/// Number of answers after which each method detected the version, if it did.
 fn play(kind: &Kind, seed: u64) -> [Option<u32>; 2] {
     let mut rng = StdRng::seed_from_u64(seed);
     let took = Duration::from_millis(100);
@@ -95,7 +95,8 @@
         candidate.add(took, failed, Count::default());
         detector.record(candidate.since(had), baseline);
         let part = |count: Count| f64::from(count.bad) / f64::from(count.runs);
-        let above = candidate.runs >= ENOUGH && part(candidate) > part(baseline) + ABOVE;
+        let above =
+            candidate.runs >= MIN_ANSWERS && part(candidate) > part(baseline) + EXCESS_THRESHOLD;
         let ways = [detector.is_certain(), above];
         for (found, now) in found.iter_mut().zip(ways) {
             if now && found.is_none() {
--- a/coltsfoothall/tests/forward_config.rs
+++ b/coltsfoothall/tests/forward_config.rs
@@ -1,4 +1,4 @@
-//! Routes and keys of a configuration.
+//! Lookup of routes and API keys in a configuration.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -27,39 +27,39 @@
     }
 }
 
-fn table(routes: Vec<Route>) -> Config {
+fn config(routes: Vec<Route>) -> Config {
     Config::new(1, Limits::default(), routes, Vec::new(), Vec::new())
 }
 
 #[test]
 fn longest_prefix() {
     let one = &[("a", 1)];
-    let table = table(vec![
+    let config = config(vec![
         route("h", "/", one),
         route("h", "/x/", one),
         route("h", "/x/y/", one),
         route("other", "/x/y/z/", one),
     ]);
-    let name = |path: &str| table.route("h", path).map(|route| route.prefix.clone());
+    let name = |path: &str| config.route("h", path).map(|route| route.prefix.clone());
     assert_eq!(name("/x/y/z/q"), Some("/x/y/".into()));
     assert_eq!(name("/x/yy"), Some("/x/".into()));
     assert_eq!(name("/xx"), Some("/".into()));
-    assert_eq!(table.route("nobody", "/x/"), None);
+    assert_eq!(config.route("nobody", "/x/"), None);
 }
 
 #[test]
-fn no_slash() {
-    let table = table(vec![route("h", "/x/", &[("a", 1)])]);
+fn prefix_ends_with_slash() {
+    let config = config(vec![route("h", "/x/", &[("a", 1)])]);
     assert!(
-        table.route("h", "/x").is_none(),
+        config.route("h", "/x").is_none(),
         "the prefix ends with a slash"
     );
-    assert!(table.route("h", "*").is_none());
-    assert!(table.route("h", "").is_none());
+    assert!(config.route("h", "*").is_none());
+    assert!(config.route("h", "").is_none());
 }
 
 #[test]
-fn weights_kept() {
+fn targets_by_weight() {
     let route = route("h", "/", &[("a", 90), ("b", 10)]);
     let draws = (0..1_000).filter_map(|draw| route.target(draw));
     let heavy = draws.filter(|service| service.as_str() == "a").count();
@@ -68,7 +68,7 @@
     assert_eq!(
         idle.target(7).unwrap().as_str(),
         "a",
-        "no weight at all still serves"
+        "targets without weights are still served"
     );
 }
 
@@ -87,17 +87,17 @@
         workspace("zeta", &["k3", "k1"]),
         workspace("alpha", &["k2"]),
     ];
-    let table = Config::new(1, Limits::default(), Vec::new(), Vec::new(), workspaces);
+    let config = Config::new(1, Limits::default(), Vec::new(), Vec::new(), workspaces);
     let name = |key: &str| {
-        table
+        config
             .workspace_by_key(key)
             .map(|have| have.name.to_string())
     };
     assert_eq!(name("k1"), Some("zeta".into()));
     assert_eq!(name("k2"), Some("alpha".into()));
     assert_eq!(name("k"), None);
-    assert!(table.workspaces().iter().all(|have| have.keys.is_empty()));
-    assert_eq!(table.limits.idle, Duration::from_secs(15));
+    assert!(config.workspaces().iter().all(|have| have.keys.is_empty()));
+    assert_eq!(config.limits.idle, Duration::from_secs(15));
 }
 
 proptest! {
@@ -105,7 +105,7 @@
     fn any_path(paths in proptest::collection::vec("(/[ab]{0,2}){0,4}/", 0..12), asked in "[/ab]{0,12}") {
         let routes: Vec<Route> = paths.iter().map(|path| route("h", path, &[("a", 1)])).collect();
         let expected = paths.iter().filter(|path| asked.starts_with(path.as_str())).map(String::len).max();
-        let table = table(routes);
-        prop_assert_eq!(table.route("h", &asked).map(|route| route.prefix.len()), expected);
+        let config = config(routes);
+        prop_assert_eq!(config.route("h", &asked).map(|route| route.prefix.len()), expected);
     }
 }
--- a/coltsfoothall/tests/forward_egress.rs
+++ b/coltsfoothall/tests/forward_egress.rs
@@ -1,4 +1,4 @@
-//! How a large value spreads from one instance to a fleet.
+//! Spread of a large value from one instance to a fleet.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 
 /// Instances of the fleet.
 const FLEET: usize = 64;
-/// Milliseconds between two questions of an instance.
-const LOOK: u64 = 250;
-/// Bytes of the value: a configuration of a megabyte, compressed.
-const VALUE: usize = 150_000;
-/// Milliseconds in which a configuration has to be in force everywhere.
-const IN_FORCE: u64 = 3_000;
+/// Milliseconds between two requests of an instance.
+const REQUEST_INTERVAL_MS: u64 = 250;
+/// Size of the value: a compressed configuration of a megabyte.
+const VALUE_BYTES: usize = 150_000;
+/// Milliseconds within which a configuration has to be in force everywhere.
+const MAX_SPREAD_MS: u64 = 3_000;
 
 fn at(millis: u64) -> Time {
     Time::START + Duration::from_millis(millis)
@@ -23,16 +23,21 @@
 #[test]
 fn refused_while_busy() {
     let mut outflow = Limiter::default();
-    let admitted = (0..20).filter(|_| outflow.admit(at(0), VALUE)).count();
-    assert!((2..5).contains(&admitted), "{admitted} at once");
-    assert!(outflow.admit(at(1_000), VALUE), "others later");
+    let admitted = (0..20)
+        .filter(|_| outflow.admit(at(0), VALUE_BYTES))
+        .count();
+    assert!((2..5).contains(&admitted), "{admitted} admitted at once");
+    assert!(outflow.admit(at(1_000), VALUE_BYTES), "others later");
     let mut large = Limiter::default();
-    assert!(large.admit(at(0), 16 << 20), "one of any size");
+    assert!(
+        large.admit(at(0), 16 << 20),
+        "one answer of any size is admitted"
+    );
     assert!(!large.admit(at(1_000), 1));
 }
 
-/// Those that have the value are asked for it by all others, again and again, and have `carried`
-/// what they accepted so many milliseconds later.
+/// All instances without the value repeatedly ask those that have it, which deliver what they
+/// admit after `carried` milliseconds. Returns the time until all have it.
 fn spread(seed: u64, have: usize, carried: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut outflows = vec![Limiter::default(); FLEET];
@@ -40,13 +45,13 @@
     since[..have].fill(Some(0));
     let mut now = 0;
     while since.iter().any(Option::is_none) {
-        now += LOOK;
-        assert!(now < IN_FORCE, "seed {seed}: not all are served");
+        now += REQUEST_INTERVAL_MS;
+        assert!(now < MAX_SPREAD_MS, "seed {seed}: not all are served");
         let served = |since: &Option<u64>| since.is_some_and(|since| since <= now);
         let sources: Vec<usize> = (0..FLEET).filter(|at| served(&since[*at])).collect();
         for since in since.iter_mut().filter(|since| since.is_none()) {
             let source = sources[random.next_u64() as usize % sources.len()];
-            if outflows[source].admit(at(now), VALUE) {
+            if outflows[source].admit(at(now), VALUE_BYTES) {
                 *since = Some(now + carried);
             }
         }
@@ -58,15 +63,15 @@
 fn from_one() {
     for seed in 0..50 {
         let last = spread(seed, 1, 500);
-        assert!(last <= IN_FORCE, "seed {seed}: {last} ms");
+        assert!(last <= MAX_SPREAD_MS, "seed {seed}: {last} ms");
     }
 }
 
-/// The store turned half of the fleet away while the value changed.
+/// The store refused half of the fleet while the value changed.
 #[test]
 fn from_half() {
     for seed in 0..50 {
         let last = spread(seed, FLEET / 2, 500);
-        assert!(last <= IN_FORCE, "seed {seed}: {last} ms");
+        assert!(last <= MAX_SPREAD_MS, "seed {seed}: {last} ms");
     }
 }
--- a/coltsfoothall/tests/forward_gossip.rs
+++ b/coltsfoothall/tests/forward_gossip.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of endpoints' load, in fleets of any size.
+//! Reports of endpoints' load between instances, in fleets of any size.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -56,9 +56,9 @@
     }
 }
 
-/// 300 instances and 1,000 endpoints, each instance busy at two of them. What is held of
-/// the others follows their open work: a row for each instance and endpoint made one
-/// heartbeat take 9 ms in a fleet of 300 and 2,997, and 25 MB.
+/// 300 instances and 1,000 endpoints, with each instance busy at two of them. The number of loads
+/// kept for other instances must follow their open work. A row for each pair of an instance and an
+/// endpoint took 25 MB and 9 ms per heartbeat with 300 instances and 2,997 endpoints.
 #[test]
 fn rows_follow_work() {
     let mut roster = Roster::new(Settings::default());
@@ -77,7 +77,7 @@
     assert!(roster.nodes().iter().all(|node| node.load().open == 0));
 }
 
-/// What another instance does, or what becomes of an endpoint.
+/// An action of another instance, or a change of an endpoint.
 #[derive(Debug, Clone)]
 enum Step {
     Hears { boot: u64, loads: Vec<(usize, u32)> },
@@ -100,7 +100,7 @@
 }
 
 proptest! {
-    /// The load of an endpoint is the sum of what each instance told of it last, since it
+    /// The load of an endpoint is the sum of the last report of each instance since the endpoint
     /// started or registered again.
     #[test]
     fn last_told_counts(steps in prop::collection::vec(step(), 1..60)) {
--- a/coltsfoothall/tests/forward_history.rs
+++ b/coltsfoothall/tests/forward_history.rs
@@ -1,9 +1,9 @@
-//! Places in a store's history, and the fences made from them.
+//! Positions in a store's history, and the fences derived from them.
 
 use coltsfoothall::forward::history::{Era, Eras, Fence, Position};
 use proptest::prelude::*;
 
-fn place() -> impl Strategy<Value = Position> {
+fn position() -> impl Strategy<Value = Position> {
     (0..8_000_u64, 0..1_u64 << 40).prop_map(|(era, revision)| Position {
         era: Era(era),
         revision,
@@ -11,35 +11,35 @@
 }
 
 proptest! {
-    /// A later place has a higher fence, whatever the revisions.
+    /// A later position has a higher fence, whatever the revisions.
     #[test]
-    fn fences_follow_history(one in place(), two in place()) {
+    fn fences_follow_history(one in position(), two in position()) {
         prop_assert_eq!(one.cmp(&two), Fence::from(one).cmp(&Fence::from(two)));
     }
 
-    /// A reader that takes numbers for doubles tells fences apart.
+    /// Fences stay distinct for a reader that parses numbers as doubles.
     #[test]
-    fn exact_as_double(place in place()) {
-        let fence: u64 = Fence::from(place).to_string().parse().expect("a number");
+    fn exact_as_double(position in position()) {
+        let fence: u64 = Fence::from(position).to_string().parse().expect("a number");
         prop_assert!(fence < 1 << 53);
     }
 }
 
 proptest! {
-    /// A place is read as it was written.
+    /// A position survives formatting and parsing.
     #[test]
-    fn place_from_text(place in place()) {
-        prop_assert_eq!(place.to_string().parse(), Ok(place));
+    fn place_from_text(position in position()) {
+        prop_assert_eq!(position.to_string().parse(), Ok(position));
     }
 }
 
 #[test]
 fn one_copy_alone() {
-    let place = Position {
+    let position = Position {
         era: Era(0),
         revision: 77,
     };
-    assert_eq!(Fence::from(place).to_string(), "77");
+    assert_eq!(Fence::from(position).to_string(), "77");
 }
 
 #[test]
@@ -49,22 +49,26 @@
     assert_eq!(error.to_string(), "era \"-3\" is not a whole number");
 }
 
-/// The store comes back at revision 40; what it holds up to there may be from before.
+/// The store is restored at revision 40; values up to that revision may be from the era before.
 #[test]
 fn copy_dated_before() {
     let mut eras = Eras::default();
     let first = eras.record(Some(Era(3)));
     assert_eq!(eras.at(first, 90).revision, 90);
-    assert_eq!(eras.written(first, 20).era, Era(3), "no return was seen");
+    assert_eq!(eras.written(first, 20).era, Era(3), "no restore was seen");
     let next = eras.record(Some(Era(4)));
     assert!(eras.at(next, 40) > eras.at(first, 90));
     assert_eq!(eras.written(next, 40).era, Era(3));
     assert_eq!(eras.written(next, 41).era, Era(4));
-    assert_eq!(eras.record(None), Era(4), "the newest, if none is named");
+    assert_eq!(
+        eras.record(None),
+        Era(4),
+        "the newest era if the response names none"
+    );
     assert_eq!(
         eras.record(Some(Era(3))),
         Era(3),
-        "an answer that comes late"
+        "a response that arrives late"
     );
     assert_eq!(eras.newest(), Some(Era(4)));
 }
--- a/coltsfoothall/tests/forward_lag.rs
+++ b/coltsfoothall/tests/forward_lag.rs
@@ -1,4 +1,4 @@
-//! How long an instance has known that it lacks the newest configuration.
+//! Lag of an instance behind the newest configuration that it knows to exist.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
     assert_eq!(
         lag.record_applied(at(1_100), 9),
         millis(800),
-        "a later one holds it"
+        "a later version includes it"
     );
     assert_eq!(lag.age(at(1_100)), None);
 }
@@ -59,7 +59,10 @@
     }
     assert_eq!(lag.age(at(2_000)), millis(1_999));
     lag.record_applied(at(2_000), 999);
-    assert!(lag.age(at(2_000)).is_some(), "the newest is remembered");
+    assert!(
+        lag.age(at(2_000)).is_some(),
+        "the newest version is remembered"
+    );
     lag.record_applied(at(2_000), 1_000);
     assert_eq!(lag.age(at(2_000)), None);
 }
@@ -68,27 +71,36 @@
 fn backlog_once() {
     let mut backlog = Backlog::default();
     backlog.record_delivered(5);
-    assert!(!backlog.grew(5), "nothing is known that was not brought");
-    assert!(backlog.grew(8), "history would bring all between");
+    assert!(!backlog.grew(5), "every known version was delivered");
+    assert!(
+        backlog.grew(8),
+        "the history would include all versions in between"
+    );
     assert!(
         !backlog.grew(8),
-        "the store may not have it, as after a copy"
+        "the store may lack it, as after a restore"
     );
     assert!(backlog.grew(9));
     backlog.record_delivered(12);
     assert!(!backlog.grew(12));
 }
 
-/// A peer's answer would share the link with the store's, which brings most configurations.
+/// The store delivers most configurations, and a peer's answer would compete with it for the link.
 #[test]
 fn store_first() {
     let mut lag = Lag::default();
     assert!(!lag.should_ask_peer(at(0), false), "nothing is missing");
     lag.record_known(at(100), 5);
-    assert!(!lag.should_ask_peer(at(200), true), "the store brings it");
+    assert!(
+        !lag.should_ask_peer(at(200), true),
+        "the store is expected to deliver it"
+    );
     assert!(
         lag.should_ask_peer(at(200), false),
         "the store does not answer"
     );
-    assert!(lag.should_ask_peer(at(1_200), true), "nor did it in time");
+    assert!(
+        lag.should_ask_peer(at(1_200), true),
+        "the store did not deliver it in time"
+    );
 }
--- a/coltsfoothall/tests/forward_latency.rs
+++ b/coltsfoothall/tests/forward_latency.rs
@@ -1,4 +1,4 @@
-//! What is learned of engines from the answers seen.
+//! Fit of the latency model to the answers of engines.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// An engine as it is, in microseconds.
+/// True coefficients of an engine, in microseconds.
 #[derive(Debug, Clone, Copy)]
 struct Truth {
     start: f64,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Prompts of a mixed load: many short ones, some of tens of thousands of tokens.
+/// A request of a mixed load: many short prompts, some of tens of thousands of tokens.
 fn sample(random: &mut Pcg64Mcg) -> Sample {
     let long = random.random_bool(0.2);
     let own: u64 = if long {
@@ -41,7 +41,7 @@
     }
 }
 
-/// How far the expected time is off, as a part of the true one, on average.
+/// Mean relative error of the expected time.
 fn error(model: &Model, truth: Truth, random: &mut Pcg64Mcg) -> f64 {
     let errors = (0..200).map(|_| {
         let sample = sample(random);
@@ -72,8 +72,8 @@
     assert!((read - settings.read * 1_000.0).abs() < 1.0, "{read}");
 }
 
-/// Engines seven times apart in what a request beside costs are told apart within the
-/// answers that one instance of six sees in 1, 5 and 20 s of a load of 120 a second.
+/// Engines whose cost of a further request in the batch differs sevenfold are told apart within the
+/// answers that one instance of six sees in 1, 5 and 20 s of a load of 120 requests per second.
 #[test]
 fn unlike_engines() {
     let fast = Truth {
@@ -105,7 +105,7 @@
     }
 }
 
-/// One answer in fifteen that stalls for seconds leaves the estimate within a half.
+/// With one answer in fifteen stalled for seconds, the mean error stays within a half.
 #[test]
 fn stalls_bounded() {
     let truth = Truth {
@@ -124,9 +124,9 @@
     assert!(error < 0.5, "{error}");
 }
 
-/// An overload as one of many instances sees it: what the others queued is not known yet, and
-/// batches grow with it. The share of a request in the batch, which loads are reckoned with,
-/// stays within three times the true one.
+/// An overload as seen by one of many instances: the queue of the others is not known yet, and
+/// batches grow with it. The batch coefficient, from which loads are computed, must stay within
+/// three times the true one.
 #[test]
 fn unseen_queue() {
     let truth = Truth {
@@ -152,7 +152,7 @@
 }
 
 proptest! {
-    /// Whatever is seen, no share is below nothing and the expected time is finite.
+    /// For any answers, no coefficient is negative and the expected time is finite.
     #[test]
     fn always_sound(answers in proptest::collection::vec(
         (0_u64..200_000, 0_u64..20_000_000_000, 0_u32..2_000, 0_u64..120_000_000), 1..200)) {
--- a/coltsfoothall/tests/forward_leader.rs
+++ b/coltsfoothall/tests/forward_leader.rs
@@ -1,4 +1,4 @@
-//! The election of who acts for all.
+//! Election of the leader.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     assert_eq!(
         leader.step(at(9_000), 0),
         Step::Rest,
-        "somebody may hold it"
+        "another instance may hold the key"
     );
     leader.freed(at(9_000));
     assert_eq!(leader.step(at(9_000), 0), Step::Claim);
@@ -51,7 +51,11 @@
     leader.freed(at(0));
     leader.claimed(at(0), lease(7), place(12));
     assert_eq!(leader.fence(at(2_000)), Some(Fence::from(place(12))));
-    assert_eq!(leader.fence(at(2_250)), None, "the margin is kept");
+    assert_eq!(
+        leader.fence(at(2_250)),
+        None,
+        "the margin at the end of the lease"
+    );
     leader.renewed(at(1_000), lease(7));
     assert_eq!(leader.fence(at(3_000)), Some(Fence::from(place(12))));
     leader.renewed(at(3_000), lease(99));
@@ -69,14 +73,14 @@
     assert_eq!(
         leader.fence(at(60_000)),
         None,
-        "time that it stood still counts"
+        "the lease expires while the process is frozen"
     );
     leader.taken(place(15));
     leader.renewed(at(60_000), lease(7));
     assert_eq!(
         leader.fence(at(60_000)),
         None,
-        "another holder's key ends it"
+        "a key of another leader ends the term"
     );
     assert_eq!(leader.step(at(60_000), 0), Step::Rest);
 }
@@ -92,11 +96,11 @@
     assert_eq!(
         leader.step(at(9_000), 0),
         Step::Rest,
-        "who stops claims no more"
+        "a stopping instance claims nothing"
     );
 }
 
-/// The store came back from a copy that holds neither the key nor the lease.
+/// The store is restored from a backup that holds neither the key nor the lease.
 #[test]
 fn claims_anew() {
     let mut leader = Leader::new(TERM);
@@ -104,9 +108,13 @@
     leader.record_era(Era(1));
     assert_eq!(leader.fence(at(100)), Some(Fence::from(place(900))));
     leader.record_era(Era(2));
-    assert_eq!(leader.fence(at(100)), None, "not before a new claim");
+    assert_eq!(leader.fence(at(100)), None, "no fence before a new claim");
     leader.renewed(at(100), lease(7));
-    assert_eq!(leader.fence(at(200)), None, "a late answer renews nothing");
+    assert_eq!(
+        leader.fence(at(200)),
+        None,
+        "a late response renews nothing"
+    );
     leader.freed(at(200));
     assert_eq!(leader.step(at(200), 0), Step::Claim);
     let (era, lower) = (Era(2), 13);
@@ -118,7 +126,7 @@
     assert!(leader.fence(at(300)) > Some(Fence::from(place(900))));
 }
 
-/// A lease that was taken before the rise, and a key that was written after it.
+/// A lease that was granted before the restore, and a key that was written after it.
 #[test]
 fn claim_over_rise() {
     let mut leader = Leader::new(TERM);
--- a/coltsfoothall/tests/forward_order.rs
+++ b/coltsfoothall/tests/forward_order.rs
@@ -1,4 +1,4 @@
-//! Orders of endpoints by failure domain and kind.
+//! Orders of endpoints by failure domain and kind, for loads and reclaims over time.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -41,15 +41,15 @@
     Some(Load { value, settled })
 }
 
-/// Endpoints that carry a load after the loss of a domain.
+/// Endpoints that are needed for a load after the loss of a domain.
 fn need(load: f64) -> u32 {
     (load / Settings::default().max_utilization).ceil() as u32
 }
 
-/// What is there, which follows the orders as a platform without trouble would.
+/// A platform that executes orders at once, except for reclaimable endpoints while `dry`.
 struct Site {
     live: Vec<(id::Domain, Live)>,
-    book: Planner,
+    planner: Planner,
     dry: bool,
 }
 
@@ -67,10 +67,10 @@
                 )
             })
             .collect();
-        let book = Planner::new(at(0), scaling(Some(0.2)), &live, Settings::default());
+        let planner = Planner::new(at(0), scaling(Some(0.2)), &live, Settings::default());
         Self {
             live,
-            book,
+            planner,
             dry: false,
         }
     }
@@ -78,11 +78,11 @@
     fn run(&mut self, from: u64, to: u64, load: f64) {
         let load = settled(load);
         for now in (from..to).step_by(300) {
-            for order in self.book.decide(at(now), load, &self.live) {
+            for order in self.planner.decide(at(now), load, &self.live) {
                 if order.reclaimable && self.dry {
-                    self.book.refused(at(now), &order);
+                    self.planner.refused(at(now), &order);
                 } else {
-                    self.book.accepted(&order);
+                    self.planner.accepted(&order);
                     self.fill(&order);
                 }
             }
@@ -107,7 +107,7 @@
         self.live.iter().map(|(_, live)| live.reclaimable).sum()
     }
 
-    /// What is left after the loss of the domain with most reclaimable ones.
+    /// Endpoints left after the loss of the domain with the most reclaimable ones.
     fn left(&self) -> u32 {
         let worst = self
             .live
@@ -126,14 +126,14 @@
     assert!(site.on_demand() <= 2, "{:?}", site.live);
     assert!(
         site.left() >= need(8.0),
-        "one domain's loss leaves the load: {:?}",
+        "the load is carried after the loss of one domain: {:?}",
         site.live
     );
     let south = &site.live[1].1;
     assert_eq!(
         south.on_demand,
         site.on_demand(),
-        "on demand where it is cheapest"
+        "on-demand endpoints are in the cheapest domain"
     );
 }
 
@@ -157,12 +157,12 @@
     site.run(22_500, 45_000, 8.0);
     assert!(
         site.on_demand() <= 2,
-        "back to the cheap kind: {:?}",
+        "reclaimable endpoints replace on-demand ones again: {:?}",
         site.live
     );
 }
 
-/// A load that falls for 3 s and comes back gives nothing back; one that stays low does.
+/// A load that falls for 3 s and recovers does not reduce the count; one that stays low does.
 #[test]
 fn trough_held() {
     let mut site = Site::new(6);
@@ -172,7 +172,10 @@
         for now in (from..to).step_by(300) {
             total += load * 300_000;
             meter.merge_work(at(now), 1, total);
-            for order in site.book.decide(at(now), meter.load(at(now)), &site.live) {
+            for order in site
+                .planner
+                .decide(at(now), meter.load(at(now)), &site.live)
+            {
                 site.fill(&order);
             }
         }
@@ -186,8 +189,9 @@
     assert!(site.reclaimable() < before);
 }
 
-/// Reclaims that come one after the other within a boot time, with nothing to be had
-/// meanwhile: what is ordered on demand at the first one bears the next two.
+/// Reclaims in quick succession within one start-up time, while no reclaimable endpoints are
+/// available: the on-demand endpoints ordered after the first reclaim carry the load after the
+/// next two.
 #[test]
 fn wave_borne() {
     let mut site = Site::new(6);
@@ -204,7 +208,7 @@
 #[test]
 fn late_listing() {
     let none: Vec<(id::Domain, Live)> = Vec::new();
-    let mut book = Planner::new(at(0), scaling(Some(0.2)), &none, Settings::default());
+    let mut planner = Planner::new(at(0), scaling(Some(0.2)), &none, Settings::default());
     let live: Vec<(id::Domain, Live)> = NAMES
         .iter()
         .map(|name| {
@@ -217,8 +221,8 @@
             )
         })
         .collect();
-    book.decide(at(0), None, &none);
-    let orders = book.decide(at(300), None, &live);
+    planner.decide(at(0), None, &none);
+    let orders = planner.decide(at(300), None, &live);
     let least = orders
         .iter()
         .filter(|order| order.reclaimable)
@@ -226,19 +230,19 @@
         .min();
     assert!(
         least >= Some(5),
-        "the guess follows what registers: {orders:?}"
+        "the assumed load follows the registrations: {orders:?}"
     );
     assert!(
         orders.iter().all(|order| order.reclaimable),
-        "nothing is given back yet"
+        "no on-demand count is reduced yet"
     );
 }
 
 #[test]
-fn without_cheap_kind() {
+fn without_reclaimable() {
     let live: Vec<(id::Domain, Live)> = Vec::new();
-    let mut book = Planner::new(at(0), scaling(None), &live, Settings::default());
-    let orders = book.decide(at(0), settled(5.0), &live);
+    let mut planner = Planner::new(at(0), scaling(None), &live, Settings::default());
+    let orders = planner.decide(at(0), settled(5.0), &live);
     assert!(orders.iter().all(|order| !order.reclaimable));
     assert_eq!(
         orders.iter().map(|order| order.count).sum::<u32>(),
@@ -247,7 +251,7 @@
 }
 
 #[test]
-fn limit_of_domain() {
+fn domain_limits() {
     let mut site = Site::new(1);
     site.run(0, 20_000, 100.0);
     for (name, live) in &site.live {
@@ -272,7 +276,7 @@
     let young = meter.load(at(2_100)).unwrap();
     assert_eq!(
         young.value, 2.0,
-        "what a boot did before it was heard is not counted"
+        "work before the first report of an instance is not counted"
     );
     assert!(!young.settled);
     assert!(meter.load(at(9_000)).unwrap().settled);
@@ -282,7 +286,7 @@
 }
 
 #[test]
-fn new_holder_waits() {
+fn new_leader_waits() {
     let live: Vec<(id::Domain, Live)> = NAMES
         .iter()
         .map(|name| {
@@ -295,35 +299,35 @@
             )
         })
         .collect();
-    let mut book = Planner::new(at(0), scaling(Some(0.2)), &live, Settings::default());
+    let mut planner = Planner::new(at(0), scaling(Some(0.2)), &live, Settings::default());
     let young = Load {
         value: 1.0,
         settled: false,
     };
     for now in (0..9_000).step_by(300) {
-        let orders = book.decide(at(now), Some(young), &live);
+        let orders = planner.decide(at(now), Some(young), &live);
         let less = orders
             .iter()
             .filter(|order| order.reclaimable && order.count < 5);
         assert_eq!(
             less.count(),
             0,
-            "what was there before was there for a reason"
+            "the previous leader had ordered them for a reason"
         );
     }
 }
 
 #[test]
-fn guess_stays() {
+fn assumed_load_is_stable() {
     let mut site = Site::new(6);
     for now in (0..9_000).step_by(300) {
-        for order in site.book.decide(at(now), None, &site.live) {
+        for order in site.planner.decide(at(now), None, &site.live) {
             site.fill(&order);
         }
     }
     assert!(
         site.reclaimable() <= 18,
-        "what was ordered is no load: {:?}",
+        "orders of the planner do not count as load: {:?}",
         site.live
     );
     let guessed = 18.0 * Settings::default().initial_utilization;
@@ -331,7 +335,7 @@
 }
 
 #[test]
-fn steady_ones_stay() {
+fn on_demand_is_stable() {
     let mut site = Site::new(6);
     site.run(0, 20_000, 10.0);
     site.dry = true;
@@ -341,16 +345,19 @@
     site.run(20_000, 22_500, 10.0);
     let before = site.live.clone();
     site.run(22_500, 40_000, 10.0);
-    assert_eq!(before, site.live, "tries for the cheap kind move nothing");
+    assert_eq!(
+        before, site.live,
+        "attempts to order reclaimable endpoints change nothing else"
+    );
 }
 
-/// A fleet that starts with dear endpoints alone, before any traffic: as soon as the cheap
-/// ones serve, the dear ones are given back, and not a calm later.
+/// A fleet that starts with on-demand endpoints only, before any traffic: as soon as reclaimable
+/// ones serve, the on-demand count is reduced, without the reduction delay.
 #[test]
 fn idle_given_back() {
     let mut site = Site::new(6);
     for now in (0..6_000).step_by(300) {
-        for order in site.book.decide(at(now), None, &site.live) {
+        for order in site.planner.decide(at(now), None, &site.live) {
             site.fill(&order);
         }
     }
@@ -361,9 +368,9 @@
         settled: false,
     });
     for now in (6_000..8_000).step_by(300) {
-        for order in site.book.decide(at(now), young, &site.live) {
+        for order in site.planner.decide(at(now), young, &site.live) {
             site.fill(&order);
         }
     }
-    assert_eq!(before, site.live, "what carries the guess stays");
+    assert_eq!(before, site.live, "the endpoints for the assumed load stay");
 }
--- a/coltsfoothall/tests/forward_parts.rs
+++ b/coltsfoothall/tests/forward_parts.rs
@@ -1,4 +1,4 @@
-//! Shared parts of prompts over many instances while endpoints come and go.
+//! Placement of shared prompt prefixes by many instances while endpoints join and leave.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -15,9 +15,9 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Instances that choose on their own.
+/// Instances that choose endpoints independently.
 const INSTANCES: usize = 6;
-/// Shared parts that requests ask for.
+/// Shared prefixes in the requests.
 const PARTS: u64 = 40;
 /// Milliseconds between two heartbeats.
 const HEARTBEAT: u64 = 100;
@@ -59,7 +59,7 @@
     vec![part(1, 500), part(100 + mark, 4_000), part(own, 600)]
 }
 
-/// Instances, endpoints, and which endpoint truly read which part.
+/// Instances, endpoints, and which endpoint really prefilled which prefix.
 struct Fleet {
     rosters: Vec<Roster>,
     read: Vec<(id::Endpoint, u64)>,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A request for a part arrives at any instance.
+    /// A request with a shared prefix arrives at a random instance.
     fn ask(&mut self, now: u64, mark: u64, random: &mut Pcg64Mcg) {
         let (service, domain) = ("reader".parse().unwrap(), "north".parse().unwrap());
         let parts = parts(mark, random.random());
@@ -129,7 +129,7 @@
     }
 }
 
-/// Twenty seconds of requests for forty parts, with `change` at each of their milliseconds.
+/// Twenty seconds of requests with forty prefixes; `change` is called every millisecond.
 fn play(seed: u64, endpoints: u64, mut change: impl FnMut(&mut Fleet, u64)) -> Fleet {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut fleet = Fleet::new(endpoints);
@@ -146,8 +146,8 @@
     fleet
 }
 
-/// Endpoints join one after the other while forty parts are asked for: each part stays where
-/// it was read, although the new ones come first in the hash of a part of them.
+/// Endpoints join one after the other: each prefix stays where it was prefilled, although a new
+/// endpoint comes first in the rendezvous hash of some prefixes.
 #[test]
 fn parts_stay() {
     for seed in 0..5 {
@@ -161,7 +161,7 @@
     }
 }
 
-/// Endpoints that are taken away take their parts with them and no others.
+/// When endpoints are reclaimed, only the prefixes they had cached are prefilled again.
 #[test]
 fn lost_parts_alone() {
     for seed in 0..5 {
--- a/coltsfoothall/tests/forward_peer.rs
+++ b/coltsfoothall/tests/forward_peer.rs
@@ -1,4 +1,4 @@
-//! Other entry instances as one hears them.
+//! Liveness, addresses and clocks of the other entry instances.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn near_ones_alone() {
+fn local_addresses_only() {
     let mut peers = peers();
     for (last, domain) in [(2, "north"), (3, "south"), (4, "south")] {
         peers.receive(at(0), profile(last, 1, domain));
@@ -55,14 +55,14 @@
     assert_eq!(
         peers.front_addresses(at(0), "west", own).len(),
         4,
-        "a stranger gets all"
+        "a caller of an unknown domain gets all addresses"
     );
     peers.receive(at(1_000), profile(3, 1, "south"));
     let all = peers.front_addresses(at(2_000), "south", own);
     assert_eq!(
         all,
         [front(3), front(1)],
-        "one alone is not enough, silent ones are out"
+        "one local address is not enough, and silent instances are left out"
     );
 }
 
@@ -113,23 +113,27 @@
     assert_eq!(
         peers.receive(at(2), profile(1, 8, "north")),
         None,
-        "itself is no peer"
+        "an instance is no peer of itself"
     );
     assert_eq!(peers.addresses(), [front(2)]);
 }
 
 #[test]
-fn introduced_is_no_news() {
+fn introduced_is_not_alive() {
     let mut peers = peers();
     peers.introduce(at(0), profile(2, 1, "north"));
     assert_eq!(peers.addresses(), [front(2)], "it gets heartbeats");
-    assert_eq!(peers.coverage(at(0)).heard, 1, "but is not heard");
+    assert_eq!(
+        peers.coverage(at(0)).heard,
+        1,
+        "but does not count as alive"
+    );
     peers.expire(at(5_000));
     assert!(peers.addresses().is_empty());
 }
 
 #[test]
-fn steps_outvoted() {
+fn wrong_clocks_outvoted() {
     let mut peers = peers();
     for last in 2..8 {
         let clock = if last < 4 { 5_000 } else { 1_000 };
@@ -155,15 +159,19 @@
     };
     peers.receive(at(0), profile(2, 1, "north"));
     peers.receive(at(0), newer);
-    assert_eq!(ahead(&peers, at(0), 4), [3], "the newest alone");
+    assert_eq!(
+        ahead(&peers, at(0), 4),
+        [3],
+        "only those with the newest version"
+    );
     assert!(ahead(&peers, at(0), 9).is_empty());
     assert!(
         ahead(&peers, at(3_000), 4).is_empty(),
-        "a silent one cannot be asked"
+        "a silent instance is not asked"
     );
 }
 
-/// Who can be asked for a newer configuration by an instance in the north.
+/// Instances that one in the north may ask for a newer configuration.
 fn ahead(peers: &Peers, now: Time, version: u64) -> Vec<u8> {
     let ahead = peers.with_newer_config(now, version, &"north".parse().unwrap());
     let last = |profile: &Profile| match profile.front.ip() {
@@ -173,7 +181,8 @@
     ahead.into_iter().map(last).collect()
 }
 
-/// All instances of a fleet asked the same one for a configuration: the last by name.
+/// Requests for a configuration must spread over the instances that have it. They all went to the
+/// last one by name.
 #[test]
 fn questions_spread() {
     let mut peers = peers();
@@ -181,12 +190,16 @@
         let domain = if last < 4 { "north" } else { "south" };
         peers.receive(at(0), profile(last, 1, domain));
     }
-    assert_eq!(ahead(&peers, at(0), 0), [2, 3, 4, 5, 6, 7], "few are near");
+    assert_eq!(
+        ahead(&peers, at(0), 0),
+        [2, 3, 4, 5, 6, 7],
+        "too few local instances"
+    );
     peers.receive(at(0), profile(8, 1, "north"));
-    assert_eq!(ahead(&peers, at(0), 0), [2, 3, 8], "enough are near");
+    assert_eq!(ahead(&peers, at(0), 0), [2, 3, 8], "enough local instances");
 }
 
-/// All are told in their turn, and never so many at once that a slow link drops some.
+/// All instances get heartbeats in turn, in batches small enough for a slow link.
 #[test]
 fn told_in_turns() {
     for count in [0, 1, 16, 17, 63, 329] {
--- a/coltsfoothall/tests/forward_rate.rs
+++ b/coltsfoothall/tests/forward_rate.rs
@@ -1,4 +1,4 @@
-//! Rates of workspaces over many instances.
+//! Rate limits of workspaces over many instances.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -38,122 +38,154 @@
     }
 }
 
-fn book(rate: f64, burst: f64) -> Limiter {
-    let mut book = Limiter::default();
-    book.configure(at(0), &[workspace(rate, burst)]);
-    book
+fn limiter(rate: f64, burst: f64) -> Limiter {
+    let mut limiter = Limiter::default();
+    limiter.configure(at(0), &[workspace(rate, burst)]);
+    limiter
 }
 
 #[test]
 fn burst_then_rate() {
-    let mut book = book(1_000.0, 500.0);
-    let take = |book: &mut Limiter, now| book.take(now, &name(), Some(Tokens(100)), ALONE).is_ok();
-    let first = (0..10).filter(|_| take(&mut book, at(0))).count();
+    let mut limiter = limiter(1_000.0, 500.0);
+    let take =
+        |limiter: &mut Limiter, now| limiter.take(now, &name(), Some(Tokens(100)), ALONE).is_ok();
+    let first = (0..10).filter(|_| take(&mut limiter, at(0))).count();
     assert_eq!(first, 5);
-    let later = (0..10).filter(|n| take(&mut book, at(n * 100))).count();
-    assert_eq!(later, 9, "a hundred units come in each tenth of a second");
+    let later = (0..10).filter(|n| take(&mut limiter, at(n * 100))).count();
+    assert_eq!(
+        later, 9,
+        "the bucket gains a hundred units in a tenth of a second"
+    );
 }
 
 #[test]
 fn wait_told() {
-    let mut book = book(1_000.0, 500.0);
-    assert!(book.take(at(0), &name(), Some(Tokens(500)), ALONE).is_ok());
-    let short = book
+    let mut limiter = limiter(1_000.0, 500.0);
+    assert!(
+        limiter
+            .take(at(0), &name(), Some(Tokens(500)), ALONE)
+            .is_ok()
+    );
+    let short = limiter
         .take(at(0), &name(), Some(Tokens(250)), ALONE)
         .unwrap_err();
     assert_eq!(short.retry_after, Duration::from_millis(250));
     assert!(
-        book.take(at(250), &name(), Some(Tokens(250)), ALONE)
+        limiter
+            .take(at(250), &name(), Some(Tokens(250)), ALONE)
             .is_ok()
     );
 }
 
 #[test]
 fn plain_amount() {
-    let mut book = book(1_000.0, 500.0);
+    let mut limiter = limiter(1_000.0, 500.0);
     let granted = (0..9)
-        .filter(|_| book.take(at(0), &name(), None, ALONE).is_ok())
+        .filter(|_| limiter.take(at(0), &name(), None, ALONE).is_ok())
         .count();
     assert_eq!(granted, 2, "a request without tokens counts as 200");
 }
 
 #[test]
 fn large_passes() {
-    let mut book = book(1_000.0, 500.0);
+    let mut limiter = limiter(1_000.0, 500.0);
     assert!(
-        book.take(at(0), &name(), Some(Tokens(3_000)), ALONE)
+        limiter
+            .take(at(0), &name(), Some(Tokens(3_000)), ALONE)
             .is_ok()
     );
     assert!(
-        book.take(at(2_000), &name(), Some(Tokens(1)), ALONE)
+        limiter
+            .take(at(2_000), &name(), Some(Tokens(1)), ALONE)
             .is_err(),
-        "it is paid back"
+        "the deficit is paid back first"
     );
     assert!(
-        book.take(at(3_000), &name(), Some(Tokens(1)), ALONE)
+        limiter
+            .take(at(3_000), &name(), Some(Tokens(1)), ALONE)
             .is_ok()
     );
 }
 
 #[test]
 fn unlimited_and_unknown() {
-    let mut book = book(0.0, 0.0);
+    let mut limiter = limiter(0.0, 0.0);
     assert!(
-        book.take(at(0), &name(), Some(Tokens(1 << 40)), ALONE)
+        limiter
+            .take(at(0), &name(), Some(Tokens(1 << 40)), ALONE)
             .is_ok()
     );
     let other: id::Workspace = "other".parse().unwrap();
-    assert!(book.take(at(0), &other, None, ALONE).is_ok());
+    assert!(limiter.take(at(0), &other, None, ALONE).is_ok());
 }
 
 #[test]
 fn lowered_at_once() {
-    let mut book = book(1_000.0, 1_000.0);
-    book.configure(at(0), &[workspace(10.0, 10.0)]);
-    assert!(book.take(at(0), &name(), Some(Tokens(10)), ALONE).is_ok());
-    assert!(book.take(at(0), &name(), Some(Tokens(10)), ALONE).is_err());
+    let mut limiter = limiter(1_000.0, 1_000.0);
+    limiter.configure(at(0), &[workspace(10.0, 10.0)]);
+    assert!(
+        limiter
+            .take(at(0), &name(), Some(Tokens(10)), ALONE)
+            .is_ok()
+    );
+    assert!(
+        limiter
+            .take(at(0), &name(), Some(Tokens(10)), ALONE)
+            .is_err()
+    );
 }
 
 #[test]
-fn unheard_gives_up() {
-    let mut book = book(900.0, 900.0);
-    let reach = Coverage {
+fn silent_members_reduce_share() {
+    let mut limiter = limiter(900.0, 900.0);
+    let coverage = Coverage {
         members: 9,
         heard: 1,
     };
     let mut granted = 0;
     for n in 0..100 {
         granted += u32::from(
-            book.take(at(n * 100), &name(), Some(Tokens(50)), reach)
+            limiter
+                .take(at(n * 100), &name(), Some(Tokens(50)), coverage)
                 .is_ok(),
         );
     }
-    assert!(granted <= 2 + 20, "a ninth of the rate alone: {granted}");
-    assert!(granted >= 18, "its part stays: {granted}");
+    assert!(granted <= 2 + 20, "at most a ninth of the rate: {granted}");
+    assert!(granted >= 18, "its own share remains: {granted}");
 }
 
 #[test]
-fn heard_counts_once() {
-    let mut one = book(1_000.0, 1_000.0);
-    let mut two = book(1_000.0, 1_000.0);
-    let reach = Coverage {
+fn reports_count_once() {
+    let mut one = limiter(1_000.0, 1_000.0);
+    let mut two = limiter(1_000.0, 1_000.0);
+    let coverage = Coverage {
         members: 2,
         heard: 2,
     };
     two.merge_granted(1, &one.granted());
-    assert!(one.take(at(0), &name(), Some(Tokens(1_000)), reach).is_ok());
+    assert!(
+        one.take(at(0), &name(), Some(Tokens(1_000)), coverage)
+            .is_ok()
+    );
     for _ in 0..3 {
         two.merge_granted(1, &one.granted());
     }
-    assert!(two.take(at(0), &name(), Some(Tokens(100)), reach).is_err());
-    assert!(two.take(at(100), &name(), Some(Tokens(100)), reach).is_ok());
+    assert!(
+        two.take(at(0), &name(), Some(Tokens(100)), coverage)
+            .is_err()
+    );
+    assert!(
+        two.take(at(100), &name(), Some(Tokens(100)), coverage)
+            .is_ok()
+    );
 }
 
-/// Instances that tell each other of their grants over a network that loses, delays and parts.
+/// Plays instances that exchange their grants over a network with loss and partitions. Returns the
+/// units granted relative to the limit.
 fn granted(seed: u64, count: usize, loss: f64, parted: bool) -> f64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let (rate, burst) = (10_000.0, 10_000.0);
-    let mut books: Vec<Limiter> = (0..count).map(|_| book(rate, burst)).collect();
+    let mut limiters: Vec<Limiter> = (0..count).map(|_| limiter(rate, burst)).collect();
     let mut heard = vec![vec![0_u64; count]; count];
     let mut granted = 0_u64;
     let span = 20_000;
@@ -162,10 +194,10 @@
         let together = |a: usize, b: usize| !cut || (a < count / 2) == (b < count / 2);
         if now % 100 == 0 {
             for from in 0..count {
-                let spent = books[from].granted();
+                let spent = limiters[from].granted();
                 for to in 0..count {
                     if from != to && together(from, to) && !random.random_bool(loss) {
-                        books[to].merge_granted(from as u64, &spent);
+                        limiters[to].merge_granted(from as u64, &spent);
                         heard[to][from] = now;
                     }
                 }
@@ -173,13 +205,13 @@
         }
         let who = random.random_range(0..count);
         let alive = (0..count).filter(|other| *other != who && now < heard[who][*other] + 1_200);
-        let reach = Coverage {
+        let coverage = Coverage {
             members: count as u32,
             heard: alive.count() as u32 + 1,
         };
         let units = random.random_range(50..150);
-        if books[who]
-            .take(at(now), &name(), Some(Tokens(units)), reach)
+        if limiters[who]
+            .take(at(now), &name(), Some(Tokens(units)), coverage)
             .is_ok()
         {
             granted += units;
@@ -203,12 +235,12 @@
 proptest! {
     #[test]
     fn never_over(units in proptest::collection::vec((0_u64..200, 1_u64..400), 1..200)) {
-        let mut book = book(1_000.0, 400.0);
+        let mut limiter = limiter(1_000.0, 400.0);
         let mut now = 0;
         let mut granted = 0;
         for (pause, units) in units {
             now += pause;
-            if book.take(at(now), &name(), Some(Tokens(units)), ALONE).is_ok() {
+            if limiter.take(at(now), &name(), Some(Tokens(units)), ALONE).is_ok() {
                 granted += units;
             }
         }
@@ -216,14 +248,14 @@
     }
 }
 
-/// A workspace that asks three times its rate, one request in ten of them large: the large
-/// ones are granted at least half as often as the small ones, as long as they fit at all.
+/// A workspace asks for three times its rate, with one request in ten being large: the large ones
+/// must be granted at least half as often as the small ones, as long as they fit at all.
 #[test]
 fn large_beside_small() {
     for seed in 0..5 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let (rate, burst) = (50_000.0, 50_000.0);
-        let mut book = book(rate, burst);
+        let mut limiter = limiter(rate, burst);
         let (mut asked, mut granted) = ([0_u32; 2], [0_u32; 2]);
         let mut now = 0;
         while now < 60_000 {
@@ -235,7 +267,7 @@
                 random.random_range(200..2_500)
             };
             asked[usize::from(large)] += 1;
-            if book
+            if limiter
                 .take(at(now), &name(), Some(Tokens(units)), ALONE)
                 .is_ok()
             {
--- a/coltsfoothall/tests/forward_reader.rs
+++ b/coltsfoothall/tests/forward_reader.rs
@@ -30,7 +30,7 @@
     Candidate { name, link }
 }
 
-/// The others of an instance's failure domain, without those that are lost.
+/// The other instances of the failure domain, without those that are lost.
 fn near<'a>(
     fleet: &'a [id::Instance],
     me: &id::Instance,
@@ -56,9 +56,10 @@
     )
 }
 
-/// All endpoints of a fleet of any size beat once a second, and all instances hear of it: 300
-/// instances and 2,997 endpoints asked for 1.8 Gbit/s of the store's 1 Gbit/s, and news that an
-/// endpoint leaves took 6.4 s.
+/// All endpoints write their registration once a second. When all instances read these writes, 300
+/// instances and 2,997 endpoints needed 1.8 Gbit/s of the store's 1 Gbit/s, and the news that an
+/// endpoint is draining took 6.4 s. Only few instances may read, and followers must spread evenly
+/// over them.
 #[test]
 fn beats_of_all() {
     for count in [60, 195, 330, 1_000] {
@@ -70,7 +71,11 @@
             match source(&reading, at(0), &fleet, me) {
                 Source::Store => reads += 1,
                 Source::Reader(name) => {
-                    assert_eq!(name.as_str()[..7], me.as_str()[..7], "of its own domain");
+                    assert_eq!(
+                        name.as_str()[..7],
+                        me.as_str()[..7],
+                        "the reader is in the same domain"
+                    );
                     assert_eq!(source(&reading, at(0), &fleet, &name), Source::Store);
                     match asked.iter_mut().find(|(have, _)| *have == name) {
                         Some((_, count)) => *count += 1,
@@ -100,8 +105,8 @@
     }
 }
 
-/// A reader is frozen: still heard of, no answer. Its follower asks another one at once, reads
-/// for itself if that one fails too, and has the third reader after that.
+/// A frozen reader still counts as alive but does not answer. Its follower asks another one at
+/// once, reads the store directly if that one fails too, and asks the third reader after that.
 #[test]
 fn reader_frozen() {
     let fleet = fleet(195);
@@ -123,7 +128,7 @@
     }
 }
 
-/// Only failures in a row end in a reading at the store.
+/// Only consecutive failures lead to a read at the store.
 #[test]
 fn failures_apart() {
     let fleet = fleet(195);
@@ -137,8 +142,8 @@
     }
 }
 
-/// Thousands of endpoints write more than a link of 10 Mbit/s carries: those with wider links
-/// read, wherever their names stand.
+/// Thousands of endpoints write more than a 10 Mbit/s link carries, so instances with wider links
+/// read, regardless of their names.
 #[test]
 fn widest_read() {
     let fleet = fleet(300);
@@ -167,7 +172,7 @@
     }
 }
 
-/// All readers of a domain are lost: the next ones by name read, with no word between them.
+/// When all readers of a domain are lost, the next ones by name read, without coordination.
 #[test]
 fn readers_lost() {
     let fleet = fleet(195);
@@ -194,7 +199,7 @@
     assert!(matches!(asked, Source::Reader(name) if !lost.contains(&candidate(&name))));
 }
 
-/// The only ones of a failure domain have nobody to ask.
+/// The instances of a small failure domain all read the store, as there are no other readers.
 #[test]
 fn few_in_domain() {
     let fleet = fleet(195);
@@ -206,20 +211,20 @@
     );
 }
 
-/// How a reader behaves in a span of time.
+/// Behavior of a reader during a span of time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Health {
     Sound,
-    /// It answers nothing.
+    /// It does not answer.
     Frozen,
-    /// It answers, and says that what it knows is too old.
+    /// It answers that its knowledge is too old.
     Stale,
 }
 
-/// Length of the spans in which a reader's health stays as it is.
+/// Length of the spans in which a reader's health is constant.
 const SPAN: Duration = Duration::from_millis(700);
 
-/// Follows one instance for ten seconds; the longest time for which news were unknown to it.
+/// Plays one follower for ten seconds. Returns the longest time for which it lacked a change.
 fn longest_unknown(
     count: usize,
     drain: Duration,
@@ -238,7 +243,7 @@
     while now < at(10_000) {
         match source(&reading, now, &fleet, me) {
             Source::Store => {
-                // The last part of the budget is the store's.
+                // The last share of the budget is for the store.
                 let asked = now;
                 now = now + drain / 10;
                 longest = longest.max(now.since(known));
@@ -284,8 +289,8 @@
 }
 
 proptest! {
-    /// Whatever readers do, alone or all at once, and as old as what they tell may be, news
-    /// reach a follower within the time in which a leaving endpoint must get no more work.
+    /// Whatever the readers do, together or individually, and however old their knowledge is, a
+    /// follower learns of a draining endpoint within the time in which it must stop getting work.
     #[test]
     fn news_in_time(
         count in prop_oneof![Just(100_usize), Just(300), Just(1_000)],
--- a/coltsfoothall/tests/forward_roster.rs
+++ b/coltsfoothall/tests/forward_roster.rs
@@ -1,4 +1,4 @@
-//! Endpoints, what is believed of them, and the choice among them.
+//! Endpoints, their estimated state, and the choice among them.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn nobody_there() {
+fn no_endpoints() {
     let case = Case::new();
     assert_eq!(
         roster(&[]).choose(at(0), &case.ask(&[])),
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn leaving_gets_none() {
+fn leaving_gets_no_work() {
     let case = Case::new();
     let mut roster = roster(&["a", "b"]);
     let event = roster.registered(at(1), leaving("a", 2));
@@ -132,10 +132,14 @@
     assert_eq!(
         roster.merge_ended(&ended),
         None,
-        "nothing is known of it yet"
+        "the endpoint is not known yet"
     );
     let event = roster.registered(at(0), entry("a", "north", 4));
-    assert_eq!(event, Some(Event::Leaving(id("a"))), "older than the news");
+    assert_eq!(
+        event,
+        Some(Event::Leaving(id("a"))),
+        "the registration is older than the report"
+    );
 }
 
 #[test]
@@ -158,7 +162,7 @@
     assert_eq!(
         roster.removed(&id("a"), place(7)),
         None,
-        "the removal is older than the return"
+        "the removal is older than the new registration"
     );
 }
 
@@ -227,13 +231,13 @@
             }
         }
     }
-    assert_eq!(runs.len(), 8, "as many as its batch holds");
+    assert_eq!(runs.len(), 8, "as many requests as a batch holds");
 }
 
-/// A caller may say anything of its prompt's length; what fits in no engine is refused at
-/// once and counts as no load.
+/// A caller may claim any prompt length. A request that fits in no engine is refused at once and
+/// does not count as load.
 #[test]
-fn endless_prompt() {
+fn oversized_prompt() {
     let case = Case::new();
     let roster = roster(&["a", "b"]);
     for (prompt, answer) in [(u64::MAX, u64::MAX), (100_000, 1), (1, 100_000)] {
@@ -252,7 +256,7 @@
 }
 
 #[test]
-fn shared_part_home() {
+fn shared_prefix_home() {
     let mut case = Case::new();
     let part = |mark, tokens| Part {
         mark,
@@ -270,17 +274,17 @@
             .unwrap();
         assert_eq!(
             one.endpoint, two.endpoint,
-            "all instances agree without talk"
+            "all instances agree without communication"
         );
         homes.push(one.endpoint);
     }
     homes.sort();
     homes.dedup();
-    assert_eq!(homes.len(), 4, "and parts spread");
+    assert_eq!(homes.len(), 4, "prefixes spread over the endpoints");
 }
 
 #[test]
-fn known_part_preferred() {
+fn cached_prefix_preferred() {
     let mut case = Case::new();
     case.parts = vec![
         Part {
@@ -346,7 +350,7 @@
 }
 
 #[test]
-fn near_where_equal() {
+fn local_preferred() {
     let case = Case::new();
     let mut roster = Roster::new(Settings::default());
     roster.registered(at(0), entry("a", "south", 1));
@@ -358,7 +362,8 @@
 }
 
 proptest! {
-    /// Whatever order news, registrations and removals come in, what left last stays left.
+    /// In whatever order reports, registrations and removals arrive, an endpoint whose last change
+    /// was to leave stays out of use.
     #[test]
     fn any_order(mut changes in proptest::collection::vec((0_u64..3, 1_u64..50), 1..20), seed in 0_u64..1000) {
         changes.sort_by_key(|(_, revision)| *revision);
@@ -401,12 +406,12 @@
     assert_eq!(
         two.choose(at(2), &case.ask(&[])).unwrap().endpoint,
         id("b"),
-        "before any of its own"
+        "before any failure of its own"
     );
     let before = two.clone();
     two.merge_failures(at(3), 7, &one.failure_counts());
     let wait = |roster: &Roster| roster.failure_rate(at(3), &id("a"));
-    assert_eq!(wait(&before), wait(&two), "the same news count once");
+    assert_eq!(wait(&before), wait(&two), "the same report counts once");
 }
 
 #[test]
@@ -438,7 +443,7 @@
     );
 }
 
-fn reborn(name: &str, born: u64, revision: u64) -> Entry {
+fn restarted(name: &str, born: u64, revision: u64) -> Entry {
     let born = Millis(born);
     Entry {
         born,
@@ -446,8 +451,8 @@
     }
 }
 
-/// An endpoint that starts again under its name holds nothing: what it read, what is open
-/// there, how it failed and that it was leaving are its former life's.
+/// A restart under the same name resets everything: the cached prefixes, the open load, the failures
+/// and the draining state belong to the previous process.
 #[test]
 fn life_forgotten() {
     let mut case = Case::new();
@@ -456,7 +461,7 @@
         tokens: Tokens(3_000),
     }];
     let mut roster = Roster::new(Settings::default());
-    roster.registered(at(0), reborn("a", 1_000, 1));
+    roster.registered(at(0), restarted("a", 1_000, 1));
     let ask = case.ask(&[]);
     let pick = roster.choose(at(0), &ask).unwrap();
     let old = roster.begin(at(0), &pick, &ask);
@@ -466,29 +471,29 @@
     }
     let left = Entry {
         leaving: true,
-        ..reborn("a", 1_000, 2)
+        ..restarted("a", 1_000, 2)
     };
     roster.registered(at(10), left);
-    let event = roster.registered(at(20), reborn("a", 2_000, 3));
+    let event = roster.registered(at(20), restarted("a", 2_000, 3));
     assert_eq!(event, Some(Event::Restarted(id("a"))));
     assert_eq!(roster.failure_rate(at(20), &id("a")), 0.0);
     let node = roster.node(&id("a")).unwrap();
     assert_eq!(node.load(), Load::default());
     let pick = roster.choose(at(20), &ask).unwrap();
-    assert_eq!(pick.unread, Tokens(3_000), "its memory is empty");
+    assert_eq!(pick.unread, Tokens(3_000), "its cache is empty");
     let new = roster.begin(at(20), &pick, &ask);
     roster.finish(at(30), &old, End::Failed);
     assert_eq!(
         roster.node(&id("a")).unwrap().load().open,
         1,
-        "a run of the former life ends there"
+        "a run of the previous process ends with it"
     );
     assert_eq!(roster.failure_rate(at(30), &id("a")), 0.0);
     roster.finish(at(40), &new, End::Whole);
     assert_eq!(
-        roster.registered(at(50), reborn("a", 1_000, 9)),
+        roster.registered(at(50), restarted("a", 1_000, 9)),
         None,
-        "late news of the former life"
+        "a late report on the previous process"
     );
     assert_eq!(roster.node(&id("a")).unwrap().entry.born, Millis(2_000));
 }
@@ -498,7 +503,7 @@
     let mut roster = Roster::new(Settings::default());
     let left = Entry {
         leaving: true,
-        ..reborn("a", 1_000, 2)
+        ..restarted("a", 1_000, 2)
     };
     roster.registered(at(0), left);
     let value = Load {
@@ -521,8 +526,8 @@
 }
 
 proptest! {
-    /// Two lives of one endpoint: whatever order registrations, removals and others' words
-    /// come in, the same is believed in the end.
+    /// Two starts of one endpoint: in whatever order registrations, removals and reports arrive,
+    /// the final state is the same.
     #[test]
     fn lives_in_any_order(order in proptest::sample::subsequence((0..8).collect::<Vec<u8>>(), 0..8), seed in any::<u64>()) {
         let mut steps: Vec<u8> = order;
@@ -536,17 +541,17 @@
         let failed = |born: u64| Count { id: id("a"), born: Millis(born), value: 4_u32 };
         for step in steps {
             match step {
-                0 => drop(roster.registered(at(0), reborn("a", 1_000, 1))),
-                1 => drop(roster.registered(at(0), Entry { leaving: true, ..reborn("a", 1_000, 2) })),
+                0 => drop(roster.registered(at(0), restarted("a", 1_000, 1))),
+                1 => drop(roster.registered(at(0), Entry { leaving: true, ..restarted("a", 1_000, 2) })),
                 2 => drop(roster.removed(&id("a"), place(3))),
-                3 => drop(roster.registered(at(0), reborn("a", 2_000, 4))),
+                3 => drop(roster.registered(at(0), restarted("a", 2_000, 4))),
                 4 => drop(roster.merge_loads(at(0), 7, &[said(1_000, 5)])),
                 5 => drop(roster.merge_loads(at(0), 8, &[said(2_000, 2)])),
                 6 => roster.merge_failures(at(0), 7, &[failed(1_000)]),
                 _ => drop(roster.merge_ended(&Ended { id: id("a"), position: place(2) })),
             }
         }
-        // Heartbeats hold all that their sender says, and the next one follows soon.
+        // A heartbeat holds the complete report of its sender, and the next one follows soon.
         drop(roster.merge_loads(at(1), 7, &[said(1_000, 5)]));
         drop(roster.merge_loads(at(1), 8, &[said(2_000, 2)]));
         let node = roster.node(&id("a")).unwrap();
@@ -557,7 +562,7 @@
     }
 }
 
-/// The store came back from an older copy, whose revisions are lower.
+/// The store is restored from an older backup, whose revisions are lower.
 #[test]
 fn later_era_counts() {
     let mut roster = roster(&[]);
@@ -592,7 +597,7 @@
     assert_eq!(roster.removed(&id("a"), gone), Some(Event::Gone(id("a"))));
 }
 
-/// What a reader tells in little has the effect of the registration itself.
+/// A reader's short report of a draining endpoint has the effect of the registration itself.
 #[test]
 fn leaving_told() {
     let mut roster = roster(&["a", "b"]);
@@ -600,17 +605,17 @@
     assert_eq!(left, Some(Event::Leaving(id("a"))));
     assert!(roster.node(&id("a")).unwrap().entry.leaving);
     assert_eq!(roster.left(at(2), &id("a"), place(3), None), None, "once");
-    // Older than what is known.
+    // Older than the known registration.
     roster.registered(at(3), entry("b", "north", 9));
     assert_eq!(roster.left(at(4), &id("b"), place(8), None), None);
     assert!(!roster.node(&id("b")).unwrap().entry.leaving);
-    // Not known yet: an older registration that is heard later takes no work.
+    // Not known yet: an older registration that arrives later takes no work.
     assert_eq!(roster.left(at(5), &id("c"), place(5), None), None);
     let added = roster.registered(at(6), entry("c", "north", 4));
     assert_eq!(added, Some(Event::Leaving(id("c"))));
 }
 
-/// Versions that may not run a request are not chosen, however idle their endpoints are.
+/// Endpoints of a version that may not run a request are not chosen, however idle they are.
 #[test]
 fn versions_kept_apart() {
     let case = Case::new();
--- a/coltsfoothall/tests/forward_stop.rs
+++ b/coltsfoothall/tests/forward_stop.rs
@@ -1,10 +1,9 @@
-//! A planned stop takes only what ends before it does.
+//! A graceful shutdown accepts only requests that end before it does.
 //!
-//! The load is a season's drafts as callers of engines ask for them: streams of 64 events on
-//! average, spread as e to the power of a normal draw of 0.44, 184 at most; 25 ms an event,
-//! from 0.7 to 1.5 times that with the batch. So they were measured on the deployments served.
-//! They may take 15 s, cannot be run again, and callers go on to use open connections for as
-//! long as they keep addresses.
+//! The load consists of streams that cannot be retried, with a time limit of 15 s. They have 64
+//! events on average and 184 at most, log-normally distributed with sigma 0.44, at 25 ms per event,
+//! or 0.7 to 1.5 times that depending on the batch. These figures were measured on the deployments
+//! served. Callers keep using open connections for as long as they keep addresses.
 
 use std::time::Duration;
 
@@ -17,9 +16,9 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const GRACE: Duration = Duration::from_secs(8);
-/// What callers wait for a draft.
+/// Time limit of a draft.
 const LIMIT: Duration = Duration::from_secs(15);
-/// Usual time of a draft.
+/// Typical time of a draft.
 const USUAL: Duration = Duration::from_millis(64 * 25);
 
 fn at(millis: u64) -> Time {
@@ -30,22 +29,29 @@
 fn moments_from_signal() {
     let stop = Stop::new(at(50_404), GRACE, SECOND);
     assert_eq!(stop.signalled, at(50_404));
-    assert_eq!(stop.closes, at(53_404), "three times a second");
-    assert!(stop.cuts < at(58_404), "by itself, before it is killed");
+    assert_eq!(
+        stop.closes,
+        at(53_404),
+        "three times the second for which callers keep addresses"
+    );
+    assert!(
+        stop.cuts < at(58_404),
+        "the process ends before it is killed"
+    );
     let short = Stop::new(at(0), SECOND * 4, SECOND * 5);
-    assert_eq!(short.closes, at(2_000), "half of the grace is left");
+    assert_eq!(short.closes, at(2_000), "half of the grace period is left");
 }
 
-/// The time that a draft takes.
+/// Draws the time that a draft takes.
 fn draft(random: &mut Pcg64Mcg) -> Duration {
-    // A sum of twelve even draws, less six, is as good as a normal one here.
+    // The sum of twelve uniform draws, less six, approximates a normal draw.
     let normal = (0..12).map(|_| random.random::<f64>()).sum::<f64>() - 6.0;
     let events = 64.0 * (0.44 * normal - 0.44 * 0.44 / 2.0).exp();
     let event = 0.025 * random.random_range(0.7..=1.5);
     Duration::from_secs_f64(events.clamp(1.0, 184.0) * event)
 }
 
-/// What drafts need after 64 of them were seen.
+/// The need of a draft after 64 drafts have been recorded.
 fn need(random: &mut Pcg64Mcg, elsewhere: bool) -> Need {
     let mut history = History::default();
     for _ in 0..64 {
@@ -58,8 +64,8 @@
     }
 }
 
-/// While another instance takes requests, no draft is taken that could be cut, whatever was
-/// seen of drafts; what must end within the time left is taken.
+/// While another instance accepts requests, no draft that could be cut off is accepted, whatever the
+/// recorded times. A request whose limit ends within the time left is accepted.
 #[test]
 fn promise_kept() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
@@ -75,8 +81,8 @@
     }
 }
 
-/// With nobody else, a draft is taken that is expected to end in time: the usual one early in
-/// the stop is, and of those taken fewer than one in a hundred are cut.
+/// Without another instance, a draft that is expected to end in time is accepted: a typical one is
+/// accepted early in the shutdown, and fewer than one in a hundred of those accepted are cut off.
 #[test]
 fn alone() {
     let (mut taken, mut cut) = (0, 0);
@@ -93,11 +99,11 @@
             }
         }
     }
-    assert!(taken > 5_000, "{taken} of 10,000 taken");
-    assert!(cut * 100 < taken, "{cut} of {taken} cut");
+    assert!(taken > 5_000, "{taken} of 10,000 accepted");
+    assert!(cut * 100 < taken, "{cut} of {taken} cut off");
 }
 
-/// One answer in twenty is long: short ones do not make it forgotten.
+/// One answer in twenty is long, and the short ones do not displace it.
 #[test]
 fn rare_long_ones() {
     let mut history = History::default();
@@ -112,7 +118,7 @@
 fn unknown_route() {
     let mut history = History::default();
     history.record("b", SECOND);
-    assert_eq!(history.longest("a"), None, "each route has its own");
+    assert_eq!(history.longest("a"), None, "each route has its own history");
     let need = Need {
         limit: LIMIT,
         longest: history.longest("a"),
@@ -127,7 +133,7 @@
 }
 
 proptest! {
-    /// The longest expected time is that of the last answers.
+    /// The expected time is the maximum of the last answers.
     #[test]
     fn any_answers(seen in prop::collection::vec(any::<u32>(), 1..300)) {
         let mut history = History::default();
@@ -140,7 +146,7 @@
         prop_assert_eq!(longest, last);
     }
 
-    /// The same after each signal: what is allowed has its time before the cut.
+    /// At any time after any signal, an accepted request has its time before the cut-off.
     #[test]
     fn any_moment(
         signal in 0..100_000_u64,
@@ -154,7 +160,7 @@
         let limit = Duration::from_millis(limit);
         let longest = longest.map(Duration::from_millis);
         let need = Need { limit, longest, elsewhere };
-        prop_assert!(need.time() <= limit, "never longer than it may take");
+        prop_assert!(need.time() <= limit, "never longer than its limit");
         prop_assert_eq!(stop.allows(now, need), now + need.time() <= stop.cuts);
         if elsewhere {
             prop_assert_eq!(need.time(), limit);
--- a/coltsfoothall/tests/forward_upgrade.rs
+++ b/coltsfoothall/tests/forward_upgrade.rs
@@ -1,4 +1,4 @@
-//! A service moves to another version, over all instances and in virtual time.
+//! Upgrade of a service by a fleet of instances, in virtual time.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -11,23 +11,23 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// What the users promise: the part of a service's requests that a bad version may get.
-const EXPOSED: f64 = 0.1;
-/// Requests beside that part.
-const SLACK: u64 = 50;
-/// Time after its fiftieth bad answer from which on a bad version must get none.
-const ROLLED_BACK: Duration = Duration::from_secs(5);
-/// Routes of the service: how often each is asked in ten requests, and the part that the
-/// baseline fails.
+/// Largest share of a service's requests that a bad version may get, as promised to users.
+const MAX_EXPOSED_SHARE: f64 = 0.1;
+/// Requests that a bad version may get beyond that share.
+const SLACK_REQUESTS: u64 = 50;
+/// Time after its fiftieth bad answer within which a bad version must stop getting requests.
+const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(5);
+/// Routes of the service: the number of requests of every ten, and the share that the baseline
+/// fails.
 const ROUTES: [(&str, usize, f64); 3] = [
     ("letters", 6, 0.01),
     ("notes", 3, 0.02),
     ("status", 1, 0.14),
 ];
-const TICK: Duration = Duration::from_millis(20);
-/// Time between two turns of heartbeats, and instances that hear one.
-const TURN: u64 = 100;
-const TOGETHER: usize = 16;
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Milliseconds between two batches of heartbeats, and recipients of a batch.
+const HEARTBEAT_INTERVAL_MS: u64 = 100;
+const HEARTBEATS_PER_BATCH: usize = 16;
 
 fn at(millis: u64) -> Time {
     Time::START + Duration::from_millis(millis)
@@ -63,26 +63,26 @@
     }
 }
 
-/// What is wrong with the candidate.
+/// Fault of the candidate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     Nothing,
-    /// It fails this part of its requests.
+    /// It fails this share of its requests.
     Fails(f64),
-    /// This part of its answers takes five times as long.
+    /// This share of its answers takes five times as long.
     Slow(f64),
-    /// It fails a third, on one route only.
+    /// It fails a third of the requests of one route.
     OneRoute(usize),
-    /// It fails half, from that second on.
+    /// It fails half of its requests from this second on.
     From(u64),
-    /// It fails half once it gets more than that many requests a second.
+    /// It fails half of its requests once it gets more than this many per second.
     Loaded(u64),
 }
 
-/// A fleet of instances before the endpoints of both versions.
+/// A fleet of instances in front of endpoints of both versions.
 struct Fleet {
     books: Vec<Registry>,
-    /// Instances that neither hear nor are heard.
+    /// Instances that neither send nor receive heartbeats.
     silent: usize,
     rng: StdRng,
     fault: Fault,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Whether the candidate spoils an answer, and how slow it is.
+    /// Whether an answer of the candidate fails, and the factor by which it is slower.
     fn spoils(&mut self, now: Time, route: usize) -> (bool, u32) {
         let seconds = now.since(Time::START).as_secs();
         let part = match self.fault {
@@ -153,7 +153,7 @@
         let run = version(if is_candidate { "v2" } else { "v1" });
         self.books[instance].record_sent(&service(), name, Some(&run));
         let mut failed = self.rng.random_bool(usual);
-        // Times of the baseline differ by a factor of three either way.
+        // Answer times of the baseline vary by a factor of three in both directions.
         let spread: f64 = self.rng.random_range(-1.0..1.0);
         let mut took = Duration::from_millis(100).mul_f64(3_f64.powf(spread));
         let in_touch = instance >= self.silent;
@@ -180,8 +180,8 @@
         let count = self.books.len();
         let told: Vec<Vec<Status>> = self.books.iter().map(|book| book.statuses(now)).collect();
         for (speaker, told) in told.iter().enumerate().skip(self.silent) {
-            for step in 0..TOGETHER.min(count) {
-                let listener = (speaker + 1 + turn * TOGETHER + step) % count;
+            for step in 0..HEARTBEATS_PER_BATCH.min(count) {
+                let listener = (speaker + 1 + turn * HEARTBEATS_PER_BATCH + step) % count;
                 if listener != speaker && listener >= self.silent {
                     self.books[listener].merge_statuses(now, speaker as u64, told.clone());
                 }
@@ -189,20 +189,20 @@
         }
     }
 
-    /// Plays so many seconds at a rate; the instance after the silent ones acts for all.
+    /// Plays `seconds` at a rate; the first instance after the silent ones is the leader.
     fn play(&mut self, seconds: u64, rate: u64) {
         let leader = self.silent;
         let others: Vec<u64> = (leader as u64 + 1..self.books.len() as u64).collect();
-        let per_tick = rate * TICK.as_millis() as u64 / 1_000;
-        for tick in 0..seconds * 1_000 / TICK.as_millis() as u64 {
-            let millis = tick * TICK.as_millis() as u64;
+        let per_tick = rate * TICK_INTERVAL.as_millis() as u64 / 1_000;
+        for tick in 0..seconds * 1_000 / TICK_INTERVAL.as_millis() as u64 {
+            let millis = tick * TICK_INTERVAL.as_millis() as u64;
             let now = at(millis);
             for _ in 0..per_tick {
                 let instance = self.rng.random_range(0..self.books.len());
                 self.request(now, instance);
             }
-            if millis.is_multiple_of(TURN) {
-                self.gossip(now, (millis / TURN) as usize);
+            if millis.is_multiple_of(HEARTBEAT_INTERVAL_MS) {
+                self.gossip(now, (millis / HEARTBEAT_INTERVAL_MS) as usize);
                 for book in &mut self.books {
                     book.judge(now);
                 }
@@ -224,7 +224,7 @@
         self.stages().iter().all(|have| *have == stage)
     }
 
-    /// What is promised of a bad version.
+    /// Checks the promised limits on a bad version.
     fn check_bad(&self, seed: u64) {
         let about = format!("seed {seed}, {:?}", self.fault);
         assert!(
@@ -232,16 +232,16 @@
             "{about}: {:?}",
             self.stages()
         );
-        let most = (self.asked as f64 * EXPOSED) as u64 + SLACK;
+        let most = (self.asked as f64 * MAX_EXPOSED_SHARE) as u64 + SLACK_REQUESTS;
         assert!(self.exposed <= most, "{about}: {} of {most}", self.exposed);
         if let (Some(fiftieth), Some(last)) = (self.fiftieth, self.last) {
             let after = last.since(fiftieth);
-            assert!(after <= ROLLED_BACK, "{about}: {after:?}");
+            assert!(after <= ROLLBACK_TIMEOUT, "{about}: {after:?}");
         }
     }
 }
 
-/// Seeds played; `SEEDS=200..1200` in the environment plays others.
+/// Seeds to play; set the environment variable `SEEDS`, such as `SEEDS=200..1200`, for others.
 fn seeds() -> std::ops::Range<u64> {
     let Ok(text) = std::env::var("SEEDS") else {
         return 0..10;
@@ -259,10 +259,10 @@
     }
 }
 
-/// Whatever is wrong with a version until it is judged, it gets no more than its part, and none
-/// soon after it showed what it is; a tenth of the instances is silent.
+/// A version with any fault gets no more than its share until it is judged, and no requests soon
+/// after the fault shows, while a tenth of the instances is silent.
 #[test]
-fn bad_ones_back() {
+fn bad_versions_rolled_back() {
     for seed in seeds() {
         let mut rng = StdRng::seed_from_u64(seed);
         let count = if seed % 5 == 0 { 300 } else { 82 };
@@ -272,10 +272,10 @@
     }
 }
 
-/// A sound version serves all at the end, though both fail a part of their requests; at most one
-/// in a hundred is taken for a bad one.
+/// A good version serves all requests in the end, although both versions fail some; at most one in
+/// a hundred is mistaken for a bad one.
 #[test]
-fn good_ones_through() {
+fn good_versions_complete() {
     let mut failed = Vec::new();
     for seed in seeds() {
         let count = if seed % 2 == 0 { 9 } else { 82 };
@@ -289,7 +289,7 @@
     assert!(failed.len() <= most, "{failed:?}");
 }
 
-/// A version that only fails with more than its first part is found while it moves.
+/// A version that fails only with more than its initial share is rolled back while it moves.
 #[test]
 fn bad_under_load() {
     for seed in 0..8 {
@@ -299,10 +299,10 @@
     }
 }
 
-/// The part that a version gets on trial holds for each instance and route alone but for one
-/// request, and for all of them together, however few requests each has.
+/// The share of a version on trial holds for each instance and route to within one request, and for
+/// all of them in total, however few requests each one has.
 #[test]
-fn part_held() {
+fn share_held() {
     for (instances, requests) in [(1, 1_000), (82, 50), (300, 10), (1_000, 5)] {
         let mut all = 0;
         for seed in 0..instances {
@@ -317,18 +317,18 @@
                 };
                 exposed += u64::from(run == new());
                 book.record_sent(&service(), "letters", Some(&run));
-                let most = (asked as f64 * EXPOSED) as u64 + 1;
+                let most = (asked as f64 * MAX_EXPOSED_SHARE) as u64 + 1;
                 assert!(exposed <= most, "{exposed} of {asked}");
             }
             all += exposed;
         }
         let asked = (instances * requests) as f64;
-        assert!(all as f64 <= asked * EXPOSED, "{all} of {asked}");
+        assert!(all as f64 <= asked * MAX_EXPOSED_SHARE, "{all} of {asked}");
         assert!(all as f64 >= asked * 0.06, "{all} of {asked}");
     }
 }
 
-/// A candidate that starts late gets no more at once than what is due.
+/// A candidate that starts late is not flooded with the requests that it missed.
 #[test]
 fn start_not_flooded() {
     let mut book = Registry::new(Settings::default(), 1);
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn later_order_holds() {
+fn later_order_replaces() {
     let mut book = Registry::new(Settings::default(), 1);
     assert!(book.ordered(at(0), order(12, 5)));
     assert!(!book.ordered(at(1), order(12, 5)), "the same one");
@@ -360,7 +360,7 @@
     assert_eq!(book.stage(&service()), Some((&again, Stage::Trial)));
 }
 
-/// What stands at the store is final.
+/// A final stage in the store cannot be changed.
 #[test]
 fn final_stays() {
     let mut book = Registry::new(Settings::default(), 1);
@@ -372,9 +372,9 @@
     assert_eq!(book.advance(at(60_000), &service(), &view), None);
 }
 
-/// A version that never starts is given up at the limit.
+/// A version that never starts is rolled back at the time limit.
 #[test]
-fn nobody_came() {
+fn absent_version_rolled_back() {
     let mut book = Registry::new(Settings::default(), 1);
     book.ordered(at(0), order(12, 5));
     book.record_present(&service(), Some(&old()));
@@ -385,7 +385,8 @@
     assert!(!book.versions(&service(), "letters")[0].has(Some(&new())));
 }
 
-/// It is complete only when each instance has moved and nothing is open at the old endpoints.
+/// An upgrade is complete only when every instance has moved and no request is open at the old
+/// endpoints.
 #[test]
 fn complete_when_moved() {
     let mut book = Registry::new(Settings::default(), 1);
@@ -411,7 +412,7 @@
     assert_eq!(
         book.advance(now, &service(), &free),
         None,
-        "one has not moved"
+        "one instance has not moved"
     );
     other.merge_statuses(now, 1, book.statuses(now));
     book.merge_statuses(now, 7, other.statuses(now));
@@ -419,7 +420,7 @@
     assert_eq!(change.stage, Stage::Complete);
 }
 
-/// A target that serves already and alone is complete once it has shown itself.
+/// An upgrade to a version that already serves without a baseline completes after enough answers.
 #[test]
 fn already_there() {
     let mut book = Registry::new(Settings::default(), 1);
--- a/coltsfoothall/tests/forward_usage.rs
+++ b/coltsfoothall/tests/forward_usage.rs
@@ -1,4 +1,4 @@
-//! Counts of requests by window.
+//! Counts of requests by workspace and window.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -11,21 +11,21 @@
     "film".parse().unwrap()
 }
 
-fn book(boot: u64) -> Counter {
+fn counter(boot: u64) -> Counter {
     Counter::new(boot, Duration::from_secs(5))
 }
 
 #[test]
 fn windows_by_time() {
-    let book = book(1);
-    assert_eq!(book.window(Duration::from_millis(14_999)), 2);
-    assert_eq!(book.window(Duration::from_secs(15)), 3);
-    assert_eq!(book.end(2), Duration::from_secs(15));
+    let counter = counter(1);
+    assert_eq!(counter.window(Duration::from_millis(14_999)), 2);
+    assert_eq!(counter.window(Duration::from_secs(15)), 3);
+    assert_eq!(counter.end(2), Duration::from_secs(15));
 }
 
 #[test]
-fn dead_one_counts() {
-    let (mut one, mut two) = (book(1), book(2));
+fn lost_instance_counts() {
+    let (mut one, mut two) = (counter(1), counter(2));
     for _ in 0..3 {
         one.record_start(7, &film());
     }
@@ -38,21 +38,25 @@
 
 #[test]
 fn notes_restored() {
-    let (mut one, mut two) = (book(1), book(2));
+    let (mut one, mut two) = (counter(1), counter(2));
     one.record_start(7, &film());
     two.record_start(7, &film());
     two.merge_counts(1, &one.own(0));
     let snapshot = two.snapshot(7);
-    let mut three = book(3);
+    let mut three = counter(3);
     three.record_start(7, &film());
     three.restore(&snapshot);
     three.restore(&snapshot);
-    assert_eq!(three.sum(7)[0].runs, 3, "each boot counts once");
+    assert_eq!(
+        three.sum(7)[0].runs,
+        3,
+        "each start of an instance counts once"
+    );
 }
 
 #[test]
-fn late_news_ignored() {
-    let mut two = book(2);
+fn outdated_reports_ignored() {
+    let mut two = counter(2);
     let count = |runs| {
         vec![Count {
             window: 7,
@@ -67,31 +71,31 @@
 
 #[test]
 fn restart_adds() {
-    let mut holder = book(9);
+    let mut leader = counter(9);
     for boot in [1, 2] {
-        let mut one = book(boot);
+        let mut one = counter(boot);
         one.record_start(7, &film());
-        holder.merge_counts(boot, &one.own(0));
+        leader.merge_counts(boot, &one.own(0));
     }
-    assert_eq!(holder.sum(7)[0].runs, 2);
+    assert_eq!(leader.sum(7)[0].runs, 2);
 }
 
 #[test]
 fn old_windows_dropped() {
-    let mut book = book(1);
-    book.record_start(1, &film());
-    book.record_start(40, &film());
-    assert!(book.sum(1).is_empty());
-    assert_eq!(book.own(0).len(), 1);
+    let mut counter = counter(1);
+    counter.record_start(1, &film());
+    counter.record_start(40, &film());
+    assert!(counter.sum(1).is_empty());
+    assert_eq!(counter.own(0).len(), 1);
 }
 
-/// 330 instances and 19 workspaces, each pair with requests in two windows. The holder notes
-/// all counts at the store every 0.8 s over a link of 20 Mbit/s, which carries 2 MB in that
-/// time; a tenth of it is for notes. A row with its names for each pair took 972 kB, 1.3 MB as the
-/// store's text, and the store takes 1 MiB as one value.
+/// 330 instances and 19 workspaces, each pair with requests in two windows. The leader writes all
+/// counts to the store every 0.8 s over a 20 Mbit/s link, which carries 2 MB in that time; a tenth
+/// of it is available for this. A row with names for each pair took 972 kB, or 1.3 MB as the store's
+/// text, and the store accepts at most 1 MiB per value.
 #[test]
 fn note_stays_small() {
-    let mut holder = book(0);
+    let mut leader = counter(0);
     for boot in 1..330 {
         let boot = boot * 0x0123_4567_89ab;
         for window in [7, 8] {
@@ -101,9 +105,9 @@
                 runs: 40 + at,
             };
             let counts: Vec<Count> = (0..19).map(count).collect();
-            holder.merge_counts(boot, &counts);
+            leader.merge_counts(boot, &counts);
         }
     }
-    let note = serde_json::to_vec(&holder.snapshot(353_445_127)).unwrap();
+    let note = serde_json::to_vec(&leader.snapshot(353_445_127)).unwrap();
     assert!(note.len() < 200_000, "{} bytes", note.len());
 }
--- a/coltsfoothall/tests/forward_verdict.rs
+++ b/coltsfoothall/tests/forward_verdict.rs
@@ -1,4 +1,4 @@
-//! Which answers count as bad, and when a version is found worse.
+//! Which answers count as bad, and when a version is judged worse.
 
 use std::time::Duration;
 
@@ -12,25 +12,29 @@
     count
 }
 
-/// Answers of a quick service differ by more than they take: none is slow for that.
+/// Answer times of a fast service vary by multiples of the mean, which does not make them slow.
 #[test]
-fn quick_ones() {
+fn fast_answers() {
     let usual = counted(&[0; 100], Count::default());
     assert_eq!(counted(&[0, 1, 5, 40], usual).bad, 0);
     assert_eq!(counted(&[51], usual).bad, 1);
 }
 
 #[test]
-fn slow_ones() {
+fn slow_answers() {
     let usual = counted(&[100; 30], Count::default());
     assert_eq!(counted(&[100, 250, 300, 301, 900], usual).bad, 2);
     let few = counted(&[100; 10], Count::default());
-    assert_eq!(counted(&[900], few).bad, 0, "the baseline is not known yet");
+    assert_eq!(
+        counted(&[900], few).bad,
+        0,
+        "too few answers of the baseline"
+    );
 }
 
-/// Sound answers take nothing from what is found later.
+/// Good answers do not delay the detection of later bad ones.
 #[test]
-fn bad_late() {
+fn late_degradation() {
     let baseline = Count {
         runs: 1_000,
         bad: 10,
