--- a/coltsfoothall/tests/forward_history.rs
+++ b/coltsfoothall/tests/forward_history.rs
@@ -20,7 +20,7 @@
     /// Fences stay distinct for a reader that parses numbers as doubles.
     #[test]
     fn exact_as_double(position in position()) {
-        let fence: u64 = Fence::from(place).to_string().parse().expect("a number");
+        let fence: u64 = Fence::from(position).to_string().parse().expect("a number");
         prop_assert!(fence < 1 << 53);
     }
 }
@@ -29,17 +29,17 @@
     /// A position survives formatting and parsing.
     #[test]
     fn place_from_text(position in position()) {
-        prop_assert_eq!(place.to_string().parse(), Ok(place));
+        prop_assert_eq!(position.to_string().parse(), Ok(position));
     }
 }
 
 #[test]
 fn one_copy_alone() {
-    let place = Position {
+    let position = Position {
         era: Era(0),
         revision: 77,
     };
-    assert_eq!(Fence::from(place).to_string(), "77");
+    assert_eq!(Fence::from(position).to_string(), "77");
 }
 
 #[test]
--- a/coltsfoothall/tests/forward_roster.rs
+++ b/coltsfoothall/tests/forward_roster.rs
@@ -471,7 +471,7 @@
     }
     let left = Entry {
         leaving: true,
-        ..reborn("a", 1_000, 2)
+        ..restarted("a", 1_000, 2)
     };
     roster.registered(at(10), left);
     let event = roster.registered(at(20), restarted("a", 2_000, 3));
@@ -503,7 +503,7 @@
     let mut roster = Roster::new(Settings::default());
     let left = Entry {
         leaving: true,
-        ..reborn("a", 1_000, 2)
+        ..restarted("a", 1_000, 2)
     };
     roster.registered(at(0), left);
     let value = Load {
@@ -542,7 +542,7 @@
         for step in steps {
             match step {
                 0 => drop(roster.registered(at(0), restarted("a", 1_000, 1))),
-                1 => drop(roster.registered(at(0), Entry { leaving: true, ..reborn("a", 1_000, 2) })),
+                1 => drop(roster.registered(at(0), Entry { leaving: true, ..restarted("a", 1_000, 2) })),
                 2 => drop(roster.removed(&id("a"), place(3))),
                 3 => drop(roster.registered(at(0), restarted("a", 2_000, 4))),
                 4 => drop(roster.merge_loads(at(0), 7, &[said(1_000, 5)])),
