--- a/coltsfoothall-wire/src/caller.rs
+++ b/coltsfoothall-wire/src/caller.rs
@@ -7,7 +7,7 @@
 //! | `POST /v1/completions` | [`Completion`], or [`Part`]s as server-sent events |
 //! | `GET /v1/requests/{key}` | the same, after `Last-Event-ID` |
 //! | `DELETE /v1/requests/{key}` | 204 |
-//! | any `/v1/services/{service}/{path}` | the service's own answer |
+//! | any `/v1/services/{service}/{path}` | the service's own response |
 
 use serde::{Deserialize, Serialize};
 
@@ -17,93 +17,93 @@
 
 pub use coltsfoothall::record::{Class, Finish};
 
-/// Text of the event that ends a stream.
+/// Data of the event that ends a stream.
 pub const DONE: &str = "[DONE]";
 
-/// One address of the system.
+/// Address of an entry instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Address {
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
-    /// Failure domain it is in.
+    /// Failure domain of the instance.
     pub domain: id::Domain,
-    /// Share of new connections to open there.
+    /// Relative share of new connections to open to this address.
     pub weight: u32,
 }
 
-/// The addresses to use.
+/// The addresses that a caller may connect to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Addresses {
-    /// Addresses, leaving instances left out.
+    /// Addresses of the entry instances that are not leaving.
     pub addresses: Vec<Address>,
-    /// How long to keep this answer.
+    /// How long the caller may cache this answer.
     pub ttl_ms: Millis,
 }
 
-/// A key that the system minted.
+/// A request key minted by an entry instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Minted {
-    /// The key, for `Idempotency-Key`.
+    /// The key to send in the `Idempotency-Key` header.
     pub key: Key,
 }
 
-/// A request for a completion, in the shape that existing clients speak.
+/// A completion request, in the JSON format that existing clients send.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prompt {
-    /// The model or adapter.
+    /// Name of the model or adapter.
     pub model: String,
-    /// The prompt.
+    /// Text to complete.
     pub prompt: String,
-    /// Most tokens to generate.
-    #[serde(default = "most")]
+    /// Maximum number of tokens to generate.
+    #[serde(default = "default_max_tokens")]
     pub max_tokens: u64,
-    /// Whether to answer in parts.
+    /// Whether to stream the answer as server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
 
-fn most() -> u64 {
+fn default_max_tokens() -> u64 {
     256
 }
 
-/// A piece of an answer.
+/// Generated text: all of it, or the part that one event carries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Choice {
-    /// Always 0.
+    /// Index of the choice; always 0, as one choice is generated.
     pub index: u32,
-    /// The text.
+    /// The generated text.
     pub text: String,
-    /// Set in the last piece.
+    /// Why generation ended; set only in the last part of an answer.
     pub finish_reason: Option<Finish>,
 }
 
-/// One event of a streamed answer. The event's id is the count of tokens up to its end.
+/// One event of a streamed answer. The event's id is the number of tokens generated up to its end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
     /// The request's key.
     pub id: Key,
-    /// The piece.
+    /// Exactly one choice, with the text of this event.
     pub choices: Vec<Choice>,
 }
 
-/// Tokens that a request took.
+/// Token counts of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: Tokens,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub completion_tokens: Tokens,
 }
 
-/// A whole answer.
+/// A complete, non-streamed answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Completion {
     /// The request's key.
     pub id: Key,
-    /// The model or adapter.
+    /// Name of the model or adapter.
     pub model: String,
-    /// One choice.
+    /// Exactly one choice.
     pub choices: Vec<Choice>,
-    /// Tokens taken.
+    /// Token counts of the request.
     pub usage: Usage,
 }
--- a/coltsfoothall-wire/src/client.rs
+++ b/coltsfoothall-wire/src/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client around `hyper`, whose errors name the step and the peer.
+//! An HTTP client on top of `hyper`. Its errors name the operation (`step`) and the peer.
 
 use std::time::Duration;
 
@@ -16,48 +16,48 @@
 
 use crate::{http, limit};
 
-/// Time in which a connection has to come up.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Time between probes of a silent connection; two without an answer end it, so that a
-/// peer that vanished is noticed while a call waits for it.
-const PROBE: Duration = Duration::from_secs(1);
-/// Probes without an answer that end a connection.
-const PROBES: u32 = 2;
-/// Bytes unacknowledged for so long mean that the peer is gone.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
-/// Longest pause within an answer whose size is not known before: links that lose packets
-/// send them again within it.
-const PAUSE: Duration = Duration::from_secs(2);
-/// Time in which an answer must be whole in any case.
-const LONGEST: Duration = Duration::from_secs(60);
-/// Idle connections kept for each peer.
-const IDLE: usize = 32;
+/// Limit on establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Idle time before the first TCP keepalive probe, and the interval between probes. Keepalive
+/// detects a peer that vanished while a call waits for its answer.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered keepalive probes after which a connection is closed.
+const MAX_KEEPALIVE_PROBES: u32 = 2;
+/// How long sent data may stay unacknowledged before the peer is considered gone.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Longest pause within an answer whose size is not known in advance. It is long enough for
+/// lost packets to be retransmitted.
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit on receiving the rest of an answer whose size is not known in advance.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum number of idle connections kept open to each peer.
+const MAX_IDLE_PER_PEER: usize = 32;
 
 quick_error! {
     /// A call that failed.
     #[derive(Debug)]
     pub enum Error {
-        /// No connection came up, so nothing was sent.
+        /// No connection was established, so nothing was sent.
         Connect(step: String, peer: String, message: String) {
             display("{step}: cannot connect to {peer}: {message}")
         }
-        /// The call broke after it may have been sent.
+        /// The connection failed after the request may have been sent.
         Broken(step: String, peer: String, message: String) {
-            display("{step}: {peer} broke off: {message}")
+            display("{step}: connection to {peer} failed: {message}")
         }
-        /// No answer came in time.
+        /// The answer did not arrive within the time limit.
         Timeout(step: String, peer: String) {
-            display("{step}: no answer from {peer} in time")
+            display("{step}: timed out waiting for an answer from {peer}")
         }
-        /// The answer has another status than success.
+        /// The answer has a status other than 2xx.
         Status(step: String, peer: String, status: u16, body: Bytes) {
             display("{step}: {peer} answered {status}: {}", String::from_utf8_lossy(body))
         }
-        /// The answer cannot be read.
+        /// The body of the answer could not be read or parsed.
         Body(step: String, peer: String, message: String) {
-            display("{step}: cannot read the answer of {peer}: {message}")
+            display("{step}: cannot read the answer from {peer}: {message}")
         }
-        /// The call cannot be put together.
+        /// The request could not be built, for example because the peer address is invalid.
         Call(step: String, peer: String, message: String) {
             display("{step}: cannot call {peer}: {message}")
         }
@@ -65,29 +65,29 @@
 }
 
 impl Error {
-    /// Whether the peer cannot have seen the call.
+    /// Whether it is certain that the peer did not receive the request.
     #[must_use]
     pub fn unsent(&self) -> bool {
         matches!(self, Self::Connect(..) | Self::Call(..))
     }
 }
 
-/// A whole answer.
+/// A completely received answer.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its headers.
+    /// HTTP headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// The body of a success.
+    /// Returns the body if the status is a success.
     ///
     /// # Errors
-    /// The status is another one.
+    /// [`Error::Status`] for any status other than 2xx.
     pub fn success(self, step: &str, peer: &str) -> Result<Bytes, Error> {
         if self.status.is_success() {
             return Ok(self.body);
@@ -97,7 +97,7 @@
     }
 }
 
-/// A client that keeps connections open.
+/// A client that pools connections.
 #[derive(Debug, Clone)]
 pub struct Client {
     inner: hyper_util::client::legacy::Client<HttpConnector, Full<Bytes>>,
@@ -110,19 +110,19 @@
 }
 
 impl Client {
-    /// A client with no connection yet.
+    /// Creates a client without any open connection.
     #[must_use]
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_keepalive(Some(PROBE));
-        connector.set_keepalive_interval(Some(PROBE));
-        connector.set_keepalive_retries(Some(PROBES));
-        connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
-        connector.set_connect_timeout(Some(CONNECT));
+        connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_retries(Some(MAX_KEEPALIVE_PROBES));
+        connector.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let inner = hyper_util::client::legacy::Client::builder(TokioExecutor::new())
-            .pool_max_idle_per_host(IDLE)
-            // A silent second try would break at-most-once.
+            .pool_max_idle_per_host(MAX_IDLE_PER_PEER)
+            // A retry inside the client would break at-most-once execution.
             .retry_canceled_requests(false)
             .build(connector);
         Self { inner }
@@ -131,7 +131,7 @@
     /// Sends a request and waits for the head of the answer.
     ///
     /// # Errors
-    /// The error says whether the peer can have seen the call.
+    /// [`Error::unsent`] says whether the peer can have received the request.
     pub async fn send(
         &self,
         step: &str,
@@ -147,16 +147,16 @@
             Err(_elapsed) => Err(Error::Timeout(step.into(), peer)),
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(error)) if error.is_connect() => {
-                Err(Error::Connect(step.into(), peer, chain(&error)))
+                Err(Error::Connect(step.into(), peer, format_chain(&error)))
             }
-            Ok(Err(error)) => Err(Error::Broken(step.into(), peer, chain(&error))),
+            Ok(Err(error)) => Err(Error::Broken(step.into(), peer, format_chain(&error))),
         }
     }
 
-    /// Calls `http://{peer}{path}` with a body and reads the whole answer.
+    /// Calls `http://{peer}{path}` with a body and reads the complete answer.
     ///
     /// # Errors
-    /// As [`Client::send`]; any status but success is an error too.
+    /// As [`Client::send`]; a status other than 2xx is an error too.
     pub async fn call(
         &self,
         step: &str,
@@ -170,7 +170,7 @@
         answer.success(step, peer)
     }
 
-    /// Calls `http://{peer}{path}` with a body and reads the whole answer, of any status.
+    /// Calls `http://{peer}{path}` with a body and reads the complete answer, whatever its status.
     ///
     /// # Errors
     /// As [`Client::send`].
@@ -184,22 +184,24 @@
         within: Duration,
     ) -> Result<Answer, Error> {
         let request = request(step, method, peer, path, body)?;
-        let whole = async {
+        let complete = async {
             let (head, body) = self.send(step, request, within).await?.into_parts();
             let body = http::read(body, limit::FRAME).await;
             answer(step, peer, head, body)
         };
-        match timeout(within, whole).await {
+        match timeout(within, complete).await {
             Ok(result) => result,
             Err(_elapsed) => Err(Error::Timeout(step.into(), peer.into())),
         }
     }
 
-    /// `GET` of an answer of any size and status: it must begin in time, and then go on. A limit
-    /// on the whole answer would be one on its size, and on what else the link carries.
+    /// `GET` of an answer whose size is not known in advance, whatever its status. The head must
+    /// arrive within `begins_within`, and the body must not pause for longer than
+    /// `STALL_TIMEOUT`. A short limit on the complete answer would also limit its size and
+    /// depend on the other traffic of the link.
     ///
     /// # Errors
-    /// As [`Client::send`], or the answer stalled.
+    /// As [`Client::send`], or the body stalled.
     pub async fn fetch(
         &self,
         step: &str,
@@ -208,12 +210,12 @@
         begins_within: Duration,
     ) -> Result<Answer, Error> {
         let request = request(step, Method::GET, peer, path, Bytes::new())?;
-        let whole = async {
+        let complete = async {
             let (head, body) = self.send(step, request, begins_within).await?.into_parts();
-            let body = http::read_steady(body, limit::FRAME, PAUSE).await;
+            let body = http::read_steady(body, limit::FRAME, STALL_TIMEOUT).await;
             answer(step, peer, head, body)
         };
-        match timeout(begins_within + LONGEST, whole).await {
+        match timeout(begins_within + FETCH_TIMEOUT, complete).await {
             Ok(result) => result,
             Err(_elapsed) => Err(Error::Timeout(step.into(), peer.into())),
         }
@@ -222,7 +224,7 @@
     /// `GET` of a JSON value.
     ///
     /// # Errors
-    /// As [`Client::call`], or the answer is not the JSON that was asked for.
+    /// As [`Client::call`], or the body is not JSON of type `T`.
     pub async fn get<T: DeserializeOwned>(
         &self,
         step: &str,
@@ -236,7 +238,7 @@
         read(step, peer, &body)
     }
 
-    /// A call with a JSON value that is answered with another.
+    /// Sends a JSON value and parses the JSON value in the answer.
     ///
     /// # Errors
     /// As [`Client::get`].
@@ -289,8 +291,8 @@
     http::parse(body).map_err(|error| Error::Body(step.into(), peer.into(), error.to_string()))
 }
 
-/// The error and what caused it, as one line.
-fn chain(error: &dyn std::error::Error) -> String {
+/// Formats an error and its chain of sources on one line.
+fn format_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut next = error.source();
     while let Some(cause) = next {
--- a/coltsfoothall-wire/src/http.rs
+++ b/coltsfoothall-wire/src/http.rs
@@ -1,4 +1,4 @@
-//! Small helpers around HTTP bodies, on both sides.
+//! Reading and writing of HTTP bodies, for clients and servers.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -15,45 +15,46 @@
     /// A body that cannot be read.
     #[derive(Debug)]
     pub enum Error {
-        /// It is over its limit.
+        /// The body is larger than its limit.
         Large(limit: usize) {
             display("body is over {limit} bytes")
         }
-        /// The connection ended within it.
+        /// The connection ended before the body was complete.
         Broken(message: String) {
             display("body ended early: {message}")
         }
-        /// No more of it came for so long.
+        /// No data arrived for the given time.
         Stalled(pause: Duration) {
             display("body stalled for {pause:?}")
         }
-        /// It is not the JSON that was asked for.
+        /// The body is not JSON of the expected type.
         Json(message: String) {
             display("{message}")
         }
     }
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
-/// The body is over the limit, or the connection ended within it.
+/// The body is over the limit, or the connection ended before it was complete.
 pub async fn read<B>(body: B, limit: usize) -> Result<Bytes, Error>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    // A length that is over the limit is refused before any of the body comes.
+    // A declared length over the limit is rejected before any of the body is read.
     if body.size_hint().lower() > limit as u64 {
         return Err(Error::Large(limit));
     }
     match Limited::new(body, limit).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
-        Err(error) => Err(broken(error.as_ref(), limit)),
+        Ok(collected) => Ok(collected.to_bytes()),
+        Err(error) => Err(body_error(error.as_ref(), limit)),
     }
 }
 
-/// Reads a whole body of at most `limit` bytes, as long as it goes on without a longer `pause`.
+/// Reads a complete body of at most `limit` bytes. The time between two frames may not exceed
+/// `pause`; the total time is not limited.
 ///
 /// # Errors
 /// As [`read`], or the body stalled.
@@ -65,31 +66,31 @@
     if body.size_hint().lower() > limit as u64 {
         return Err(Error::Large(limit));
     }
-    let mut whole = BytesMut::new();
+    let mut read = BytesMut::new();
     let mut body = pin!(Limited::new(body, limit));
     loop {
         let Ok(next) = timeout(pause, body.frame()).await else {
             return Err(Error::Stalled(pause));
         };
         match next.transpose() {
-            Ok(None) => return Ok(whole.freeze()),
-            Ok(Some(frame)) => whole.extend(frame.into_data()),
-            Err(error) => return Err(broken(error.as_ref(), limit)),
+            Ok(None) => return Ok(read.freeze()),
+            Ok(Some(frame)) => read.extend(frame.into_data()),
+            Err(error) => return Err(body_error(error.as_ref(), limit)),
         }
     }
 }
 
-fn broken(error: &(dyn std::error::Error + Send + Sync + 'static), limit: usize) -> Error {
+fn body_error(error: &(dyn std::error::Error + Send + Sync + 'static), limit: usize) -> Error {
     if error.is::<LengthLimitError>() {
         return Error::Large(limit);
     }
     Error::Broken(error.to_string())
 }
 
-/// Reads a whole body as JSON.
+/// Reads a complete body and parses it as JSON.
 ///
 /// # Errors
-/// As [`read`], or the body is not the JSON that was asked for.
+/// As [`read`], or the body is not JSON of type `T`.
 pub async fn read_json<T, B>(body: B, limit: usize) -> Result<T, Error>
 where
     T: DeserializeOwned,
@@ -100,23 +101,23 @@
     parse(&bytes)
 }
 
-/// Reads a value from JSON.
+/// Parses a value from JSON.
 ///
 /// # Errors
-/// The bytes are not the JSON that was asked for.
+/// The bytes are not JSON of type `T`.
 pub fn parse<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     serde_json::from_slice(bytes).map_err(|error| Error::Json(error.to_string()))
 }
 
-/// A value as JSON bytes.
+/// Serializes a value to JSON.
 #[must_use]
 pub fn json<T: Serialize>(value: &T) -> Bytes {
     serde_json::to_vec(value)
-        .expect("messages have no map keys that JSON refuses")
+        .expect("messages have only map keys that JSON can represent")
         .into()
 }
 
-/// A value as a JSON body.
+/// Serializes a value to a JSON body.
 #[must_use]
 pub fn json_body<T: Serialize>(value: &T) -> Full<Bytes> {
     Full::new(json(value))
