--- a/coltsfoothall-wire/src/cloud.rs
+++ b/coltsfoothall-wire/src/cloud.rs
@@ -5,9 +5,9 @@
 //! | `GET /v1/offers` | [`Offers`] |
 //! | `POST /v1/instances` with [`Start`] | [`Machine`]; 409 with [`Refused`] |
 //! | `DELETE /v1/instances/{id}` | 204 |
-//! | `GET /v1/notices?after=N&wait_ms=T` | [`Notices`] after number N, or empty after T |
-//! | `GET /v1/instances` | [`Machines`], the lagging list |
-//! | `POST /v1/weights/{model}/{version}` | 200 with the seconds a load takes; 429 over the rate |
+//! | `GET /v1/notices?after=N&wait_ms=T` | [`Notices`] after sequence number N; empty if none arrives within T |
+//! | `GET /v1/instances` | [`Machines`]; the list lags behind |
+//! | `POST /v1/weights/{model}/{version}` | 200 with the duration of a load in seconds; 429 over the rate limit |
 
 use serde::{Deserialize, Serialize};
 
@@ -17,66 +17,66 @@
 pub use coltsfoothall::fleet::Lend;
 pub use coltsfoothall::start::Phase;
 
-/// A price.
+/// Price of an instance of one kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
     /// Failure domain.
     pub domain: id::Domain,
     /// Machine class.
     pub class: id::Class,
-    /// How it is lent.
+    /// Terms on which the instance is rented.
     pub lend: Lend,
-    /// Price of one instance.
+    /// Price of one such instance.
     pub price: Price,
 }
 
-/// All prices.
+/// Current offers of the cloud.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offers {
     /// The offers.
     pub offers: Vec<Offer>,
 }
 
-/// An instance to start. A repeat with the same `token` starts nothing more.
+/// Request to start an instance. Repeating it with the same `token` starts no second instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
-    /// Names this wish, so that a lost answer can be asked for again.
+    /// Idempotency token: the request can be repeated if its answer is lost.
     pub token: String,
-    /// The service it is for.
+    /// Service that the instance runs.
     pub service: id::Service,
     /// Failure domain.
     pub domain: id::Domain,
     /// Machine class.
     pub class: id::Class,
-    /// How it is lent.
+    /// Terms on which the instance is rented.
     pub lend: Lend,
 }
 
 /// Why an instance was not started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// Why, for people.
+    /// Human-readable reason.
     pub message: String,
 }
 
 /// An instance of the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Its name, also the endpoint's.
+    /// Name of the instance and of its endpoint.
     pub id: id::Instance,
-    /// The service it is for.
+    /// Service that the instance runs.
     pub service: id::Service,
     /// Failure domain.
     pub domain: id::Domain,
     /// Machine class.
     pub class: id::Class,
-    /// How it is lent.
+    /// Terms on which the instance is rented.
     pub lend: Lend,
-    /// Price.
+    /// Price of the instance.
     pub price: Price,
-    /// IP number and port of its endpoint; empty while it starts.
+    /// IP address and port of its endpoint; empty while the instance starts.
     pub address: String,
-    /// Phase.
+    /// Current phase of its life cycle.
     pub phase: Phase,
 }
 
@@ -87,22 +87,22 @@
     pub machines: Vec<Machine>,
 }
 
-/// Notice that an instance will be taken back.
+/// Notice that an instance will be reclaimed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// Number, rising.
+    /// Sequence number, strictly increasing.
     pub seq: u64,
-    /// The instance, entry or endpoint.
+    /// Instance that will be reclaimed; it runs an entry program or an endpoint.
     pub instance: id::Instance,
-    /// Time left when the answer was written.
+    /// Time left until the instance is reclaimed, at the time of the answer.
     pub left_ms: Millis,
 }
 
-/// Notices after a number.
+/// Notices after a given sequence number.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notices {
     /// The notices, in order.
     pub notices: Vec<Notice>,
-    /// The newest number.
+    /// Newest sequence number.
     pub newest: u64,
 }
--- a/coltsfoothall-wire/src/engine.rs
+++ b/coltsfoothall-wire/src/engine.rs
@@ -6,9 +6,9 @@
 //! | `DELETE /v1/attempts/{attempt}` | 204 |
 //! | `GET /v1/load` | [`Load`] |
 //! | `GET /v1/cache/events?after=N` | [`Events`] |
-//! | `GET /v1/cache/blocks/{block}` | exported cache, opaque bytes |
-//! | `PUT /v1/cache/blocks/{block}` | 204, imported |
-//! | `POST /v1/orders` with [`Order`] | [`State`], or 409 with [`Refusal`] for an old fencing number |
+//! | `GET /v1/cache/blocks/{block}` | the exported cache block, opaque bytes |
+//! | `PUT /v1/cache/blocks/{block}` | 204 once the block is imported |
+//! | `POST /v1/orders` with [`Order`] | [`State`], or 409 with [`Refusal`] for an outdated fencing token |
 //! | `GET /v1/state` | [`State`] |
 
 use serde::{Deserialize, Serialize};
@@ -20,147 +20,149 @@
 pub use coltsfoothall::order::{Loaded, Role};
 pub use coltsfoothall::record::Finish;
 
-/// Number of an attempt: the request's slot epoch and counter, unique in the fleet.
+/// Number of an attempt at running a request: slot epoch and counter, unique in the fleet.
 pub type Attempt = u64;
 
-/// Number of one run of an engine's process, drawn at random when it starts.
+/// Random number that identifies one run of an engine process, drawn when the process starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Boot(pub u64);
 
-/// Order in which an engine serves; lower goes first.
+/// Scheduling priority in an engine; lower values run first.
 pub type Priority = u8;
 
-/// A completion to generate, from the start or from a committed offset.
+/// Request to generate a completion, from the start or from a committed offset.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Generate {
-    /// Echoed in every chunk.
+    /// Attempt number, echoed in every chunk.
     pub attempt: Attempt,
-    /// The model.
+    /// Name of the model.
     pub model: id::Model,
-    /// The adapter, if one is asked for.
+    /// Name of the adapter, if one is requested.
     #[serde(default)]
     pub adapter: Option<id::Adapter>,
-    /// The prompt.
+    /// Text to complete.
     pub prompt: String,
-    /// Text that was already generated and delivered.
+    /// Text that an earlier attempt generated and that was delivered to the caller.
     #[serde(default)]
     pub resume: String,
-    /// Tokens in `resume`.
+    /// Number of tokens in `resume`.
     #[serde(default)]
     pub offset: u64,
-    /// Most tokens in all, those in `resume` included.
+    /// Maximum number of generated tokens, including those in `resume`.
     pub max_tokens: u64,
-    /// Place in the engine's queue.
+    /// Priority in the engine's queue.
     #[serde(default)]
     pub priority: Priority,
 }
 
-/// A piece of an engine's answer.
+/// Part of an engine's streamed answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The attempt it belongs to.
+    /// The attempt that the chunk belongs to.
     pub attempt: Attempt,
-    /// Index of its first token in the whole answer.
+    /// Index of the first token of the chunk within the complete answer.
     pub offset: u64,
-    /// Tokens in this piece.
+    /// Number of tokens in the chunk.
     pub tokens: u64,
-    /// Their text.
+    /// Text of these tokens.
     pub text: String,
-    /// Set in the last piece.
+    /// Why generation ended; set only in the last chunk.
     #[serde(default)]
     pub finish: Option<Finish>,
-    /// In the first piece: tokens of prompt and `resume` read from cache.
+    /// Tokens of the prompt and of `resume` that were read from the prefix cache; set only in the
+    /// first chunk.
     #[serde(default)]
     pub cached: Option<Tokens>,
 }
 
-/// An endpoint's refusal.
+/// Body of the answer with which an endpoint refuses a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why, for people.
+    /// Human-readable reason.
     pub message: String,
-    /// Whether anything was begun.
+    /// Whether the endpoint had started to run the call.
     pub started: bool,
-    /// The newest fencing number seen, where an order was too old.
+    /// Newest fencing token that the endpoint has seen, if it refused an outdated order.
     #[serde(default)]
     pub fence: Option<u64>,
 }
 
-/// Load that an engine reports, with a lag.
+/// Load that an engine reports; the figures lag behind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests in the batch.
+    /// Number of requests in the running batch.
     pub running: u32,
-    /// Requests in the queue.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Prompt tokens still to be read.
+    /// Prompt tokens that are still to be prefilled.
     pub prefill: Tokens,
     /// Tokens held in the prefix cache.
     pub cached: Tokens,
-    /// Size of the prefix cache.
+    /// Capacity of the prefix cache.
     pub capacity: Tokens,
-    /// The process that reports; an engine that does not say shows no quick restart.
+    /// The reporting process. Without it, a restart that is quick enough to be missed otherwise
+    /// cannot be detected.
     #[serde(default)]
     pub boot: Option<Boot>,
 }
 
-/// What happened to a block of the cache.
+/// Change of the prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// It was stored.
+    /// A block was stored.
     Stored(Block),
-    /// It was evicted.
+    /// A block was evicted.
     Evicted(Block),
-    /// All were dropped.
+    /// All blocks were dropped.
     Cleared,
 }
 
-/// A cache event.
+/// A numbered cache event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Number; a jump says that events were lost.
+    /// Sequence number; a gap means that events were lost.
     pub seq: u64,
-    /// What happened.
+    /// The change of the cache.
     pub change: Change,
 }
 
-/// Cache events after a number.
+/// Cache events after a given sequence number.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Events {
-    /// The events, in order, perhaps with gaps.
+    /// The events in order; numbers may be missing.
     pub events: Vec<Event>,
-    /// The newest number that the engine will show.
+    /// Newest sequence number that the engine reports.
     pub newest: u64,
 }
 
-/// The state that an engine is ordered to be in; a repeat is harmless.
+/// Desired state of an engine; orders are idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number of the one who orders.
+    /// Fencing token of the instance that sends the order.
     pub fence: u64,
-    /// The model to run.
+    /// Model to run.
     pub model: Loaded,
-    /// Adapters to hold, sorted.
+    /// Adapters to keep loaded, sorted.
     #[serde(default)]
     pub adapters: Vec<Loaded>,
-    /// Role to take.
+    /// Role to assume.
     #[serde(default)]
     pub role: Role,
 }
 
-/// The state that an engine is in.
+/// Current state of an engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// The model that runs, if one is loaded.
+    /// Running model, if one is loaded.
     pub model: Option<Loaded>,
-    /// Adapters held, sorted.
+    /// Loaded adapters, sorted.
     pub adapters: Vec<Loaded>,
-    /// What is being loaded, if anything.
+    /// Model or adapter that is being loaded, if any.
     pub loading: Option<Loaded>,
-    /// Role.
+    /// Current role.
     pub role: Role,
-    /// Newest fencing number seen.
+    /// Newest fencing token that the engine has seen.
     pub fence: u64,
 }
--- a/coltsfoothall-wire/src/fault.rs
+++ b/coltsfoothall-wire/src/fault.rs
@@ -1,4 +1,4 @@
-//! Errors as callers and operators see them.
+//! Errors returned to callers and operators.
 
 use std::fmt;
 
@@ -7,39 +7,39 @@
 use coltsfoothall::key::Key;
 use coltsfoothall::size::Millis;
 
-/// What became of a request.
+/// Whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It ran and its answer is whole.
+    /// The request ran and its answer is complete.
     Done,
-    /// It did not run and never will under this key.
+    /// The request did not run and never will under this key.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Stable code of an error.
+/// Stable error code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
-    /// The request's head, body or a field cannot be taken.
+    /// The head, the body or a field of the request is invalid.
     BadRequest,
     /// No workspace has this bearer token.
     Unauthorized,
-    /// Nothing is known under this path, service, model or key.
+    /// The path, service, model or key is unknown.
     NotFound,
-    /// The body is over its limit.
+    /// The body is larger than its limit.
     TooLarge,
-    /// The key was used for a different request.
+    /// The key was already used for a different request.
     KeyReused,
-    /// A limit of the workspace is reached.
+    /// A limit of the workspace was reached.
     Limited,
     /// There is no capacity for the request within its deadline.
     Overloaded,
-    /// No endpoint of the service can be used now.
+    /// No endpoint of the service is usable at present.
     NoEndpoint,
-    /// At-most-once cannot be kept up now.
+    /// At-most-once execution cannot be guaranteed at present.
     NotSafe,
     /// This entry instance is leaving or not ready.
     Unavailable,
@@ -47,22 +47,22 @@
     Deadline,
     /// The request was cancelled by its caller.
     Cancelled,
-    /// Endpoints died each time that the request ran.
+    /// Endpoints failed each time the request ran on them.
     Poisonous,
-    /// Every attempt that the retry budget allows has failed.
+    /// All attempts that the retry budget allows have failed.
     Failed,
-    /// The ledger that knew of this key was lost.
+    /// The ledger that held the record of this key was lost.
     LedgerLost,
-    /// An operator's plan was made on an older revision.
+    /// An operator's plan is based on an outdated revision.
     Stale,
     /// The platform's key-value service cannot be reached.
     StoreDown,
-    /// A rule of the system was broken; it is logged.
+    /// An invariant was violated; the violation is logged.
     Internal,
 }
 
 impl Code {
-    /// HTTP status that goes with the code.
+    /// HTTP status of answers with this code.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Outcome that goes with the code unless the ledger says otherwise.
+    /// Default outcome for the code; the record in the ledger takes precedence.
     #[must_use]
     pub fn outcome(self) -> Outcome {
         match self {
@@ -105,14 +105,14 @@
 pub struct Fault {
     /// Stable code.
     pub code: Code,
-    /// What became of the request.
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// What went wrong, for people.
+    /// Human-readable description.
     pub message: String,
-    /// The field that is wrong, if one is.
+    /// Name of the invalid field, if the error concerns one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// When to come back; also sent as `Retry-After` in whole seconds.
+    /// Delay before a retry; also sent as `Retry-After`, in whole seconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<Millis>,
     /// The request's key.
@@ -128,7 +128,7 @@
 }
 
 impl Fault {
-    /// An error with the code's usual outcome.
+    /// Creates an error with the default outcome of its code.
     #[must_use]
     pub fn new(code: Code, message: impl fmt::Display) -> Self {
         Self {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// A bad field.
+    /// Creates an error about an invalid field.
     #[must_use]
     pub fn field(name: &str, message: impl fmt::Display) -> Self {
         Self {
--- a/coltsfoothall-wire/src/lib.rs
+++ b/coltsfoothall-wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! Messages of coltsfoothall: towards callers, operators, peers, the platform
-//! and endpoints, with their size limits.
+//! Message types and HTTP plumbing of coltsfoothall: messages to and from callers, operators,
+//! peers, the platform and endpoints, with their size limits.
 //!
 //! ```
 //! use coltsfoothall_wire::fault::{Code, Fault, Outcome};
--- a/coltsfoothall-wire/src/operator.rs
+++ b/coltsfoothall-wire/src/operator.rs
@@ -1,13 +1,13 @@
-//! Messages of the operators' interface.
+//! Messages of the operator API.
 //!
 //! | call | answer |
 //! | --- | --- |
-//! | `GET /v1/operator/catalog` | the [`Catalog`] in force here |
+//! | `GET /v1/operator/catalog` | the [`Catalog`] in force on this instance |
 //! | `POST /v1/operator/plan` with an intent as YAML | [`Plan`] |
 //! | `POST /v1/operator/confirm` with a [`Plan`] | [`Verdict`] |
 //! | `GET /v1/operator/status` | [`Status`] |
 //!
-//! Each call carries the operators' bearer token.
+//! Every call must carry the operator bearer token.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,65 +19,65 @@
 pub use coltsfoothall::confirm::Verdict;
 pub use coltsfoothall::plan::{Plan, Step, Verb};
 
-/// Path of the call for the [`Catalog`].
+/// Path of the call that returns the [`Catalog`].
 pub const CATALOG: &str = "/v1/operator/catalog";
-/// Path of the call for a [`Plan`].
+/// Path of the call that returns a [`Plan`].
 pub const PLAN: &str = "/v1/operator/plan";
-/// Path of the call for a [`Verdict`]; every verdict is answered with 200.
+/// Path of the call that returns a [`Verdict`]; every verdict has status 200.
 pub const CONFIRM: &str = "/v1/operator/confirm";
-/// Path of the call for a [`Status`].
+/// Path of the call that returns a [`Status`].
 pub const STATUS: &str = "/v1/operator/status";
 
-/// An entry instance as others know it.
+/// An entry instance, as known to the instance that answers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the instance.
     pub id: id::Instance,
-    /// Its address for callers.
+    /// Address for callers.
     pub address: String,
     /// Failure domain.
     pub domain: id::Domain,
-    /// Revision in force there.
+    /// Configuration revision in force on the instance.
     pub revision: Revision,
-    /// Whether it is leaving.
+    /// Whether the instance is leaving.
     pub leaving: bool,
-    /// Time since it was heard.
+    /// Time since it was last heard from.
     pub heard_ms: Millis,
 }
 
-/// An endpoint as this entry instance knows it.
+/// An endpoint, as known to the instance that answers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub id: id::Endpoint,
-    /// Its service.
+    /// Service that the endpoint runs.
     pub service: id::Service,
     /// Failure domain.
     pub domain: id::Domain,
     /// `live`, `leaving` or `suspect`.
     pub state: String,
-    /// Own requests in flight there.
+    /// Requests that the answering instance has in flight on the endpoint.
     pub open: u32,
 }
 
-/// What an entry instance knows.
+/// State of the fleet as known to one entry instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The entry instance that answers.
     pub instance: id::Instance,
-    /// Revision in force here.
+    /// Configuration revision in force on it.
     pub revision: Revision,
-    /// Time since that revision was known to be current; none if it never was.
+    /// Time since the revision was last known to be current; `None` if it never was.
     #[serde(default)]
     pub age_ms: Option<Millis>,
-    /// Entry instances on which that revision is in force.
+    /// Number of entry instances on which that revision is in force.
     pub in_force: u32,
     /// Entry instances, sorted by name.
     pub members: Vec<Member>,
     /// Endpoints, sorted by name.
     pub endpoints: Vec<Endpoint>,
-    /// Requests open here.
+    /// Requests open on the answering instance.
     pub open: u32,
-    /// Rules found broken since the start; anything but 0 is a bug.
+    /// Invariant violations found since the start; anything but 0 is a bug.
     pub broken: u64,
 }
--- a/coltsfoothall-wire/src/store.rs
+++ b/coltsfoothall-wire/src/store.rs
@@ -1,4 +1,4 @@
-//! Messages to the platform's key-value service.
+//! Messages to the platform's key-value service (the store).
 //!
 //! | call | answer |
 //! | --- | --- |
@@ -7,17 +7,17 @@
 //! | `DELETE /v1/kv/{key}?version=N` | 204; 409 with [`Conflict`] |
 //! | `GET /v1/list/{prefix}` | [`List`] |
 //! | `POST /v1/leases` with [`Grant`] | [`Lease`] |
-//! | `PUT /v1/leases/{id}` | [`Lease`], renewed; 404 once lapsed |
+//! | `PUT /v1/leases/{id}` | the renewed [`Lease`]; 404 once it has expired |
 //! | `DELETE /v1/leases/{id}` | 204; its keys are removed |
-//! | `GET /v1/watch/{prefix}?after=N&wait_ms=T` | [`List`] of entries changed after revision N, or empty after T |
+//! | `GET /v1/watch/{prefix}?after=N&wait_ms=T` | [`List`] of the entries changed after revision N; empty if none changes within T |
 //!
-//! Rates over the limit are answered with 429, an outage with 503.
+//! Calls over the rate limit are answered with 429, calls during an outage with 503.
 
 use serde::{Deserialize, Serialize};
 
 use coltsfoothall::size::Millis;
 
-/// Version of one key; 0 stands for "absent".
+/// Version of one key; 0 means that the key does not exist.
 pub type Version = u64;
 
 /// A value with its version.
@@ -25,30 +25,30 @@
 pub struct Entry {
     /// The key.
     pub key: String,
-    /// The value; empty in a watch's answer when the key was removed.
+    /// The value; empty in the answer to a watch if the key was removed.
     pub value: String,
-    /// Version of the key; 0 in a watch's answer when the key was removed.
+    /// Version of the key; 0 in the answer to a watch if the key was removed.
     pub version: Version,
-    /// Revision of the whole store at the change.
+    /// Revision of the store as of this change.
     pub revision: u64,
 }
 
-/// A compare-and-swap.
+/// A compare-and-swap write.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
     /// The new value.
     pub value: String,
-    /// The version that the key must have; 0 for "absent", none for any.
+    /// Version that the key must have; 0 if it must not exist, `None` for an unconditional write.
     pub version: Option<Version>,
-    /// The lease that the key lives by.
+    /// Lease that the key is attached to; the key is removed when the lease ends.
     #[serde(default)]
     pub lease: Option<u64>,
 }
 
-/// The entry that stood in the way of a swap.
+/// The entry that made a compare-and-swap fail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// What is there, if anything.
+    /// Current entry of the key; `None` if the key does not exist.
     pub current: Option<Entry>,
 }
 
@@ -57,22 +57,22 @@
 pub struct List {
     /// The entries, sorted by key.
     pub entries: Vec<Entry>,
-    /// Revision of the whole store.
+    /// Revision of the store at the time of the answer.
     pub revision: u64,
 }
 
-/// A lease to be granted.
+/// Request for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// How long it lives without renewal.
+    /// Time to live without renewal.
     pub ttl_ms: Millis,
 }
 
-/// A lease.
+/// A granted lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Its number.
+    /// Number of the lease.
     pub id: u64,
-    /// How long it lives from now.
+    /// Time to live from now.
     pub ttl_ms: Millis,
 }
