--- a/coltsfoothall-wire/src/peer.rs
+++ b/coltsfoothall-wire/src/peer.rs
@@ -1,8 +1,8 @@
 //! Messages between entry instances.
 //!
 //! `POST /v1/follow` with a [`Follow`] is answered with a stream of [`Piece`]s.
-//! All else goes through [`Peer`], whose connection opens as `GET /v1/peer` and
-//! upgrades. Both carry MessagePack, each frame behind its length.
+//! All other calls use the RPC service [`Peer`], whose connection starts as `GET /v1/peer` and
+//! is upgraded. Both carry MessagePack in length-prefixed frames.
 
 use bytes::{Bytes, BytesMut};
 use serde::de::DeserializeOwned;
@@ -24,46 +24,47 @@
 use crate::fault::Fault;
 use crate::limit;
 
-/// Path of the stream of pieces.
+/// Path of the call that streams [`Piece`]s.
 pub const FOLLOW: &str = "/v1/follow";
-/// Path of the connection that upgrades.
+/// Path of the request that upgrades the connection for [`Peer`].
 pub const PEER: &str = "/v1/peer";
-/// Protocol named in the upgrade.
+/// Protocol name in the `Upgrade` header.
 pub const UPGRADE: &str = "coltsfoothall-peer";
 
-/// Asks the owner of a request for its answer.
+/// Asks the instance that owns a request for its answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Follow {
-    /// The request.
+    /// Name of the request.
     pub name: Name,
-    /// The request itself; without it only a known request is followed.
+    /// Contents of the request, so that the owner can start it. Without them, only a request that
+    /// the owner already knows is followed.
     pub intake: Option<Box<Intake>>,
-    /// Tokens that the caller has already.
+    /// Number of tokens that the caller has already received.
     pub offset: u64,
 }
 
-/// A piece of an answer.
+/// Part of a streamed answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Piece {
-    /// Text up to `tokens` tokens of the answer.
+    /// Generated text.
     Text {
-        /// Tokens of the answer up to the end of this piece.
+        /// Number of tokens of the answer up to the end of this piece.
         tokens: u64,
-        /// The text.
+        /// Text of this piece.
         text: String,
-        /// Set in the last piece.
+        /// Why generation ended; set only in the last piece.
         finish: Option<Finish>,
     },
-    /// The whole answer of a plain service.
+    /// The complete answer of a plain service.
     Answer(Box<Answer>),
     /// The request ended.
     End {
-        /// How.
+        /// How it ended.
         end: End,
-        /// When its caller may come back, if it was given up.
+        /// Delay before the caller may retry, if the request was given up.
         retry_after_ms: Option<Millis>,
     },
-    /// Another entry instance owns the request now.
+    /// Another entry instance now owns the request.
     Moved,
     /// The request was refused.
     Fault(Box<Fault>),
@@ -73,18 +74,18 @@
     /// A frame that cannot be read.
     #[derive(Debug)]
     pub enum Error {
-        /// Its length is over the limit.
+        /// The length of the frame is over the limit.
         Length(message: String) {
             display("frame: {message}")
         }
-        /// Its contents are not the message that was expected.
+        /// The contents of the frame are not the expected message.
         Message(message: String) {
             display("message: {message}")
         }
     }
 }
 
-/// The framing of all messages between entry instances.
+/// Codec for the frames of all messages between entry instances.
 #[must_use]
 pub fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
@@ -92,66 +93,66 @@
         .new_codec()
 }
 
-/// A message as MessagePack, without a frame.
+/// Serializes a message to MessagePack, without framing it.
 #[must_use]
 pub fn encode<T: Serialize>(message: &T) -> Bytes {
     rmp_serde::to_vec(message)
-        .expect("messages have no shape that MessagePack refuses")
+        .expect("messages have only types that MessagePack can represent")
         .into()
 }
 
-/// A message from MessagePack.
+/// Deserializes a message from MessagePack.
 ///
 /// # Errors
-/// The bytes are not that message.
+/// The bytes are not a message of type `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     rmp_serde::from_slice(bytes).map_err(|error| Error::Message(error.to_string()))
 }
 
-/// A message as one frame.
+/// Serializes a message to one frame.
 ///
 /// # Errors
-/// The message is longer than a frame may be.
+/// The message is longer than the maximum frame length.
 pub fn frame<T: Serialize>(message: &T) -> Result<Bytes, Error> {
     let mut framed = BytesMut::new();
-    // Named fields: a fault leaves out those that it does not have.
+    // Fields are encoded by name, because a fault omits those that are not set.
     let body = rmp_serde::to_vec_named(message)
         .map(Bytes::from)
-        .expect("messages have no shape that MessagePack refuses");
+        .expect("messages have only types that MessagePack can represent");
     codec()
         .encode(body, &mut framed)
         .map_err(|error| Error::Length(error.to_string()))?;
     Ok(framed.freeze())
 }
 
-/// A stream of bytes cut into messages.
+/// Decodes messages from a stream of bytes.
 #[derive(Debug)]
 pub struct Frames {
     codec: LengthDelimitedCodec,
-    rest: BytesMut,
+    buffer: BytesMut,
 }
 
 impl Default for Frames {
     fn default() -> Self {
         Self {
             codec: codec(),
-            rest: BytesMut::new(),
+            buffer: BytesMut::new(),
         }
     }
 }
 
 impl Frames {
-    /// Adds bytes as they arrived.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole message.
+    /// Removes the next complete message from the buffer and returns it.
     ///
     /// # Errors
-    /// The frame is too long, or is not that message; the stream cannot go on.
+    /// The frame is too long or is not a message of type `T`; the stream cannot be decoded further.
     pub fn take<T: DeserializeOwned>(&mut self) -> Result<Option<T>, Error> {
-        let frame = self.codec.decode(&mut self.rest);
+        let frame = self.codec.decode(&mut self.buffer);
         match frame.map_err(|error| Error::Length(error.to_string()))? {
             Some(frame) => decode(&frame).map(Some),
             None => Ok(None),
@@ -159,12 +160,12 @@
     }
 }
 
-/// A configuration from another entry instance.
+/// A configuration sent by another entry instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Config {
     /// The instance that sends it.
     pub from: id::Instance,
-    /// Time since it knew that this was current; none if it never did.
+    /// Time since the sender last knew that the configuration was current; `None` if it never did.
     pub age: Option<Millis>,
     /// The configuration.
     pub catalog: Catalog,
@@ -175,27 +176,28 @@
 pub trait Peer {
     /// Exchanges heartbeats.
     async fn beat(heartbeat: Heartbeat) -> Heartbeat;
-    /// Asks for the configuration in force.
+    /// Returns the configuration in force.
     async fn config() -> Option<Config>;
-    /// Asks for the newest slot table that the instance knows.
+    /// Returns the newest slot table that the instance knows.
     async fn table() -> Table;
-    /// Applies changes of `from` to copies of records; one answer for each.
+    /// Applies changes that `from` made to records to the copies of these records; returns one
+    /// acknowledgement per change.
     async fn update(from: id::Instance, updates: Vec<Update>) -> Vec<Ack>;
-    /// Takes in a piece of a whole copy.
+    /// Imports one chunk of a complete copy.
     async fn import(chunk: Chunk) -> Taken;
-    /// Lets the backup act as owner; false if its copy lacks a change.
+    /// Makes the backup act as primary; returns false if its copy lacks a change.
     async fn hand_over(handoff: Handoff) -> bool;
-    /// Tells the backup that the slot's owner has lost its records; false if
-    /// there is no copy here either.
+    /// Tells the backup that the primary of the slot has lost its records; returns false if the
+    /// backup has no copy either.
     async fn cede(slot: Slot, epoch: Epoch) -> bool;
-    /// Asks a leaving backup to drop its copy for good. The process that has none left says
-    /// which it is; none may still take the slot over.
+    /// Asks a leaving backup to drop its copy permanently. A process that has no copy left
+    /// answers with its identity; `None` means that it may still take over the slot.
     async fn dismiss(slot: Slot, epoch: Epoch) -> Option<Life>;
-    /// Cancels a request; false if it is not open there.
+    /// Cancels a request; returns false if it is not open on the instance.
     async fn cancel(name: Name) -> bool;
-    /// Tells evidence against requests, at most what a docket holds. Nothing told
-    /// asks for all; else the answer is empty.
+    /// Reports evidence against requests, at most as much as a suspicion tracker holds. An empty
+    /// report asks for all evidence of the instance; otherwise the answer is empty.
     async fn evidence(told: Vec<Evidence>) -> Vec<Evidence>;
-    /// Passes on that an instance was given notice.
+    /// Forwards the notice that an instance will be reclaimed.
     async fn notice(instance: id::Instance);
 }
--- a/coltsfoothall-wire/src/serve.rs
+++ b/coltsfoothall-wire/src/serve.rs
@@ -1,4 +1,4 @@
-//! An HTTP server loop around `hyper`, for every program that listens.
+//! An HTTP server on top of `hyper`, used by every program that accepts connections.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -24,38 +24,38 @@
 use crate::fault::{Body as FaultBody, Fault};
 use crate::{http, limit};
 
-/// Body of an answer, whole or streamed.
+/// Body of an answer, complete or streamed.
 pub type Body = UnsyncBoxBody<Bytes, Infallible>;
 
-/// An answer under way.
+/// Future of an answer.
 pub type Answer = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
-/// Most connections open at once; it bounds the memory that idle callers can take.
+/// Maximum number of open connections; it bounds the memory that idle callers can use.
 pub const CONNECTIONS: usize = 8192;
 
-/// What answers requests.
+/// A request handler.
 pub trait Handler: Send + Sync {
     /// Answers one request that came from `peer`.
     fn call(self: Arc<Self>, request: Request<Incoming>, peer: SocketAddr) -> Answer;
 }
 
-/// A whole body.
+/// Creates a complete body.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed_unsync()
 }
 
-/// An empty answer with a status.
+/// Creates an answer with a status and an empty body.
 #[must_use]
 pub fn empty(status: u16) -> Response<Body> {
     let mut answer = Response::new(full(Bytes::new()));
-    *answer.status_mut() = code(status);
+    *answer.status_mut() = status_code(status);
     answer
 }
 
-/// A value as a JSON answer.
+/// Creates an answer with a JSON body.
 pub fn json<T: Serialize>(status: u16, value: &T) -> Response<Body> {
     let mut answer = Response::new(full(http::json(value)));
-    *answer.status_mut() = code(status);
+    *answer.status_mut() = status_code(status);
     let kind = HeaderValue::from_static("application/json");
     answer
         .headers_mut()
@@ -63,7 +63,7 @@
     answer
 }
 
-/// An error as its JSON answer, with `Retry-After` where it says when to come back.
+/// Creates the JSON answer for an error, with `Retry-After` if the error has a retry delay.
 #[must_use]
 pub fn fault(fault: &Fault) -> Response<Body> {
     let mut answer = json(
@@ -81,53 +81,53 @@
     answer
 }
 
-/// Mark of an answer that is not given.
+/// Response extension that makes the server close the connection instead of answering.
 #[derive(Debug, Clone, Copy)]
-struct Silence;
+struct HangUp;
 
 quick_error! {
-    /// The connection ends without an answer.
+    /// Error that makes `hyper` close the connection without an answer.
     #[derive(Debug)]
     enum Error {
-        /// The handler wants it so.
-        Silent {
+        /// The handler asked for it with [`hang_up`].
+        HangUp {
             display("closed without an answer")
         }
     }
 }
 
-/// In place of an answer: the connection closes, and the peer gets none.
+/// Creates a response that makes the server close the connection without sending an answer.
 #[must_use]
 pub fn hang_up() -> Response<Body> {
     let mut answer = empty(500);
-    answer.extensions_mut().insert(Silence);
+    answer.extensions_mut().insert(HangUp);
     answer
 }
 
-fn spoken(answer: Response<Body>) -> Result<Response<Body>, Error> {
-    match answer.extensions().get::<Silence>() {
-        Some(Silence) => Err(Error::Silent),
+fn check_hang_up(answer: Response<Body>) -> Result<Response<Body>, Error> {
+    match answer.extensions().get::<HangUp>() {
+        Some(HangUp) => Err(Error::HangUp),
         None => Ok(answer),
     }
 }
 
-fn code(status: u16) -> StatusCode {
+fn status_code(status: u16) -> StatusCode {
     StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-/// When a server stops, in two steps.
+/// Signals that stop a server in two steps.
 #[derive(Debug, Clone, Default)]
 pub struct Stop {
-    /// From then on no connection is accepted, and each ends with its next answer.
+    /// Once cancelled, no connection is accepted, and each open one is closed after its next answer.
     pub last: CancellationToken,
-    /// From then on connections without a request are closed. Until then a caller that has
-    /// not heard of the stop gets an answer on one; later its request would meet a closed one,
-    /// and it could not tell whether it was read.
+    /// Once cancelled, idle connections are closed. Until then, a caller that does not know of
+    /// the stop yet still gets an answer on an idle connection. After that, its request would
+    /// arrive at a closed connection, and it could not tell whether the request was read.
     pub idle: CancellationToken,
 }
 
 impl From<CancellationToken> for Stop {
-    /// Both steps at once, for programs whose callers need no notice.
+    /// Runs both steps at once, for programs whose callers need no advance notice.
     fn from(stop: CancellationToken) -> Self {
         Self {
             last: stop.clone(),
@@ -136,25 +136,25 @@
     }
 }
 
-/// Time after the stop in which connections are accepted that the system made before: closing
-/// the listener would reset them.
-const BACKLOG: Duration = Duration::from_millis(50);
+/// How long connections are still accepted after the stop. The kernel has established those in
+/// the backlog already, and closing the listener would reset them.
+const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Accepts connections until `stop`, then lets the open ones finish their requests.
+/// Accepts connections until `stop` is cancelled, then lets the open ones finish their requests.
 ///
-/// It returns when the last connection has ended.
+/// Returns when the last connection has ended.
 pub async fn run(listener: TcpListener, handler: Arc<dyn Handler>, stop: CancellationToken) {
     run_until(listener, handler, Stop::from(stop)).await;
 }
 
-/// Accepts connections until `stop.last`, then lets the open ones finish their requests.
+/// Accepts connections until `stop.last` is cancelled, then lets the open ones finish their requests.
 ///
-/// It returns when the last connection has ended.
+/// Returns when the last connection has ended.
 pub async fn run_until(listener: TcpListener, handler: Arc<dyn Handler>, stop: Stop) {
     let open = TaskTracker::new();
     let stopped = async {
         stop.last.cancelled().await;
-        sleep(BACKLOG).await;
+        sleep(BACKLOG_DRAIN_TIMEOUT).await;
     };
     let mut stopped = std::pin::pin!(stopped);
     loop {
@@ -168,7 +168,7 @@
                 open.spawn(connection);
             }
             Ok(_over_limit) => {}
-            // Out of descriptors: wait for connections to end instead of spinning.
+            // Typically out of file descriptors: wait for connections to end instead of spinning.
             Err(_transient) => sleep(Duration::from_millis(10)).await,
         }
     }
@@ -178,7 +178,7 @@
 }
 
 async fn connection(stream: TcpStream, peer: SocketAddr, handler: Arc<dyn Handler>, stop: Stop) {
-    // Parts of an answer are small and must not wait for each other.
+    // Parts of a streamed answer are small; Nagle's algorithm would delay them.
     if stream.set_nodelay(true).is_err() {
         return;
     }
@@ -192,7 +192,7 @@
                 let close = HeaderValue::from_static("close");
                 answer.headers_mut().insert(CONNECTION, close);
             }
-            spoken(answer)
+            check_hang_up(answer)
         }
     });
     let connection = hyper::server::conn::http1::Builder::new()
@@ -201,13 +201,13 @@
         .serve_connection(TokioIo::new(stream), service)
         .with_upgrades();
     let mut connection = std::pin::pin!(connection);
-    let mut stopping = false;
+    let mut shutting_down = false;
     loop {
         tokio::select! {
-            // A connection's end, clean or not, concerns that connection alone.
+            // An error on one connection does not affect the others.
             _ended = connection.as_mut() => return,
-            () = idle.cancelled(), if !stopping => {
-                stopping = true;
+            () = idle.cancelled(), if !shutting_down => {
+                shutting_down = true;
                 connection.as_mut().graceful_shutdown();
             }
         }
--- a/coltsfoothall-wire/src/sse.rs
+++ b/coltsfoothall-wire/src/sse.rs
@@ -1,18 +1,18 @@
-//! Server-sent events: the small part of the format that answers use.
+//! Server-sent events: the subset of the format that answers use.
 
 use std::fmt::Write;
 
-/// An event.
+/// A server-sent event.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Event {
-    /// The event's id, if it has one.
+    /// Value of the `id` field, if present.
     pub id: Option<String>,
-    /// Its data, lines joined by a line feed.
+    /// Values of the `data` fields, joined by line feeds.
     pub data: String,
 }
 
 impl Event {
-    /// The event as text, with the empty line that ends it.
+    /// Encodes the event, including the empty line that ends it.
     #[must_use]
     pub fn encode(&self) -> String {
         let mut text = String::with_capacity(self.data.len() + 32);
@@ -27,8 +27,8 @@
     }
 }
 
-/// Finds the end of the first whole event: the bytes before it and those of its empty line.
-fn scan_end(bytes: &[u8]) -> Option<usize> {
+/// Returns the length of the first complete event, including the empty line that ends it.
+fn event_len(bytes: &[u8]) -> Option<usize> {
     let mut start = 0;
     while let Some(line) = bytes[start..].iter().position(|b| *b == b'\n') {
         let blank = matches!(&bytes[start..start + line], b"" | b"\r");
@@ -40,8 +40,8 @@
     None
 }
 
-/// Reads one whole event, fields that are unknown left out.
-fn scan_event(bytes: &[u8]) -> Event {
+/// Parses one complete event; unknown fields are ignored.
+fn parse_event(bytes: &[u8]) -> Event {
     let text = String::from_utf8_lossy(bytes);
     let mut event = Event::default();
     let mut first = true;
@@ -63,33 +63,33 @@
     event
 }
 
-/// A stream of bytes cut into events.
+/// Decodes events from a stream of bytes.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    rest: Vec<u8>,
+    buffer: Vec<u8>,
     limit: usize,
 }
 
 impl Decoder {
-    /// A decoder that takes events of at most `limit` bytes.
+    /// Creates a decoder for events of at most `limit` bytes.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
-            rest: Vec::new(),
+            buffer: Vec::new(),
             limit,
         }
     }
 
-    /// Adds bytes as they arrived.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event that carries data.
+    /// Removes the next complete event that carries data from the buffer and returns it.
     pub fn next_event(&mut self) -> Option<Event> {
-        while let Some(end) = scan_end(&self.rest) {
-            let event = scan_event(&self.rest[..end]);
-            self.rest.drain(..end);
+        while let Some(end) = event_len(&self.buffer) {
+            let event = parse_event(&self.buffer[..end]);
+            self.buffer.drain(..end);
             if !event.data.is_empty() {
                 return Some(event);
             }
@@ -97,72 +97,72 @@
         None
     }
 
-    /// Whether an unfinished event has outgrown the limit.
+    /// Whether an incomplete event exceeds the limit.
     #[must_use]
     pub fn overflown(&self) -> bool {
-        self.rest.len() > self.limit
+        self.buffer.len() > self.limit
     }
 }
 
-/// Name of the field that holds an event's id.
-const ID: &[u8] = b"id:";
+/// Start of the line that holds an event's id.
+const ID_PREFIX: &[u8] = b"id:";
 
-/// Cuts a stream into runs of whole events whose bytes are passed on unchanged.
+/// Splits a stream at event boundaries, so that complete events are forwarded byte for byte.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: Vec<u8>,
+    buffer: Vec<u8>,
     last: Option<String>,
     events: u64,
 }
 
 impl Splitter {
-    /// Takes bytes as they arrived; returns all events that are whole now.
+    /// Appends received bytes; returns the bytes of all events that are now complete.
     pub fn push(&mut self, bytes: bytes::Bytes) -> Option<bytes::Bytes> {
-        let bytes = if self.rest.is_empty() {
+        let bytes = if self.buffer.is_empty() {
             bytes
         } else {
-            self.rest.extend_from_slice(&bytes);
-            bytes::Bytes::from(std::mem::take(&mut self.rest))
+            self.buffer.extend_from_slice(&bytes);
+            bytes::Bytes::from(std::mem::take(&mut self.buffer))
         };
         let mut end = 0;
-        while let Some(next) = scan_end(&bytes[end..]) {
-            self.note(&bytes[end..end + next]);
+        while let Some(next) = event_len(&bytes[end..]) {
+            self.record_event(&bytes[end..end + next]);
             end += next;
         }
-        self.rest.extend_from_slice(&bytes[end..]);
+        self.buffer.extend_from_slice(&bytes[end..]);
         (end > 0).then(|| bytes.slice(..end))
     }
 
-    /// The id of the last whole event.
+    /// Id of the last complete event that had one.
     #[must_use]
     pub fn last(&self) -> Option<&str> {
         self.last.as_deref()
     }
 
-    /// Whole events so far.
+    /// Number of complete events so far.
     #[must_use]
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Whether part of an event waits for the rest.
+    /// Whether an incomplete event is buffered.
     #[must_use]
     pub fn is_within(&self) -> bool {
-        !self.rest.is_empty()
+        !self.buffer.is_empty()
     }
 
-    /// Forgets a part of an event whose rest will not come.
+    /// Drops an incomplete event whose remaining bytes will not arrive.
     pub fn discard(&mut self) {
-        self.rest.clear();
+        self.buffer.clear();
     }
 
-    fn note(&mut self, event: &[u8]) {
+    fn record_event(&mut self, event: &[u8]) {
         self.events += 1;
         let line = event
             .split(|b| *b == b'\n')
-            .find(|line| line.starts_with(ID));
+            .find(|line| line.starts_with(ID_PREFIX));
         if let Some(line) = line {
-            let id = String::from_utf8_lossy(&line[ID.len()..]);
+            let id = String::from_utf8_lossy(&line[ID_PREFIX.len()..]);
             self.last = Some(id.trim().into());
         }
     }
