--- a/coltsfoothall-wire/src/client.rs
+++ b/coltsfoothall-wire/src/client.rs
@@ -28,7 +28,8 @@
 /// Longest pause within an answer whose size is not known in advance. It is long enough for
 /// lost packets to be retransmitted.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Limit on receiving the rest of an answer whose size is not known in advance.
+/// Limit on the time for a complete answer whose size is not known in advance, added to the
+/// limit on the time until it begins.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(60);
 /// Maximum number of idle connections kept open to each peer.
 const MAX_IDLE_PER_PEER: usize = 32;
--- a/coltsfoothall-wire/src/serve.rs
+++ b/coltsfoothall-wire/src/serve.rs
@@ -138,7 +138,7 @@
 
 /// How long connections are still accepted after the stop. The kernel has established those in
 /// the backlog already, and closing the listener would reset them.
-const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(50);
+const BACKLOG_DRAIN_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts connections until `stop` is cancelled, then lets the open ones finish their requests.
 ///
@@ -154,7 +154,7 @@
     let open = TaskTracker::new();
     let stopped = async {
         stop.last.cancelled().await;
-        sleep(BACKLOG_DRAIN_TIMEOUT).await;
+        sleep(BACKLOG_DRAIN_DELAY).await;
     };
     let mut stopped = std::pin::pin!(stopped);
     loop {
--- a/coltsfoothall-wire/tests/piece.rs
+++ b/coltsfoothall-wire/tests/piece.rs
@@ -1,11 +1,13 @@
-//! Pieces of answers between entry instances.
+//! Frames of streamed answers between entry instances: a fault is decoded as it was encoded,
+//! whichever of its optional fields are set. Encoded by position, an omitted field would shift the
+//! fields behind it.
 
 use coltsfoothall::size::Millis;
 use coltsfoothall_wire::fault::{Code, Fault};
 use coltsfoothall_wire::peer::{Frames, Piece, frame};
 
 #[test]
-fn faults_arrive() {
+fn fault_round_trip() {
     for case in 0..8 {
         let fault = Fault {
             field: (case & 1 > 0).then(|| "prompt".into()),
--- a/coltsfoothall-wire/tests/serve.rs
+++ b/coltsfoothall-wire/tests/serve.rs
@@ -1,4 +1,5 @@
-//! A server that stops, and callers who do not know it yet.
+//! Stopping a server while callers that do not know of the stop still send requests: every request
+//! sent before idle connections are closed gets an answer.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -16,8 +17,8 @@
 use tokio_util::sync::CancellationToken;
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: here\r\n\r\n";
-/// Far more than an answer on loopback takes.
-const LONG: Duration = Duration::from_secs(10);
+/// Far longer than an answer on loopback takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Hello;
 
@@ -27,7 +28,7 @@
     }
 }
 
-/// A server that is told separately to take no more, and to close what is idle.
+/// A server whose two stop signals can be sent separately.
 struct Server {
     address: SocketAddr,
     stop: Stop,
@@ -50,17 +51,18 @@
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
-/// The head of the answer that the connection brings; empty if it brings none.
+/// Sends a request and returns the head of the answer in lower case; empty if none arrives.
 async fn ask(stream: &mut TcpStream) -> String {
     if stream.write_all(REQUEST).await.is_err() {
         return String::new();
     }
     let mut head = vec![0; 1024];
-    let read = timeout(LONG, stream.read(&mut head)).await.unwrap();
+    let read = timeout(TEST_TIMEOUT, stream.read(&mut head)).await.unwrap();
     String::from_utf8_lossy(&head[..read.unwrap_or(0)]).to_ascii_lowercase()
 }
 
-/// Callers connected, and the server had not come to accept them when it was told to stop.
+/// Connections that wait in the backlog when the server is stopped are still accepted and
+/// answered. Closing the listener would reset them.
 #[tokio::test]
 async fn not_accepted_yet() {
     let listener = listen().await;
@@ -77,10 +79,11 @@
         assert!(head.starts_with("http/1.1 200"), "{head:?}");
         assert!(head.contains("connection: close"), "{head:?}");
     }
-    timeout(LONG, server.task).await.unwrap().unwrap();
+    timeout(TEST_TIMEOUT, server.task).await.unwrap().unwrap();
 }
 
-/// A caller has kept a connection open, and uses it before it can know of the stop.
+/// A caller that sends a request on a kept-alive connection after the stop, before it can know of
+/// the stop, gets an answer with `connection: close`.
 #[tokio::test]
 async fn kept_open() {
     let server = Server::start(listen().await, Stop::default());
@@ -91,10 +94,10 @@
     let head = ask(&mut stream).await;
     assert!(head.starts_with("http/1.1 200"), "{head:?}");
     assert!(head.contains("connection: close"), "{head:?}");
-    timeout(LONG, server.task).await.unwrap().unwrap();
+    timeout(TEST_TIMEOUT, server.task).await.unwrap().unwrap();
 }
 
-/// Connections that nobody uses hold the stop up until they are closed, and no longer.
+/// Idle connections keep the server running until `Stop::idle` closes them.
 #[tokio::test]
 async fn idle_closed() {
     let server = Server::start(listen().await, Stop::default());
@@ -104,10 +107,11 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     assert!(!server.task.is_finished());
     server.stop.idle.cancel();
-    timeout(LONG, server.task).await.unwrap().unwrap();
+    timeout(TEST_TIMEOUT, server.task).await.unwrap().unwrap();
 }
 
-/// One signal for both, as programs without callers of their own have it.
+/// One token for both steps closes idle connections at once, for programs whose callers need no
+/// advance notice.
 #[tokio::test]
 async fn stopped_at_once() {
     let token = CancellationToken::new();
@@ -115,5 +119,5 @@
     let mut stream = TcpStream::connect(server.address).await.unwrap();
     assert!(ask(&mut stream).await.starts_with("http/1.1 200"));
     token.cancel();
-    timeout(LONG, server.task).await.unwrap().unwrap();
+    timeout(TEST_TIMEOUT, server.task).await.unwrap().unwrap();
 }
--- a/coltsfoothall-wire/tests/steady.rs
+++ b/coltsfoothall-wire/tests/steady.rs
@@ -1,4 +1,4 @@
-//! Bodies that are read for as long as they go on.
+//! `read_steady` limits the pause between frames of a body, not the time for the complete body.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -12,31 +12,35 @@
 
 const PAUSE: Duration = Duration::from_secs(2);
 
-/// A body whose pieces of a kilobyte each come after these pauses.
+/// A body of frames of 1 KiB each, with one frame after each of these pauses.
 fn body(pauses: Vec<Duration>) -> StreamBody<impl Stream<Item = Result<Frame<Bytes>, Infallible>>> {
-    let pieces = stream::iter(pauses).then(async |pause| {
+    let frames = stream::iter(pauses).then(async |pause| {
         sleep(pause).await;
         Ok(Frame::data(Bytes::from_static(&[7; 1024])))
     });
-    StreamBody::new(pieces)
+    StreamBody::new(frames)
 }
 
 #[tokio::test(start_paused = true)]
-async fn slow_whole() {
-    let begun = Instant::now();
+async fn slow_but_steady() {
+    let started = Instant::now();
     let body = Box::pin(body(vec![PAUSE / 2; 20]));
-    let whole = read_steady(body, 1 << 20, PAUSE).await;
-    assert_eq!(whole.map(|whole| whole.len()).ok(), Some(20 << 10));
-    assert_eq!(begun.elapsed(), PAUSE * 10, "whatever that takes");
+    let read = read_steady(body, 1 << 20, PAUSE).await;
+    assert_eq!(read.map(|bytes| bytes.len()).ok(), Some(20 << 10));
+    assert_eq!(
+        started.elapsed(),
+        PAUSE * 10,
+        "the total time is not limited"
+    );
 }
 
 #[tokio::test(start_paused = true)]
 async fn stalled() {
-    let begun = Instant::now();
+    let started = Instant::now();
     let pauses = vec![PAUSE / 2, PAUSE / 2, PAUSE * 30];
     let read = read_steady(Box::pin(body(pauses)), 1 << 20, PAUSE).await;
     assert!(matches!(read, Err(Error::Stalled(PAUSE))), "{read:?}");
-    assert_eq!(begun.elapsed(), PAUSE * 2);
+    assert_eq!(started.elapsed(), PAUSE * 2);
 }
 
 #[tokio::test(start_paused = true)]
