--- a/coltsfoothall-wire/src/caller.rs
+++ b/coltsfoothall-wire/src/caller.rs
@@ -5,7 +5,7 @@
 //! | `GET /v1/addresses` | [`Addresses`] |
 //! | `POST /v1/keys` | [`Minted`] |
 //! | `POST /v1/completions` | [`Completion`], or [`Part`]s as server-sent events |
-//! | `GET /v1/requests/{key}` | the same, after `Last-Event-ID` |
+//! | `GET /v1/requests/{key}` | the answer of that request, streamed from `Last-Event-ID` on if it is streamed |
 //! | `DELETE /v1/requests/{key}` | 204 |
 //! | any `/v1/services/{service}/{path}` | the service's own response |
 
--- a/coltsfoothall-wire/src/fault.rs
+++ b/coltsfoothall-wire/src/fault.rs
@@ -47,7 +47,7 @@
     Deadline,
     /// The request was cancelled by its caller.
     Cancelled,
-    /// Endpoints failed each time the request ran on them.
+    /// Endpoints died each time they ran the request.
     Poisonous,
     /// All attempts that the retry budget allows have failed.
     Failed,
--- a/coltsfoothall-wire/src/serve.rs
+++ b/coltsfoothall-wire/src/serve.rs
@@ -118,7 +118,8 @@
 /// Signals that stop a server in two steps.
 #[derive(Debug, Clone, Default)]
 pub struct Stop {
-    /// Once cancelled, no connection is accepted, and each open one is closed after its next answer.
+    /// Once cancelled, each open connection is closed after its next answer, and new ones are
+    /// accepted only while the backlog is drained.
     pub last: CancellationToken,
     /// Once cancelled, idle connections are closed. Until then, a caller that does not know of
     /// the stop yet still gets an answer on an idle connection. After that, its request would
@@ -147,7 +148,8 @@
     run_until(listener, handler, Stop::from(stop)).await;
 }
 
-/// Accepts connections until `stop.last` is cancelled, then lets the open ones finish their requests.
+/// Accepts connections until `stop.last` is cancelled, then lets the open ones finish their
+/// requests.
 ///
 /// Returns when the last connection has ended.
 pub async fn run_until(listener: TcpListener, handler: Arc<dyn Handler>, stop: Stop) {
