--- a/coltsfoothall-shell/src/bounded.rs
+++ b/coltsfoothall-shell/src/bounded.rs
@@ -1,8 +1,8 @@
-//! A log output that never makes its callers wait.
+//! A non-blocking log appender.
 //!
-//! Lines go through a bounded queue to a thread that writes them. When the output stalls,
-//! the queue fills, further lines are dropped and counted, and the count is written as a
-//! line of its own once the output takes lines again.
+//! Lines pass through a bounded queue to a writer thread. When the target stalls, the queue
+//! fills; further lines are dropped and counted, and the count is logged as a separate line
+//! once the target accepts writes again.
 
 use std::fmt;
 use std::io::Write;
@@ -17,19 +17,20 @@
 use log4rs::encode::Encode;
 use log4rs::encode::writer::simple::SimpleWriter;
 
-/// Lines that wait at most: a second of the most that was seen, about 200 bytes each.
+/// Capacity of the queue in lines: one second at the highest observed rate, at about 200 bytes
+/// per line.
 pub const LINES: usize = 1024;
-/// How often [`Output::flush`] looks whether all is written.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which [`Output::wait`] checks whether the queue has been written.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Counts that the callers and the writing thread share.
+/// Counters shared by the callers and the writer thread.
 #[derive(Debug, Default)]
 struct Counts {
     waiting: AtomicUsize,
     dropped: AtomicU64,
 }
 
-/// The appender.
+/// An appender that writes in a thread of its own.
 pub struct Output {
     encoder: Box<dyn Encode>,
     lines: SyncSender<Vec<u8>>,
@@ -45,12 +46,13 @@
 }
 
 impl Output {
-    /// Starts the thread that writes to `target`.
+    /// Starts the writer thread for `target`.
     pub fn new(encoder: Box<dyn Encode>, target: Box<dyn Write + Send>) -> Self {
         let (lines, queue) = sync_channel(LINES);
         let counts = Arc::new(Counts::default());
         let shared = Arc::clone(&counts);
-        // It ends with the process; a stalled output would never let it be joined.
+        // The thread is never joined, since a stalled target would block the join; it ends with
+        // the process.
         drop(thread::spawn(move || write_all(&queue, target, &shared)));
         Self {
             encoder,
@@ -59,20 +61,20 @@
         }
     }
 
-    /// Lines dropped that no line has told of yet.
+    /// Number of dropped lines that have not been reported in the log yet.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.counts.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits until all is written, `within` at most.
+    /// Waits until all queued lines are written, for at most `within`.
     pub fn wait(&self, within: Duration) {
-        let rounds = within.as_millis() / LOOK.as_millis().max(1);
-        for _ in 0..rounds {
+        let polls = within.as_millis() / POLL_INTERVAL.as_millis().max(1);
+        for _ in 0..polls {
             if self.counts.waiting.load(Ordering::Relaxed) == 0 {
                 return;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
@@ -83,7 +85,7 @@
         if dropped > 0 && writeln!(target, "WARN E107 log_dropped lines={dropped}").is_err() {
             counts.dropped.fetch_add(dropped, Ordering::Relaxed);
         }
-        // An output that is gone for good leaves nothing to tell it with.
+        // A failed write is only counted: this log is the only place to report it.
         let written = target.write_all(&line).and_then(|()| target.flush());
         if written.is_err() {
             counts.dropped.fetch_add(1, Ordering::Relaxed);
@@ -108,9 +110,9 @@
     }
 
     fn flush(&self) {
-        self.wait(FLUSH);
+        self.wait(FLUSH_TIMEOUT);
     }
 }
 
-/// Longest wait of a program that ends for its last lines.
-const FLUSH: Duration = Duration::from_millis(200);
+/// Longest time that a program waits at exit for its last log lines.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
--- a/coltsfoothall-shell/src/journal.rs
+++ b/coltsfoothall-shell/src/journal.rs
@@ -1,4 +1,4 @@
-//! The log: one line an event, with time, level, number and `key=value` fields.
+//! The log: one line per event, with time, level, event number and `key=value` fields.
 
 use std::path::PathBuf;
 
@@ -14,31 +14,31 @@
 use crate::bounded::Output;
 use crate::settings::{Check, Fault};
 
-/// A line: time in UTC, level, message. [`crate::event::Event::emit`] sets the message.
+/// Format of a line: time in UTC, level, message. [`crate::event::Event::emit`] sets the message.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {m}{n}";
 
-/// Crates whose lines are logged at the level of the settings.
-const OWN: [&str; 2] = ["coltsfoothall_entry", "coltsfoothall_shell"];
+/// Crates that are logged at the configured level; all others at `warn` at most.
+const OWN_CRATES: [&str; 2] = ["coltsfoothall_entry", "coltsfoothall_shell"];
 
-/// Name of the one appender.
+/// Name of the only appender.
 const APPENDER: &str = "journal";
 
-/// Least level that is logged.
+/// Lowest severity that is logged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
     /// Nothing.
     Off,
-    /// Broken rules and lost work.
+    /// Violated invariants and lost work.
     Error,
-    /// What an operator should look at.
+    /// Conditions that an operator should look into.
     Warn,
     /// Changes of state.
     #[default]
     Info,
-    /// Decisions, one by one.
+    /// Individual decisions.
     Debug,
-    /// Everything, libraries included.
+    /// The most detailed level.
     Trace,
 }
 
@@ -55,14 +55,14 @@
     }
 }
 
-/// Stream of the process that lines go to.
+/// Standard stream that the log is written to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Stream {
-    /// Standard error, so that a program's own output stays clean.
+    /// Standard error, which keeps the log out of the program's output.
     #[default]
     Stderr,
-    /// Standard output, where log collectors read; it never makes the program wait.
+    /// Standard output, which log collectors read; writes never block the program.
     Stdout,
 }
 
@@ -70,11 +70,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Log {
-    /// Least level that is logged.
+    /// Lowest severity that is logged.
     pub level: Level,
-    /// File to append to; the stream if there is none.
+    /// File to append to; if unset, the log goes to `stream`.
     pub file: Option<PathBuf>,
-    /// Stream to write to.
+    /// Stream to write to when `file` is unset.
     pub stream: Stream,
 }
 
@@ -83,7 +83,7 @@
         match &self.file {
             Some(file) if file.as_os_str().is_empty() => Err(Fault::new(
                 "file",
-                "path is empty; leave it out for standard error",
+                "path is empty; omit the field to log to a standard stream",
             )),
             _ => Ok(()),
         }
@@ -91,14 +91,14 @@
 }
 
 quick_error! {
-    /// A log that cannot be started.
+    /// The log could not be started.
     #[derive(Debug)]
     pub enum Error {
         /// The file cannot be opened.
         File(file: PathBuf, message: String) {
             display("log: cannot open {}: {message}", file.display())
         }
-        /// The logger refuses, or one runs already in this process.
+        /// The logger rejects its configuration, or this process already has one.
         Start(message: String) {
             display("log: cannot start: {message}")
         }
@@ -108,18 +108,20 @@
 /// Starts the log of this process.
 ///
 /// # Errors
-/// The file cannot be opened, or a log runs already.
+/// The file cannot be opened, or the log was already started.
 pub fn start(log: &Log) -> Result<(), Error> {
     let appender = Appender::builder().build(APPENDER, appender(log)?);
     let level = LevelFilter::from(log.level);
-    // Libraries may log each call; of them only warnings count.
+    // Libraries may log every call, so only their warnings and errors are kept.
     let root = Root::builder()
         .appender(APPENDER)
         .build(level.min(LevelFilter::Warn));
-    let own = OWN.iter().map(|name| Logger::builder().build(*name, level));
+    let own_loggers = OWN_CRATES
+        .iter()
+        .map(|name| Logger::builder().build(*name, level));
     let config = Config::builder()
         .appender(appender)
-        .loggers(own)
+        .loggers(own_loggers)
         .build(root)
         .map_err(|error| Error::Start(error.to_string()))?;
     match log4rs::init_config(config) {
--- a/coltsfoothall-shell/src/lib.rs
+++ b/coltsfoothall-shell/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings, logs, metrics and planned stops, common to the programs.
+//! Settings, logging, metrics and graceful shutdown, shared by all programs.
 //!
 //! ```
 //! use std::path::Path;
--- a/coltsfoothall-shell/src/metric.rs
+++ b/coltsfoothall-shell/src/metric.rs
@@ -1,6 +1,6 @@
-//! Metrics of an entry instance, for a scrape over HTTP.
+//! Metrics of an entry instance, exposed for scraping over HTTP.
 //!
-//! Label sets are bounded: workspaces by [`WORKSPACES`], all else by enumerations.
+//! Label cardinality is bounded: workspaces by [`WORKSPACES`], all others by enumerations.
 
 use std::fmt;
 use std::sync::{Mutex, PoisonError};
@@ -14,48 +14,48 @@
 use prometheus::{Registry, TextEncoder};
 use quick_error::quick_error;
 
-/// Workspaces with a label of their own; it stops label sets from growing without end.
+/// Maximum number of workspaces with their own label; bounds the number of time series.
 pub const WORKSPACES: usize = 64;
-/// Label of all workspaces past [`WORKSPACES`].
+/// Shared label of all workspaces beyond [`WORKSPACES`].
 pub const OTHER: &str = "other";
 
-/// Name of the scope that the instruments belong to.
+/// Scope of the instruments, and the prefix of their names.
 const SCOPE: &str = "coltsfoothall";
 
-/// Bounds in seconds for whole requests.
-const LATENCY: &[f64] = &[
+/// Bucket bounds in seconds for the time to the complete answer.
+const LATENCY_BOUNDS_SECONDS: &[f64] = &[
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 300.0,
 ];
-/// Bounds in seconds for first tokens, close together around 0.51 s.
-const FIRST: &[f64] = &[
+/// Bucket bounds in seconds for the time to the first token, finer around 0.51 s.
+const FIRST_TOKEN_BOUNDS_SECONDS: &[f64] = &[
     0.05, 0.1, 0.2, 0.3, 0.4, 0.45, 0.51, 0.57, 0.65, 0.8, 1.0, 1.5, 2.5, 5.0, 10.0, 30.0,
 ];
-/// Bounds in seconds for the time between tokens, close together around 33 ms.
-const BETWEEN: &[f64] = &[
+/// Bucket bounds in seconds for the time between tokens, finer around 33 ms.
+const BETWEEN_TOKENS_BOUNDS_SECONDS: &[f64] = &[
     0.005, 0.01, 0.015, 0.02, 0.025, 0.029, 0.033, 0.037, 0.042, 0.05, 0.075, 0.1, 0.25, 0.5, 1.0,
     5.0,
 ];
 
 quick_error! {
-    /// Metrics that cannot be set up or written.
+    /// The metrics could not be set up or rendered.
     #[derive(Debug)]
     pub enum Error {
-        /// The exporter refuses.
+        /// The exporter cannot be started.
         Exporter(message: String) {
             display("metrics: cannot start the exporter: {message}")
         }
-        /// The metrics cannot be written as text.
+        /// The metrics cannot be encoded as text.
         Encode(message: String) {
-            display("metrics: cannot write them: {message}")
+            display("metrics: cannot encode them as text: {message}")
         }
     }
 }
 
-/// Whose request is measured; made once for each request.
+/// Labels of a request, created once per request.
 #[derive(Debug, Clone)]
 pub struct Labels([KeyValue; 2]);
 
-/// How a request ended, for its counter.
+/// How a request ended, for the request counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct End {
     /// Stable code of the error, or `ok`.
@@ -64,7 +64,7 @@
     pub outcome: &'static str,
 }
 
-/// Direction of bytes between entry instances.
+/// Direction of traffic between entry instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flow {
     /// Received.
@@ -103,10 +103,10 @@
 }
 
 impl Board {
-    /// Instruments of one instance, all at zero.
+    /// Creates the instruments.
     ///
     /// # Errors
-    /// The exporter refuses.
+    /// The exporter cannot be started.
     pub fn new() -> Result<Self, Error> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -123,23 +123,23 @@
             latency: seconds(
                 &meter,
                 "request.latency",
-                "Time to the whole answer",
-                LATENCY,
+                "Time to the complete answer",
+                LATENCY_BOUNDS_SECONDS,
             ),
             first: seconds(
                 &meter,
                 "request.first_token",
                 "Time to the first token",
-                FIRST,
+                FIRST_TOKEN_BOUNDS_SECONDS,
             ),
             between: seconds(
                 &meter,
                 "request.between_tokens",
                 "Time between tokens",
-                BETWEEN,
+                BETWEEN_TOKENS_BOUNDS_SECONDS,
             ),
             requests: count(&meter, "requests", "Requests ended, by code and outcome"),
-            retries: count(&meter, "retries", "Attempts after a request's first"),
+            retries: count(&meter, "retries", "Attempts beyond the first of a request"),
             recomputed: count(&meter, "recomputed_tokens", "Tokens computed a second time"),
             dropped: count(
                 &meter,
@@ -152,22 +152,22 @@
             behind: level(
                 &meter,
                 "configuration_behind_milliseconds",
-                "How long a newer configuration is known to exist",
+                "Time since a newer configuration than the one in force is known to exist",
             ),
             slots: level(&meter, "slots", "Slots that this instance owns"),
-            queued: level(&meter, "queued", "Requests that wait for an endpoint"),
-            broken: count(&meter, "broken_rules", "Invariants found broken, by rule"),
+            queued: level(&meter, "queued", "Requests queued for an endpoint"),
+            broken: count(&meter, "broken_rules", "Invariants found violated, by rule"),
             store: count(
                 &meter,
                 "store_calls",
-                "Calls of the key-value service, by result",
+                "Calls to the key-value service, by result",
             ),
             peer: count(&meter, "peer_bytes", "Bytes between entry instances"),
             provider,
         })
     }
 
-    /// Labels of a request; workspaces past the bound share one.
+    /// Returns the labels of a request; workspaces beyond [`WORKSPACES`] share one label.
     #[must_use]
     pub fn labels(&self, workspace: &Workspace, class: Class) -> Labels {
         let workspace = if self.admit(workspace) {
@@ -182,7 +182,7 @@
         Labels([workspace, KeyValue::new("class", class)])
     }
 
-    /// Whether the workspace has a label of its own, giving it one if there is room.
+    /// Whether the workspace has its own label; assigns one if fewer than [`WORKSPACES`] do.
     fn admit(&self, workspace: &Workspace) -> bool {
         let mut known = self
             .workspaces
@@ -191,29 +191,29 @@
         match known.binary_search(workspace) {
             Ok(_found) => true,
             Err(_full) if known.len() >= WORKSPACES => false,
-            Err(place) => {
-                known.insert(place, workspace.clone());
+            Err(index) => {
+                known.insert(index, workspace.clone());
                 true
             }
         }
     }
 
-    /// A request's whole answer took `span`.
+    /// Records the time from a request to its complete answer.
     pub fn latency(&self, labels: &Labels, span: Duration) {
         self.latency.record(span.as_secs_f64(), &labels.0);
     }
 
-    /// A request's first token took `span`.
+    /// Records the time from a request to its first token.
     pub fn first_token(&self, labels: &Labels, span: Duration) {
         self.first.record(span.as_secs_f64(), &labels.0);
     }
 
-    /// A token came `span` after the one before it.
+    /// Records the time between two successive tokens.
     pub fn between_tokens(&self, labels: &Labels, span: Duration) {
         self.between.record(span.as_secs_f64(), &labels.0);
     }
 
-    /// A request ended.
+    /// Counts a request that ended.
     pub fn ended(&self, labels: &Labels, end: End) {
         let [workspace, class] = labels.0.clone();
         let code = KeyValue::new("code", end.code);
@@ -221,64 +221,64 @@
         self.requests.add(1, &[workspace, class, code, outcome]);
     }
 
-    /// A request was tried again.
+    /// Counts a retry.
     pub fn retried(&self, labels: &Labels) {
         self.retries.add(1, &labels.0);
     }
 
-    /// Tokens were computed a second time.
+    /// Counts tokens that were computed a second time.
     pub fn recomputed(&self, labels: &Labels, tokens: u64) {
         self.recomputed.add(tokens, &labels.0);
     }
 
-    /// A piece of an endpoint's answer was dropped for `reason`, the name of an enumeration's value.
+    /// Counts a dropped piece of an endpoint's answer; `reason` is the name of an enum variant.
     pub fn dropped(&self, reason: &'static str) {
         self.dropped.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Count of endpoints in `state`, the name of an enumeration's value.
+    /// Sets the number of endpoints in `state`, the name of an enum variant.
     pub fn endpoints(&self, state: &'static str, count: u64) {
         self.endpoints
             .record(count, &[KeyValue::new("state", state)]);
     }
 
-    /// Count of entry instances that are members.
+    /// Sets the number of entry instances that are members.
     pub fn members(&self, count: u64) {
         self.members.record(count, &[]);
     }
 
-    /// Revision of the configuration in force.
+    /// Sets the revision of the configuration in force.
     pub fn revision(&self, revision: u64) {
         self.revision.record(revision, &[]);
     }
 
-    /// How long a newer configuration than the one in force has been known to exist.
+    /// Sets the time since a newer configuration than the one in force is known to exist.
     pub fn behind(&self, age: Duration) {
         let millis = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
         self.behind.record(millis, &[]);
     }
 
-    /// Count of slots that this instance owns.
+    /// Sets the number of slots that this instance owns.
     pub fn slots(&self, count: u64) {
         self.slots.record(count, &[]);
     }
 
-    /// Count of requests that wait for an endpoint.
+    /// Sets the number of requests queued for an endpoint.
     pub fn queued(&self, count: u64) {
         self.queued.record(count, &[]);
     }
 
-    /// A rule of the system was found broken.
+    /// Counts a violated invariant.
     pub fn broken(&self, rule: &'static str) {
         self.broken.add(1, &[KeyValue::new("rule", rule)]);
     }
 
-    /// A call of the key-value service ended with `result`, the name of an enumeration's value.
+    /// Counts a call to the key-value service; `result` is the name of an enum variant.
     pub fn store_call(&self, result: &'static str) {
         self.store.add(1, &[KeyValue::new("result", result)]);
     }
 
-    /// Bytes went to or came from another entry instance.
+    /// Counts bytes sent to or received from other entry instances.
     pub fn peer_bytes(&self, flow: Flow, bytes: u64) {
         let flow = match flow {
             Flow::In => "in",
@@ -287,16 +287,16 @@
         self.peer.add(bytes, &[KeyValue::new("flow", flow)]);
     }
 
-    /// An instrument of the same registry for a program's own counts.
+    /// Creates a program-specific counter in the same registry.
     #[must_use]
     pub fn counter(&self, name: &'static str, about: &'static str) -> Counter<u64> {
         count(&self.provider.meter(SCOPE), name, about)
     }
 
-    /// All metrics as text for a scrape.
+    /// Renders all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// The metrics cannot be written, which is a bug.
+    /// The metrics cannot be encoded, which is a bug.
     pub fn render(&self) -> Result<String, Error> {
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
@@ -304,13 +304,13 @@
     }
 }
 
-fn full(name: &str) -> String {
+fn qualified_name(name: &str) -> String {
     format!("{SCOPE}.{name}")
 }
 
 fn seconds(meter: &Meter, name: &str, about: &'static str, bounds: &[f64]) -> Histogram<f64> {
     meter
-        .f64_histogram(full(name))
+        .f64_histogram(qualified_name(name))
         .with_description(about)
         .with_unit("s")
         .with_boundaries(bounds.to_vec())
@@ -319,11 +319,14 @@
 
 fn count(meter: &Meter, name: &str, about: &'static str) -> Counter<u64> {
     meter
-        .u64_counter(full(name))
+        .u64_counter(qualified_name(name))
         .with_description(about)
         .build()
 }
 
 fn level(meter: &Meter, name: &str, about: &'static str) -> Gauge<u64> {
-    meter.u64_gauge(full(name)).with_description(about).build()
+    meter
+        .u64_gauge(qualified_name(name))
+        .with_description(about)
+        .build()
 }
--- a/coltsfoothall-shell/src/program.rs
+++ b/coltsfoothall-shell/src/program.rs
@@ -1,4 +1,4 @@
-//! A program that runs by a settings file: its command line, and the check of the file.
+//! Command line and start-up of a program that is configured by a settings file.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -19,15 +19,15 @@
     check_settings: bool,
 }
 
-/// Reads the command line of the program `name` and the settings, and starts it, or prints
-/// the settings if that is asked. A fault goes to standard error.
+/// Parses the command line, loads the settings and calls `start`. With `--check-settings` it
+/// prints the settings instead. Errors go to standard error, prefixed with `name`.
 pub fn run<S: DeserializeOwned + Check + Serialize>(
     name: &str,
     about: &'static str,
     start: fn(PathBuf, S) -> Result<(), String>,
 ) -> ExitCode {
     let flags = flags().descr(about).run();
-    match follow(flags, start) {
+    match execute(flags, start) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             eprintln!("{name}: {message}");
@@ -36,7 +36,7 @@
     }
 }
 
-fn follow<S: DeserializeOwned + Check + Serialize>(
+fn execute<S: DeserializeOwned + Check + Serialize>(
     flags: Flags,
     start: fn(PathBuf, S) -> Result<(), String>,
 ) -> Result<(), String> {
--- a/coltsfoothall-shell/src/settings.rs
+++ b/coltsfoothall-shell/src/settings.rs
@@ -1,7 +1,7 @@
-//! Settings files in YAML: read, checked and refused by file, field and reason.
+//! Settings files in YAML. Errors name the file, the field and the reason.
 //!
 //! A settings struct derives `Deserialize` with `default` and
-//! `deny_unknown_fields` and implements [`Check`] for what its types cannot say.
+//! `deny_unknown_fields` and implements [`Check`] for rules that its types cannot express.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -10,23 +10,23 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Largest settings file in bytes; it stops a wrong path from filling memory.
+/// Largest settings file in bytes; it keeps a mistyped path from filling memory.
 pub const MAX_LEN: u64 = 1 << 20;
 
-/// Text between a YAML key and its value.
+/// Separator between a YAML key and its value.
 const COLON: char = ':';
 
-/// A field that breaks a rule.
+/// An invalid field.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// Path of the field, its parts joined by dots.
+    /// Dotted path of the field.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub reason: String,
 }
 
 impl Fault {
-    /// A fault of `field`.
+    /// Creates a fault for `field`.
     #[must_use]
     pub fn new(field: impl Into<String>, reason: impl Into<String>) -> Self {
         Self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The same fault, seen from a struct that holds the faulty one as `parent`.
+    /// Prefixes the path with `parent`, the field of the enclosing struct.
     #[must_use]
     pub fn within(self, parent: &str) -> Self {
         Self {
@@ -46,7 +46,7 @@
 }
 
 quick_error! {
-    /// Settings that cannot be used.
+    /// The settings could not be loaded.
     #[derive(Debug)]
     pub enum Error {
         /// The file cannot be read.
@@ -66,7 +66,7 @@
                 fault.reason
             )
         }
-        /// The fields are well formed but break a rule.
+        /// The fields are well-formed but violate a rule of [`Check`].
         Rule(file: PathBuf, fault: Fault) {
             display(
                 "settings {}, field {}: {}",
@@ -78,19 +78,20 @@
     }
 }
 
-/// Rules that hold after parsing.
+/// Validation after parsing.
 pub trait Check {
     /// Checks the rules.
     ///
     /// # Errors
-    /// The first field that breaks a rule.
+    /// The first field that violates a rule.
     fn check(&self) -> Result<(), Fault>;
 }
 
-/// Reads and checks the settings in `file`.
+/// Reads and validates the settings in `file`.
 ///
 /// # Errors
-/// Names the file, and the field with its reason where a field is at fault.
+/// The file cannot be read or is too large, or a field is invalid; the error names the file and,
+/// for an invalid field, the field and the reason.
 pub fn load<T: DeserializeOwned + Check>(file: &Path) -> Result<T, Error> {
     let read = |error: std::io::Error| Error::Read(file.into(), error.to_string());
     if fs::metadata(file).map_err(read)?.len() > MAX_LEN {
@@ -100,24 +101,26 @@
     parse(file, &text)
 }
 
-/// Reads and checks settings from `text`; `file` is for errors alone.
+/// Parses and validates settings from `text`; `file` is only used in errors.
 ///
 /// # Errors
 /// As [`load`].
 pub fn parse<T: DeserializeOwned + Check>(file: &Path, text: &str) -> Result<T, Error> {
-    // A file of comments alone states no field: all of them keep their defaults.
+    // A file without any field is an empty document, not a mapping; parse it as an empty
+    // mapping so that all fields take their defaults.
     let blank = text
         .lines()
         .all(|line| scan_key(line).is_none() && is_blank(line));
     let text = if blank { "{}" } else { text };
-    let settings: T = serde_saphyr::from_str(text).map_err(|error| refuse(file, text, &error))?;
+    let settings: T =
+        serde_saphyr::from_str(text).map_err(|error| locate_error(file, text, &error))?;
     match settings.check() {
         Ok(()) => Ok(settings),
         Err(fault) => Err(Error::Rule(file.into(), fault)),
     }
 }
 
-/// Answer of `--check-settings`: that the file is good, and all values in force.
+/// Output of `--check-settings`: a line that the file is valid, then all effective values.
 ///
 /// # Errors
 /// As [`load`].
@@ -133,16 +136,16 @@
     line.is_empty() || line.starts_with('#')
 }
 
-/// Turns the parser's error into one that names the field.
-fn refuse(file: &Path, text: &str, error: &serde_saphyr::Error) -> Error {
+/// Converts a parser error into one that names the field.
+fn locate_error(file: &Path, text: &str, error: &serde_saphyr::Error) -> Error {
     let line = error.location().map_or(1, |location| location.line());
-    let reason = bare(&error.without_snippet().to_string());
+    let reason = strip_position(&error.without_snippet().to_string());
     let (line, field) = if let Some(name) = quoted(&reason, "unknown field `") {
-        // The parser stands at the value before the field.
+        // The parser reports the position of the value before the field.
         let line = find(text, line, name);
         (line, path(text, line))
     } else if let Some(name) = quoted(&reason, "missing field `") {
-        // The parser stands at the first field of the struct.
+        // The parser reports the position of the first field of the struct.
         let sibling = path(text, line);
         let parent = sibling.rsplit_once('.').map(|(parent, _)| parent);
         (
@@ -155,19 +158,19 @@
     Error::Field(file.into(), line, Fault { field, reason })
 }
 
-/// The message without the place that the parser appends to it.
-fn bare(message: &str) -> String {
+/// Strips the position that the parser appends to its message.
+fn strip_position(message: &str) -> String {
     let message = message.lines().next().unwrap_or_default();
     let end = message.rfind(" at line ").unwrap_or(message.len());
     message[..end].into()
 }
 
-/// The name that stands in serde's message behind `start`.
+/// The name that follows `start` in serde's message, up to the closing backtick.
 fn quoted<'a>(message: &'a str, start: &str) -> Option<&'a str> {
     message.split_once(start)?.1.split('`').next()
 }
 
-/// The line of a field, not before `line`.
+/// The first line at or after `line` that has the key `name`; `line` if there is none.
 fn find(text: &str, line: u64, name: &str) -> u64 {
     (1..)
         .zip(text.lines())
@@ -176,7 +179,7 @@
         .map_or(line, |(number, _)| number)
 }
 
-/// Path of the field that stands on `line`, from the indentation of the lines before it.
+/// Dotted path of the field on `line`, derived from the indentation of the lines before it.
 fn path(text: &str, line: u64) -> String {
     let count = usize::try_from(line).unwrap_or(usize::MAX);
     let mut parts: Vec<&str> = Vec::new();
@@ -194,10 +197,10 @@
     parts.join(".")
 }
 
-/// The key at the start of a line of a block mapping.
+/// The key at the start of `line`, taken as a line of a block mapping.
 fn scan_key(line: &str) -> Option<&str> {
     let line = line.trim_start().trim_start_matches("- ").trim_start();
     let (key, _value) = line.split_once(COLON)?;
-    let known = |c: char| c.is_ascii_alphanumeric() || "_-\"'".contains(c);
-    (!key.is_empty() && key.chars().all(known)).then_some(key)
+    let is_key_char = |c: char| c.is_ascii_alphanumeric() || "_-\"'".contains(c);
+    (!key.is_empty() && key.chars().all(is_key_char)).then_some(key)
 }
--- a/coltsfoothall-shell/src/stop.rs
+++ b/coltsfoothall-shell/src/stop.rs
@@ -1,14 +1,14 @@
-//! A planned stop, asked for by a signal.
+//! Graceful shutdown on a signal.
 
 use std::io;
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
-/// A token that is cancelled by the first SIGTERM or SIGINT.
+/// Returns a token that is cancelled by the first SIGTERM or SIGINT.
 ///
 /// # Errors
-/// The signals cannot be listened to, or there is no runtime.
+/// The signal handlers cannot be installed, for example outside a Tokio runtime.
 pub fn token() -> io::Result<CancellationToken> {
     let mut term = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/coltsfoothall-shell/tests/bounded.rs
+++ b/coltsfoothall-shell/tests/bounded.rs
@@ -1,4 +1,4 @@
-//! A log output that stalls.
+//! A stalled log target must not block the program; dropped lines are counted and reported.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -11,7 +11,7 @@
 use log4rs::append::Append;
 use log4rs::encode::pattern::PatternEncoder;
 
-/// An output that writes nothing until it is let go.
+/// A target whose writes block until `go` receives a message or its sender is dropped.
 struct Stalled {
     go: Receiver<()>,
     written: Sender<Vec<u8>>,
@@ -19,9 +19,9 @@
 
 impl Write for Stalled {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        // Either a word or the end of the stall.
+        // An error means that the sender was dropped, which ends the stall.
         self.go.recv().unwrap_or_default();
-        // The test that has ended wants no more lines.
+        // The receiver is gone once the test has ended.
         drop(self.written.send(buf.to_vec()));
         Ok(buf.len())
     }
@@ -49,7 +49,7 @@
     for _ in 0..count {
         line(&output, "busy");
     }
-    // The writer may hold one line beside the full queue.
+    // The writer thread may hold one line in addition to the full queue.
     let dropped = output.dropped() as usize;
     assert!(
         (count - LINES - 1..=count - LINES).contains(&dropped),
@@ -63,7 +63,7 @@
     let text = String::from_utf8(text).unwrap();
     assert!(
         text.contains(&format!("E107 log_dropped lines={dropped}")),
-        "the count is told"
+        "the number of dropped lines is logged"
     );
     assert!(text.ends_with("calm\n"));
 }
--- a/coltsfoothall-shell/tests/event.rs
+++ b/coltsfoothall-shell/tests/event.rs
@@ -1,4 +1,4 @@
-//! Events have numbers of their own, and the catalogue lists exactly them.
+//! Event numbers and names are unique, and docs/EVENTS.md lists exactly the events in the code.
 
 use std::fs;
 use std::path::Path;
@@ -6,14 +6,14 @@
 use coltsfoothall_shell::event::{self, Event};
 use coltsfoothall_shell::journal::{self, Level, Log};
 
-/// Name, number and level as docs/EVENTS.md writes them.
+/// The first three columns of the row in docs/EVENTS.md: number, level and name.
 fn row(event: &Event) -> String {
     let level = event.level.as_str().to_lowercase();
     format!("| E{:03} | {level} | `{}` |", event.code, event.name)
 }
 
 #[test]
-fn rising_numbers() {
+fn ascending_numbers() {
     assert!(
         event::ALL
             .windows(2)
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn whole_catalogue() {
+fn complete_catalogue() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/EVENTS.md");
     let text = fs::read_to_string(file).unwrap();
     let mut listed = Vec::new();
--- a/coltsfoothall-shell/tests/metric.rs
+++ b/coltsfoothall-shell/tests/metric.rs
@@ -1,4 +1,4 @@
-//! A scrape shows what was recorded, with bounded labels.
+//! The rendered metrics show the recorded values, with a bounded number of labels.
 
 use std::time::Duration;
 
--- a/coltsfoothall-shell/tests/settings.rs
+++ b/coltsfoothall-shell/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are refused with file, field and reason.
+//! Invalid settings are refused with the file, the field and the reason.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -47,14 +47,14 @@
     settings::parse(Path::new("entry.yaml"), text)
 }
 
-/// The refusal's line, field and whole text.
+/// Line, field and full text of the error for invalid settings; line 0 for a violated rule.
 fn refused(text: &str) -> (u64, String, String) {
-    let error = parse(text).expect_err("the text is to be refused");
-    let whole = error.to_string();
-    assert!(whole.contains("entry.yaml"), "{whole}");
+    let error = parse(text).expect_err("the settings must be refused");
+    let message = error.to_string();
+    assert!(message.contains("entry.yaml"), "{message}");
     match error {
-        Error::Field(_, line, fault) => (line, fault.field, whole),
-        Error::Rule(_, fault) => (0, fault.field, whole),
+        Error::Field(_, line, fault) => (line, fault.field, message),
+        Error::Rule(_, fault) => (0, fault.field, message),
         other => panic!("{other}"),
     }
 }
