--- a/coltsfoothall-intent/src/call.rs
+++ b/coltsfoothall-intent/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls to entry instances, one after another until one answers.
+//! Calls to entry instances, tried in turn until one answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,26 +20,27 @@
 
 use crate::flag::Reach;
 
-/// Time for a whole call; confirmations may take several calls of the key-value service.
-const WITHIN: Duration = Duration::from_secs(10);
+/// Limit for one call, including its body; a confirmation may take several calls to the key-value
+/// service.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 quick_error! {
-    /// A call that no entry instance answered as asked.
+    /// A call that failed.
     #[derive(Debug)]
     pub enum Error {
-        /// An entry instance refused it.
+        /// An entry instance refused the call; `lost` if an instance may have acted on it.
         Refused(step: String, peer: SocketAddr, fault: Box<Fault>, lost: bool) {
             display("{step}: {peer} refused: {}", text(fault))
         }
-        /// No entry instance answered; `lost` if one of them may have acted on it.
-        Unanswered(step: String, tries: Vec<String>, lost: bool) {
-            display("{step}: no entry instance answered\n  {}", tries.join("\n  "))
+        /// No entry instance answered; `lost` if an instance may have acted on the call.
+        Unanswered(step: String, failures: Vec<String>, lost: bool) {
+            display("{step}: no entry instance answered\n  {}", failures.join("\n  "))
         }
     }
 }
 
 impl Error {
-    /// Whether an entry instance may have acted on the call all the same.
+    /// Whether an entry instance may have acted on the call despite the error.
     #[must_use]
     pub fn lost(&self) -> bool {
         match self {
@@ -48,28 +49,28 @@
     }
 }
 
-/// A refusal as text, with its field.
+/// Formats a fault with its field and retry delay, if any.
 fn text(fault: &Fault) -> String {
     let mut text = fault.message.clone();
     if let Some(field) = &fault.field {
         text = format!("{field}: {text}");
     }
     if let Some(wait) = fault.retry_after_ms {
-        text = format!("{text} (come back in {wait})");
+        text = format!("{text} (retry after {wait})");
     }
     text
 }
 
-/// An answer, and whether an instance asked before may have acted as well.
+/// An answer, and whether an instance called earlier may have acted as well.
 #[derive(Debug)]
 pub struct Answer<T> {
     /// The answer.
     pub value: T,
-    /// Whether the answer of an instance asked before was lost.
+    /// Whether the answer of an instance called earlier was lost.
     pub lost: bool,
 }
 
-/// One call, before it goes to an entry instance.
+/// A request that can be sent to any entry instance.
 struct Call {
     step: &'static str,
     method: Method,
@@ -78,21 +79,21 @@
     body: Bytes,
 }
 
-/// Asks entry instances.
+/// Client that calls entry instances.
 #[derive(Debug)]
 pub struct Caller {
     client: Client,
     reach: Reach,
 }
 
-/// Why one entry instance's answer was not taken.
-enum Miss {
+/// Why an attempt at one entry instance failed.
+enum Failure {
     Call(client::Error),
     Fault(StatusCode, Box<Fault>),
 }
 
 impl Caller {
-    /// A caller for these entry instances.
+    /// Creates a client for the entry instances in `reach`.
     #[must_use]
     pub fn new(reach: Reach) -> Self {
         Self {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Asks for a plan for an intent, as YAML.
+    /// Requests a plan for an intent given as YAML.
     ///
     /// # Errors
     /// The intent is refused, or no entry instance answered.
@@ -113,10 +114,10 @@
             kind: "application/yaml",
             body: intent,
         };
-        Ok(self.ask(call).await?.value)
+        Ok(self.call_in_turn(call).await?.value)
     }
 
-    /// Confirms a plan. Asking several instances is harmless: a plan has at most one effect.
+    /// Confirms a plan. Calling several instances is safe, since a plan takes effect at most once.
     ///
     /// # Errors
     /// The call is refused, or no entry instance answered.
@@ -128,49 +129,60 @@
             kind: "application/json",
             body: body::json(plan),
         };
-        self.ask(call).await
+        self.call_in_turn(call).await
     }
 
-    /// The configuration in force.
+    /// Fetches the configuration in force.
     ///
     /// # Errors
     /// The call is refused, or no entry instance answered.
     pub async fn show(&self) -> Result<Catalog, Error> {
-        Ok(self.ask(get("show", operator::CATALOG)).await?.value)
+        Ok(self
+            .call_in_turn(get("show", operator::CATALOG))
+            .await?
+            .value)
     }
 
-    /// What an entry instance knows.
+    /// Fetches the status as an entry instance sees it.
     ///
     /// # Errors
     /// The call is refused, or no entry instance answered.
     pub async fn status(&self) -> Result<Status, Error> {
-        Ok(self.ask(get("status", operator::STATUS)).await?.value)
+        Ok(self
+            .call_in_turn(get("status", operator::STATUS))
+            .await?
+            .value)
     }
 
-    async fn ask<T: DeserializeOwned>(&self, call: Call) -> Result<Answer<T>, Error> {
-        let mut tries = Vec::new();
+    async fn call_in_turn<T: DeserializeOwned>(&self, call: Call) -> Result<Answer<T>, Error> {
+        let mut failures = Vec::new();
         let mut lost = false;
         for peer in &self.reach.entries {
-            match self.one(&call, *peer).await {
+            match self.call_one(&call, *peer).await {
                 Ok(value) => return Ok(Answer { value, lost }),
-                Err(Miss::Fault(status, fault)) if status != StatusCode::SERVICE_UNAVAILABLE => {
-                    // Only an internal fault leaves open what was done before it.
+                Err(Failure::Fault(status, fault)) if status != StatusCode::SERVICE_UNAVAILABLE => {
+                    // After a server error the instance may already have acted on the call; any other
+                    // refusal means that it has not.
                     lost |= status.is_server_error();
                     return Err(Error::Refused(call.step.into(), *peer, fault, lost));
                 }
-                Err(Miss::Fault(_, fault)) => {
-                    tries.push(format!("{peer} is not available: {}", text(&fault)));
+                Err(Failure::Fault(_, fault)) => {
+                    failures.push(format!("{peer} is not available: {}", text(&fault)));
                 }
-                Err(Miss::Call(error)) => {
+                Err(Failure::Call(error)) => {
                     lost |= !error.unsent();
-                    tries.push(error.to_string());
+                    failures.push(error.to_string());
                 }
             }
         }
-        Err(Error::Unanswered(call.step.into(), tries, lost))
+        Err(Error::Unanswered(call.step.into(), failures, lost))
     }
 
-    async fn one<T: DeserializeOwned>(&self, call: &Call, peer: SocketAddr) -> Result<T, Miss> {
+    async fn call_one<T: DeserializeOwned>(
+        &self,
+        call: &Call,
+        peer: SocketAddr,
+    ) -> Result<T, Failure> {
         let (step, name) = (call.step, peer.to_string());
         let request = Request::builder()
             .method(call.method.clone())
@@ -182,23 +194,23 @@
             .header(CONTENT_TYPE, call.kind)
             .body(Full::new(call.body.clone()))
             .map_err(|error| client::Error::Call(step.into(), name.clone(), error.to_string()))
-            .map_err(Miss::Call)?;
-        let whole = async {
-            let answer = self.client.send(step, request, WITHIN).await?;
+            .map_err(Failure::Call)?;
+        let exchange = async {
+            let answer = self.client.send(step, request, CALL_TIMEOUT).await?;
             let status = answer.status();
             let bytes = body::read(answer.into_body(), limit::FRAME)
                 .await
-                .map_err(|error| unread(step, &name, &error))?;
+                .map_err(|error| body_error(step, &name, &error))?;
             Ok((status, bytes))
         };
-        let (status, bytes) = match timeout(WITHIN, whole).await {
-            Ok(result) => result.map_err(Miss::Call)?,
-            Err(_elapsed) => return Err(Miss::Call(client::Error::Timeout(step.into(), name))),
+        let (status, bytes) = match timeout(CALL_TIMEOUT, exchange).await {
+            Ok(result) => result.map_err(Failure::Call)?,
+            Err(_elapsed) => return Err(Failure::Call(client::Error::Timeout(step.into(), name))),
         };
         if !status.is_success() {
-            return Err(Miss::Fault(status, Box::new(fault(status, &bytes))));
+            return Err(Failure::Fault(status, Box::new(fault(status, &bytes))));
         }
-        body::parse(&bytes).map_err(|error| Miss::Call(unread(step, &name, &error)))
+        body::parse(&bytes).map_err(|error| Failure::Call(body_error(step, &name, &error)))
     }
 }
 
@@ -212,15 +224,15 @@
     }
 }
 
-fn unread(step: &str, peer: &str, error: &body::Error) -> client::Error {
+fn body_error(step: &str, peer: &str, error: &body::Error) -> client::Error {
     client::Error::Body(step.into(), peer.into(), error.to_string())
 }
 
-/// The fault in an error answer, or one that quotes what came instead.
+/// Parses the fault of an error response, or makes one that quotes an unexpected body.
 fn fault(status: StatusCode, bytes: &[u8]) -> Fault {
     match body::parse::<Body>(bytes) {
         Ok(body) => body.error,
-        Err(_other) => {
+        Err(_unexpected) => {
             let quote = String::from_utf8_lossy(bytes);
             let quote: String = quote.chars().take(200).collect();
             Fault::new(Code::Internal, format!("answered {status}: {quote}"))
--- a/coltsfoothall-intent/src/exit.rs
+++ b/coltsfoothall-intent/src/exit.rs
@@ -1,27 +1,27 @@
-//! Exit codes, part of the interface.
+//! Exit codes, which are part of the public interface.
 
 use std::process::ExitCode;
 
 use bpaf::ParseFailure;
 use coltsfoothall::confirm::Verdict;
 
-/// How the program ends.
+/// Result of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// 0: it is done.
+    /// 0: the command succeeded.
     Done,
-    /// 1: it was refused or could not be asked for; this run changed nothing.
+    /// 1: the request was refused or could not be sent; this run changed nothing.
     Refused,
-    /// 2: the command line is wrong.
+    /// 2: the command line is invalid.
     Usage,
-    /// 3: the plan is stale; another was accepted on its base.
+    /// 3: the plan is stale: another one was accepted on the same base revision.
     Stale,
-    /// 4: whether the plan was accepted is not known; `confirm` again.
+    /// 4: it is unknown whether the plan was accepted; run `confirm` again.
     Unknown,
 }
 
 impl Exit {
-    /// The code.
+    /// The numeric exit code.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The end after a command line that was not run: help is no failure.
+    /// The result for a command line that was not run; printing the help is a success.
     #[must_use]
     pub fn of_parser(failure: &ParseFailure) -> Self {
         match failure {
@@ -42,8 +42,8 @@
         }
     }
 
-    /// The end after a verdict; `lost` says that an entry instance asked
-    /// earlier in this run may have begun to write.
+    /// The result for a verdict; `lost` means that an entry instance called earlier in this run
+    /// may have begun to write.
     #[must_use]
     pub fn of_verdict(verdict: &Verdict, lost: bool) -> Self {
         match verdict {
--- a/coltsfoothall-intent/src/flag.rs
+++ b/coltsfoothall-intent/src/flag.rs
@@ -9,22 +9,22 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// A token that cannot be sent.
+    /// The token is not valid in a header.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// Empty, or with a blank or a character beyond ASCII.
+        /// Empty, or contains a character other than visible ASCII.
         Token {
-            display("a token is not empty and has neither blanks nor characters beyond ASCII")
+            display("a token must be non-empty and consist of visible ASCII characters")
         }
     }
 }
 
-/// The operators' bearer token; it is never printed.
+/// Bearer token of an operator; its debug form is masked.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Token(String);
 
 impl Token {
-    /// The token as it is sent.
+    /// The token in clear text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
@@ -41,8 +41,8 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let good = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic());
-        if good {
+        let valid = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic());
+        if valid {
             Ok(Self(text.into()))
         } else {
             Err(Error::Token)
@@ -50,18 +50,18 @@
     }
 }
 
-/// Which entry instances to ask, and how to print.
+/// Entry instances to call, and the output format.
 #[derive(Debug, Clone, PartialEq, Eq, Bpaf)]
 pub struct Reach {
-    /// Address of an entry instance, as 10.0.0.1:7000; repeat it for others to try in turn when
-    /// one does not answer
+    /// Address of an entry instance, for example 10.0.0.1:7000; repeat the option to name further
+    /// instances, which are tried in turn when one does not answer
     #[bpaf(
         long("entry"),
         argument("ADDR"),
         some("at least one --entry ADDR is needed")
     )]
     pub entries: Vec<SocketAddr>,
-    /// The operators' bearer token
+    /// Bearer token of an operator
     #[bpaf(long, env("COLTSFOOTHALL_TOKEN"), argument("TOKEN"))]
     pub token: Token,
     /// Print JSON instead of text
@@ -69,7 +69,7 @@
     pub json: bool,
 }
 
-/// What to do.
+/// The command to run.
 #[derive(Debug, Clone, PartialEq, Eq, Bpaf)]
 #[bpaf(
     options,
@@ -79,11 +79,11 @@
         "Create, change and remove services, workspaces, models, adapters and placement preferences of coltsfoothall."
     ),
     footer(
-        "Exit codes: 0 done; 1 refused, or a bad intent, or nobody answered: nothing changed by this run; 2 bad command line; 3 the plan is stale; 4 not known whether the plan was accepted: confirm again."
+        "Exit codes: 0 done; 1 refused, invalid intent or no answer: this run changed nothing; 2 invalid command line; 3 the plan is stale; 4 unknown whether the plan was accepted: confirm again."
     )
 )]
 pub enum Command {
-    /// Print what an intent would change; nothing changes
+    /// Print what an intent would change, without changing anything
     #[bpaf(command)]
     Plan {
         /// Entry instances:
@@ -92,31 +92,31 @@
         /// Write the plan to this file, for confirm
         #[bpaf(long, argument("PLAN"))]
         out: Option<PathBuf>,
-        /// The intent, a YAML file; - reads the standard input
+        /// The intent, a YAML file; - reads standard input
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Put a plan in force, if nobody changed the configuration since it was made; may be repeated
+    /// Put a plan in force, unless the configuration has changed since it was made; safe to repeat
     #[bpaf(command)]
     Confirm {
         /// Entry instances:
         #[bpaf(external)]
         reach: Reach,
-        /// If the plan is stale, write the plan made anew to this file
+        /// If the plan is stale, write a new plan for the same intent to this file
         #[bpaf(long, argument("PLAN"))]
         out: Option<PathBuf>,
         /// The plan, as written by plan --out
         #[bpaf(positional("PLAN"))]
         file: PathBuf,
     },
-    /// Print the configuration in force; tokens are hidden, but for --json
+    /// Print the configuration in force; tokens are masked except with --json
     #[bpaf(command)]
     Show {
         /// Entry instances:
         #[bpaf(external)]
         reach: Reach,
     },
-    /// Print instances, endpoints, and where the revision is in force
+    /// Print entry instances, endpoints and on how many instances the revision is in force
     #[bpaf(command)]
     Status {
         /// Entry instances:
--- a/coltsfoothall-intent/src/main.rs
+++ b/coltsfoothall-intent/src/main.rs
@@ -1,19 +1,19 @@
-//! `coltsfoothall-intent`, the operators' program.
+//! `coltsfoothall-intent`, the command-line client for operators.
 
 use std::process::ExitCode;
 
 use coltsfoothall_intent::exit::Exit;
 use coltsfoothall_intent::{flag, run};
 
-/// Columns of the help text.
-const WIDTH: usize = 100;
+/// Width of the help text in columns.
+const HELP_COLUMNS: usize = 100;
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     let command = match flag::flags().run_inner(bpaf::Args::current_args()) {
         Ok(command) => command,
         Err(failure) => {
-            failure.print_message(WIDTH);
+            failure.print_message(HELP_COLUMNS);
             return Exit::of_parser(&failure).into();
         }
     };
--- a/coltsfoothall-intent/src/output.rs
+++ b/coltsfoothall-intent/src/output.rs
@@ -1,4 +1,4 @@
-//! What is printed, as text or JSON. Tokens are hidden in text.
+//! Output of the commands as text or JSON. The text form masks tokens.
 
 use std::fmt::Write;
 
@@ -8,19 +8,19 @@
 use coltsfoothall_wire::operator::Status;
 use serde::{Deserialize, Serialize};
 
-/// What stands for a token.
+/// Replacement for a token in text output.
 const HIDDEN: &str = "(hidden)";
 
-/// A verdict as JSON, with the plan made anew if it is stale.
+/// JSON output of `confirm`: the verdict and, for a stale or expired plan, a new plan.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Confirmation {
     /// The verdict.
     pub verdict: Verdict,
-    /// The plan made anew for the same intent.
+    /// A new plan for the same intent, made on the configuration in force.
     pub anew: Option<Plan>,
 }
 
-/// The configuration as an intent would state it.
+/// The configuration in the form of an intent.
 #[derive(Debug, Serialize)]
 struct View<'a> {
     #[serde(skip_serializing_if = "<[_]>::is_empty")]
@@ -35,14 +35,14 @@
     placements: &'a [Placement],
 }
 
-/// A value as indented JSON with a line end.
+/// Formats a value as indented JSON with a trailing newline.
 #[must_use]
 pub fn json<T: Serialize>(value: &T) -> String {
     let text = serde_json::to_string_pretty(value);
     text.expect("messages have no map keys that JSON refuses") + "\n"
 }
 
-/// A plan for people.
+/// Formats a plan as text.
 #[must_use]
 pub fn plan(plan: &Plan) -> String {
     let mut text = format!("plan {} on revision {}\n", plan.id, plan.base);
@@ -50,23 +50,24 @@
         line(
             &mut text,
             0,
-            "nothing to do: the configuration is already so",
+            "nothing to do: the configuration already matches the intent",
         );
         return text;
     }
     steps(&mut text, &plan.steps);
     let count = |verb| plan.steps.iter().filter(|step| step.verb == verb).count();
-    let sum = format!(
+    let summary = format!(
         "{} to create, {} to change, {} to remove",
         count(Verb::Create),
         count(Verb::Change),
         count(Verb::Remove)
     );
-    line(&mut text, 0, &sum);
+    line(&mut text, 0, &summary);
     text
 }
 
-/// A verdict for people; `lost` says that an instance asked before may have begun to write.
+/// Formats a verdict as text; `lost` means that an instance called earlier in this run may have
+/// begun to write.
 #[must_use]
 pub fn verdict(verdict: &Verdict, lost: bool) -> String {
     let mut text = String::new();
@@ -89,7 +90,7 @@
             line(
                 &mut text,
                 0,
-                "confirm again, also to settle an earlier run that was cut off",
+                "confirm again, also to find out the result of an earlier run that was interrupted",
             );
         }
         Verdict::Untried { message } | Verdict::Unsettled { message } => {
@@ -97,16 +98,16 @@
             line(
                 &mut text,
                 0,
-                "confirm again to settle it; a plan never has a second effect",
+                "confirm again to find out; a plan takes effect at most once",
             );
         }
         Verdict::Expired { current } => {
-            let now = format!("not known any more: revision {current} is in force");
+            let now = format!("no longer known: revision {current} is in force");
             line(&mut text, 0, &now);
             line(
                 &mut text,
                 0,
-                "too many plans were accepted since; plan the intent anew",
+                "too many plans were accepted since; make a new plan for the intent",
             );
         }
     }
@@ -130,7 +131,7 @@
     steps(text, changed);
 }
 
-/// The configuration for people.
+/// Formats the configuration as text, as YAML with a heading line.
 #[must_use]
 pub fn catalog(catalog: &Catalog) -> String {
     let mut text = format!("# revision {}", catalog.revision);
@@ -154,13 +155,13 @@
     };
     match serde_saphyr::to_string(&view) {
         Ok(yaml) => text += &yaml,
-        // Text of names and numbers; should YAML refuse it, JSON is YAML too.
+        // Names and numbers should always serialize; JSON, which is valid YAML, is the fallback.
         Err(_yaml) => text += &json(&view),
     }
     text
 }
 
-/// A status for people.
+/// Formats a status as text.
 #[must_use]
 pub fn status(status: &Status) -> String {
     let mut text = String::new();
@@ -223,8 +224,9 @@
     }
 }
 
-/// A line, indented by two blanks a level. Control characters of a peer's text are left out.
+/// Appends a line, indented by two spaces per level. Control characters are removed, as the text
+/// may come from a peer.
 fn line(text: &mut String, level: usize, line: &str) {
     let clean: String = line.chars().filter(|c| !c.is_control()).collect();
-    writeln!(text, "{:1$}{clean}", "", 2 * level).expect("a string takes all that is written");
+    writeln!(text, "{:1$}{clean}", "", 2 * level).expect("writing to a string cannot fail");
 }
--- a/coltsfoothall-intent/src/run.rs
+++ b/coltsfoothall-intent/src/run.rs
@@ -1,4 +1,4 @@
-//! Carries a command out and says what to print and how to end.
+//! Runs a command and reports its output and exit code.
 
 use std::fs;
 use std::io::{self, Read};
@@ -16,19 +16,19 @@
 use crate::flag::{Command, Reach};
 use crate::output::{self, Confirmation};
 
-/// What a command printed and how it ended.
+/// Output and result of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// For the standard output.
+    /// Text for standard output.
     pub out: String,
-    /// For the standard error.
+    /// Text for standard error.
     pub err: String,
-    /// The end.
+    /// Result, which gives the exit code.
     pub exit: Exit,
 }
 
 quick_error! {
-    /// A command that could not be carried out.
+    /// The command failed.
     #[derive(Debug)]
     pub enum Error {
         /// A file cannot be read.
@@ -40,18 +40,18 @@
             display("cannot write {file}: {error}")
         }
         /// A file is too large.
-        Large(file: String, most: usize) {
-            display("{file}: more than {most} bytes")
+        Large(file: String, max_len: usize) {
+            display("{file}: file is over {max_len} bytes")
         }
-        /// A file holds no intent.
+        /// A file does not contain a valid intent.
         Intent(file: String, error: intent::Error) {
             display("{file}: {error}")
         }
-        /// A file holds no plan.
+        /// A file does not contain a valid plan.
         Plan(file: String, error: http::Error) {
             display("{file}: not a plan as written by plan --out: {error}")
         }
-        /// The entry instances did not do it.
+        /// The call to the entry instances failed.
         Call(error: call::Error) {
             from()
             display("{error}")
@@ -59,10 +59,10 @@
     }
 }
 
-/// Carries a command out.
+/// Runs a command.
 pub async fn run(command: Command) -> Report {
     let confirms = matches!(command, Command::Confirm { .. });
-    match carry_out(command).await {
+    match execute(command).await {
         Ok(report) => report,
         Err(error) => {
             let lost = confirms && matches!(&error, Error::Call(call) if call.lost());
@@ -74,7 +74,7 @@
 fn failed(error: &Error, lost: bool) -> Report {
     let mut err = format!("{error}\n");
     if lost {
-        err += "not yet known whether the plan was accepted: confirm again to settle it\n";
+        err += "not yet known whether the plan was accepted: confirm again to find out\n";
     }
     Report {
         out: String::new(),
@@ -83,7 +83,7 @@
     }
 }
 
-async fn carry_out(command: Command) -> Result<Report, Error> {
+async fn execute(command: Command) -> Result<Report, Error> {
     match command {
         Command::Plan { reach, out, file } => plan(reach, out.as_deref(), &file).await,
         Command::Confirm { reach, out, file } => confirm(reach, out.as_deref(), &file).await,
@@ -119,7 +119,7 @@
 async fn plan(reach: Reach, out: Option<&Path>, file: &Path) -> Result<Report, Error> {
     let json = reach.json;
     let text = read(file, limit::INTENT)?;
-    // Checked here first, so that a slip is told with the file's name.
+    // Parsed locally first, so that an error names the file.
     parse_intent(file, &text)?;
     let plan = Caller::new(reach).plan(text).await?;
     save(out, &plan)?;
@@ -156,20 +156,22 @@
         answer.value,
         Verdict::Stale { .. } | Verdict::Expired { .. }
     ) {
-        // JSON is YAML too.
+        // The plan call takes YAML, and JSON is valid YAML.
         match caller.plan(http::json(&plan.intent)).await {
-            Ok(made) => {
-                report.out += "the plan made anew, which nobody has confirmed:\n";
-                report.out += &output::plan(&made);
-                anew = Some(made);
+            Ok(new_plan) => {
+                report.out += "new plan for the same intent, not confirmed yet:\n";
+                report.out += &output::plan(&new_plan);
+                anew = Some(new_plan);
+            }
+            Err(error) => {
+                report.err = format!("cannot make a new plan for the same intent: {error}\n")
             }
-            Err(error) => report.err = format!("the plan cannot be made anew: {error}\n"),
         }
     }
-    if let Some(made) = &anew
-        && let Err(error) = save(out, made)
+    if let Some(new_plan) = &anew
+        && let Err(error) = save(out, new_plan)
     {
-        // The verdict goes before the file: it must be told either way.
+        // The verdict must be reported even if the new plan cannot be written.
         report.err += &format!("{error}\n");
     }
     if json {
@@ -188,11 +190,11 @@
     parsed.map_err(|error| Error::Intent(name, error))
 }
 
-/// Reads a file, or the standard input for `-`, of at most `most` bytes.
-fn read(file: &Path, most: usize) -> Result<Bytes, Error> {
+/// Reads a file, or standard input for `-`, of at max_len `max_len` bytes.
+fn read(file: &Path, max_len: usize) -> Result<Bytes, Error> {
     let name = file.display().to_string();
     let mut bytes = Vec::new();
-    let limit = most as u64 + 1;
+    let limit = max_len as u64 + 1;
     let result = if name == "-" {
         io::stdin().lock().take(limit).read_to_end(&mut bytes)
     } else {
@@ -200,7 +202,7 @@
     };
     match result {
         Err(error) => Err(Error::Read(name, error)),
-        Ok(_read) if bytes.len() > most => Err(Error::Large(name, most)),
+        Ok(_read) if bytes.len() > max_len => Err(Error::Large(name, max_len)),
         Ok(_read) => Ok(bytes.into()),
     }
 }
--- a/coltsfoothall-intent/tests/flag.rs
+++ b/coltsfoothall-intent/tests/flag.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parsing of the command line, the help text and the exit codes.
 
 use coltsfoothall::confirm::Verdict;
 use coltsfoothall_intent::exit::Exit;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn file_first() {
+fn file_before_options() {
     let confirm = parse("confirm p.json --entry 10.0.0.1:7000 --token t").unwrap();
     assert!(matches!(confirm, Command::Confirm { out: None, .. }));
     let show = parse("show --entry [::1]:7000 --token t").unwrap();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn usage_refused() {
+fn invalid_usage_refused() {
     let lines = [
         "",
         "plna",
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn token_hidden() {
+fn token_masked() {
     let command = parse("show --entry 10.0.0.1:7000 --token secret").unwrap();
     assert!(!format!("{command:?}").contains("secret"));
 }
--- a/coltsfoothall-intent/tests/output.rs
+++ b/coltsfoothall-intent/tests/output.rs
@@ -1,4 +1,4 @@
-//! What is printed.
+//! Text output of plans, verdicts, the configuration and the status.
 
 use coltsfoothall::catalog::{Catalog, Revision};
 use coltsfoothall::confirm::Verdict;
@@ -8,7 +8,7 @@
 use coltsfoothall_intent::output;
 use coltsfoothall_wire::operator::{Endpoint, Member, Status};
 
-fn made() -> Plan {
+fn sample_plan() -> Plan {
     let text = "
         models: [{name: roster, version: 3}]
         workspaces: [{name: planners, tokens: [secret]}]";
@@ -22,7 +22,7 @@
 
 #[test]
 fn plan_text() {
-    let text = output::plan(&made());
+    let text = output::plan(&sample_plan());
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines[0], "plan p1 on revision 0");
     assert_eq!(lines[1], "  create model roster");
@@ -33,16 +33,16 @@
 
 #[test]
 fn catalog_text() {
-    let text = output::catalog(&made().after);
+    let text = output::catalog(&sample_plan().after);
     assert!(text.starts_with("# revision 1, by plan p1\n"));
     assert!(!text.contains("secret"));
     let intent: Intent = text.parse().unwrap();
-    assert_eq!(intent.models, made().intent.models);
+    assert_eq!(intent.models, sample_plan().intent.models);
 }
 
 #[test]
 fn verdict_text() {
-    let changed = difference(&Catalog::default(), &made().after);
+    let changed = difference(&Catalog::default(), &sample_plan().after);
     let (current, since) = (Revision(1), Some(Revision(0)));
     let stale = Verdict::Stale {
         current,
--- a/coltsfoothall-intent/tests/run.rs
+++ b/coltsfoothall-intent/tests/run.rs
@@ -1,4 +1,4 @@
-//! Whole commands against a small entry instance over loopback.
+//! Complete commands against a simulated entry instance over loopback.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,16 +21,16 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-/// What the entry instance does wrong.
+/// Fault of the simulated entry instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-enum Wrong {
+enum Failure {
     #[default]
     Nothing,
-    /// It breaks off after a confirmation took effect.
-    BreaksOff,
-    /// The key-value service is down.
+    /// It closes the connection without an answer, after a confirmation took effect.
+    ClosesConnection,
+    /// It cannot reach the key-value service.
     StoreDown,
-    /// It is leaving.
+    /// It refuses all calls as unavailable, because it is leaving.
     Leaving,
 }
 
@@ -40,14 +40,14 @@
     plans: u32,
 }
 
-fn confirm(store: &mut Store, plan: Plan, wrong: Wrong) -> Bytes {
-    let held = Arc::new(Catalog::default());
-    let mut attempt = Attempt::new(plan, held, None);
+fn confirm(store: &mut Store, plan: Plan, failure: Failure) -> Bytes {
+    let in_force = Arc::new(Catalog::default());
+    let mut attempt = Attempt::new(plan, in_force, None);
     let mut action = attempt.start();
     loop {
         let event = match action {
             Action::Settle(verdict) => return http::json(&verdict),
-            Action::Read if wrong == Wrong::StoreDown => Event::Down,
+            Action::Read if failure == Failure::StoreDown => Event::Down,
             Action::Read => Event::Found {
                 version: store.catalog.revision.0,
                 catalog: Box::new(store.catalog.clone()),
@@ -61,9 +61,9 @@
     }
 }
 
-fn answer(store: &mut Store, path: &str, body: &[u8], wrong: Wrong) -> Result<Bytes, Fault> {
+fn answer(store: &mut Store, path: &str, body: &[u8], failure: Failure) -> Result<Bytes, Fault> {
     match path {
-        _ if wrong == Wrong::Leaving => Err(Fault::new(Code::Unavailable, "leaving")),
+        _ if failure == Failure::Leaving => Err(Fault::new(Code::Unavailable, "leaving")),
         operator::CATALOG => Ok(http::json(&store.catalog)),
         operator::PLAN => {
             let text = std::str::from_utf8(body).expect("good test data");
@@ -80,14 +80,14 @@
         operator::CONFIRM => Ok(confirm(
             store,
             http::parse(body).expect("good test data"),
-            wrong,
+            failure,
         )),
         _ => Err(Fault::new(Code::NotFound, "no such path")),
     }
 }
 
-/// Starts an entry instance on the store.
-async fn entry(store: &Arc<Mutex<Store>>, wrong: Wrong) -> SocketAddr {
+/// Starts a simulated entry instance that uses `store`.
+async fn entry(store: &Arc<Mutex<Store>>, failure: Failure) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("good test data");
@@ -98,7 +98,7 @@
             let store = Arc::clone(&store);
             let service = service_fn(move |request: Request<Incoming>| {
                 let store = Arc::clone(&store);
-                async move { serve(&store, request, wrong).await }
+                async move { serve(&store, request, failure).await }
             });
             let connection = hyper::server::conn::http1::Builder::new();
             tokio::spawn(connection.serve_connection(TokioIo::new(stream), service));
@@ -110,7 +110,7 @@
 async fn serve(
     store: &Mutex<Store>,
     request: Request<Incoming>,
-    wrong: Wrong,
+    failure: Failure,
 ) -> Result<Response<Full<Bytes>>, std::io::Error> {
     let (head, body) = request.into_parts();
     let body = http::read(body, limit::FRAME)
@@ -121,13 +121,13 @@
             &mut store.lock().expect("no test panics with the lock"),
             head.uri.path(),
             &body,
-            wrong,
+            failure,
         )
     } else {
         Err(Fault::new(Code::Unauthorized, "no operator has this token"))
     };
-    if wrong == Wrong::BreaksOff {
-        return Err(std::io::Error::other("broken off"));
+    if failure == Failure::ClosesConnection {
+        return Err(std::io::Error::other("connection closed"));
     }
     let answer = match result {
         Ok(bytes) => Response::new(Full::new(bytes)),
@@ -139,7 +139,7 @@
     Ok(answer)
 }
 
-/// A file of its own for each test.
+/// Writes a file in the scratch directory; each test uses its own name.
 fn file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("good test data");
@@ -166,9 +166,9 @@
 const MODEL: &str = "models: [{name: roster, version: 3}]";
 
 #[tokio::test]
-async fn planned_confirmed() {
+async fn plan_then_confirm() {
     let store = Arc::default();
-    let entries = [entry(&store, Wrong::Nothing).await];
+    let entries = [entry(&store, Failure::Nothing).await];
     let (report, out) = plan("calm", MODEL, &entries).await;
     assert_eq!(report.exit, Exit::Done, "{report:?}");
     assert!(report.out.contains("create model roster"));
@@ -186,9 +186,9 @@
 }
 
 #[tokio::test]
-async fn stale_anew() {
+async fn stale_gets_new_plan() {
     let store = Arc::default();
-    let entries = [entry(&store, Wrong::Nothing).await];
+    let entries = [entry(&store, Failure::Nothing).await];
     let (_report, one) = plan("stale-one", MODEL, &entries).await;
     let (_report, two) = plan(
         "stale-two",
@@ -213,16 +213,17 @@
 }
 
 #[tokio::test]
-async fn lost_settled() {
+async fn lost_answer_settled() {
     let store = Arc::default();
-    let good = entry(&store, Wrong::Nothing).await;
-    let broken = entry(&store, Wrong::BreaksOff).await;
-    let down = entry(&store, Wrong::StoreDown).await;
+    let good = entry(&store, Failure::Nothing).await;
+    let broken = entry(&store, Failure::ClosesConnection).await;
+    let down = entry(&store, Failure::StoreDown).await;
     let (_report, out) = plan("lost", MODEL, &[good]).await;
     let confirm = format!("confirm {}", out.display());
     let report = command(&confirm, &[broken], "t").await;
     assert_eq!(report.exit, Exit::Unknown, "{report:?}");
-    // An instance that cannot reach the store does not turn "not known" into "refused".
+    // "Refused" by an instance that cannot reach the store must not replace "not known": the
+    // first instance may have written.
     let report = command(&confirm, &[broken, down], "t").await;
     assert_eq!(report.exit, Exit::Unknown, "{report:?}");
     let report = command(&confirm, &[broken, good], "t").await;
@@ -236,8 +237,8 @@
 #[tokio::test]
 async fn store_down() {
     let store = Arc::default();
-    let good = entry(&store, Wrong::Nothing).await;
-    let down = entry(&store, Wrong::StoreDown).await;
+    let good = entry(&store, Failure::Nothing).await;
+    let down = entry(&store, Failure::StoreDown).await;
     let (_report, out) = plan("down", MODEL, &[good]).await;
     let report = command(&format!("confirm {}", out.display()), &[down], "t").await;
     assert_eq!(report.exit, Exit::Refused);
@@ -245,15 +246,15 @@
 }
 
 #[tokio::test]
-async fn next_tried() {
+async fn next_instance_tried() {
     let store = Arc::default();
     let nobody = TcpListener::bind("127.0.0.1:0")
         .await
         .unwrap()
         .local_addr()
         .unwrap();
-    let leaving = entry(&store, Wrong::Leaving).await;
-    let good = entry(&store, Wrong::Nothing).await;
+    let leaving = entry(&store, Failure::Leaving).await;
+    let good = entry(&store, Failure::Nothing).await;
     let report = command("show", &[nobody, leaving, good], "t").await;
     assert_eq!(report.exit, Exit::Done, "{report:?}");
     let report = command("show", &[nobody, leaving], "t").await;
@@ -262,9 +263,9 @@
 }
 
 #[tokio::test]
-async fn refusals_told() {
+async fn refusals_reported() {
     let store = Arc::default();
-    let entries = [entry(&store, Wrong::Nothing).await];
+    let entries = [entry(&store, Failure::Nothing).await];
     let (report, _out) = plan("bad-field", "modles: []", &entries).await;
     assert_eq!(report.exit, Exit::Refused);
     assert!(report.err.contains("bad-field.yaml") && report.err.contains("modles"));
--- a/coltsfoothall-shell/src/event.rs
+++ b/coltsfoothall-shell/src/event.rs
@@ -48,7 +48,7 @@
 }
 
 // 1xx process, 2xx requests, 3xx endpoints, 4xx membership and slots,
-// 5xx configuration, 6xx platform, 7xx operators, 8xx simulated engines and load generators.
+// 5xx configuration, 6xx platform, 7xx operators, 8xx simulators and callers.
 events! {
     /// A program has started and accepts connections.
     STARTED = 101 Info "started";
@@ -68,7 +68,7 @@
     CLOSES_IDLE = 108 Info "stop_closes_idle";
     /// An invariant of the system was found violated; always a bug.
     BROKEN = 190 Error "invariant_broken";
-    /// A request was answered by this program itself, with an error.
+    /// A request was answered by this program itself instead of an endpoint.
     REFUSED = 201 Info "request_refused";
     /// An endpoint aborted a request.
     BROKE_OFF = 202 Info "endpoint_broke_off";
@@ -92,7 +92,7 @@
     ENDPOINT_DIED = 302 Warn "endpoint_died";
     /// An endpoint was added, is leaving or is gone.
     ENDPOINT = 303 Info "endpoint";
-    /// This instance became steward of a service, which orders its instances, or ceased to be.
+    /// This instance became or ceased to be the steward of a service, which issues its orders.
     STEWARD = 311 Info "steward";
     /// An order was sent to an engine.
     ORDER = 312 Info "order";
@@ -118,11 +118,11 @@
     COPY_FAILED = 412 Warn "copy_failed";
     /// A slot was handed over without using the key-value service.
     YIELDED = 413 Info "slot_yielded";
-    /// A request sent by an instance that was since lost ended with an unknown outcome.
+    /// A request that a lost primary had sent ended with an unknown outcome.
     ORPHAN = 414 Warn "orphan_ended";
     /// A restarted primary asked its backup to take over a slot.
     CEDED = 415 Info "slot_ceded";
-    /// The instance that owns a request ended a call or a stream without an answer.
+    /// The primary of a request ended a call or a stream without an answer.
     OWNER_LOST = 416 Info "owner_lost";
     /// A configuration is in force.
     ADOPTED = 501 Info "config_adopted";
@@ -130,7 +130,7 @@
     OLDER = 502 Warn "config_older_refused";
     /// A configuration was refused because it is invalid.
     BAD_CATALOG = 503 Error "config_bad";
-    /// The key-value service had lost the configuration in force, and it was written again.
+    /// The key-value service had lost the configuration in force; it was restored.
     RESTORED = 504 Warn "config_restored";
     /// A newer configuration is known to exist but is not in force yet.
     BEHIND = 505 Warn "config_behind";
