--- a/coltsfoothall-intent/src/exit.rs
+++ b/coltsfoothall-intent/src/exit.rs
@@ -10,7 +10,7 @@
 pub enum Exit {
     /// 0: the command succeeded.
     Done,
-    /// 1: the request was refused or could not be sent; this run changed nothing.
+    /// 1: the request was refused or failed; this run changed nothing.
     Refused,
     /// 2: the command line is invalid.
     Usage,
--- a/coltsfoothall-intent/src/flag.rs
+++ b/coltsfoothall-intent/src/flag.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line options and their parser.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     }
 }
 
-/// Bearer token of an operator; its debug form is masked.
+/// Bearer token of an operator; it is never printed, and its debug form is masked.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Token(String);
 
--- a/coltsfoothall-intent/src/output.rs
+++ b/coltsfoothall-intent/src/output.rs
@@ -39,7 +39,7 @@
 #[must_use]
 pub fn json<T: Serialize>(value: &T) -> String {
     let text = serde_json::to_string_pretty(value);
-    text.expect("messages have no map keys that JSON refuses") + "\n"
+    text.expect("messages have only map keys that JSON allows") + "\n"
 }
 
 /// Formats a plan as text.
--- a/coltsfoothall-intent/src/run.rs
+++ b/coltsfoothall-intent/src/run.rs
@@ -190,7 +190,7 @@
     parsed.map_err(|error| Error::Intent(name, error))
 }
 
-/// Reads a file, or standard input for `-`, of at max_len `max_len` bytes.
+/// Reads a file, or standard input for `-`, of at most `max_len` bytes.
 fn read(file: &Path, max_len: usize) -> Result<Bytes, Error> {
     let name = file.display().to_string();
     let mut bytes = Vec::new();
--- a/coltsfoothall-shell/src/settings.rs
+++ b/coltsfoothall-shell/src/settings.rs
@@ -106,8 +106,8 @@
 /// # Errors
 /// As [`load`].
 pub fn parse<T: DeserializeOwned + Check>(file: &Path, text: &str) -> Result<T, Error> {
-    // A file without any field is an empty document, not a mapping; parse it as an empty
-    // mapping so that all fields take their defaults.
+    // A file without fields, such as one of comments only, is parsed as an empty mapping, so that
+    // all fields take their defaults.
     let blank = text
         .lines()
         .all(|line| scan_key(line).is_none() && is_blank(line));
