--- a/coltsfoothall/src/forward/config.rs
+++ b/coltsfoothall/src/forward/config.rs
@@ -115,9 +115,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Scaling {
     /// Smallest number in a failure domain.
-    pub least: u32,
+    pub min_per_domain: u32,
     /// Largest number in a failure domain, reclaimable ones included.
-    pub most: u32,
+    pub max_per_domain: u32,
     /// Time from an order until the endpoint serves.
     pub boot: Duration,
     /// Price of a reclaimable endpoint relative to an on-demand one; set if there are any.
--- a/coltsfoothall/src/forward/order.rs
+++ b/coltsfoothall/src/forward/order.rs
@@ -413,7 +413,7 @@
             .map(|cell| {
                 let on_demand = self.on_demands().find(|other| other.domain == cell.domain);
                 let on_demand = on_demand.map_or(0, |other| other.ordered);
-                let each = each.min(self.scaling.most.saturating_sub(on_demand));
+                let each = each.min(self.scaling.max_per_domain.saturating_sub(on_demand));
                 if now >= cell.refused_until {
                     each
                 } else {
@@ -427,7 +427,7 @@
     /// the most expensive domain, additions in the cheapest one, within its limit.
     fn allocate(&self, total: u32, spread: &[u32]) -> Vec<u32> {
         let others = |index: usize| spread.get(index).copied().unwrap_or(0);
-        let min = |index: usize| self.scaling.least.saturating_sub(others(index));
+        let min = |index: usize| self.scaling.min_per_domain.saturating_sub(others(index));
         let cells: Vec<&Cell> = self.on_demands().collect();
         let mut counts: Vec<u32> = (0..cells.len())
             .map(|index| cells[index].ordered.max(min(index)))
@@ -443,7 +443,7 @@
         let mut rest = total.saturating_sub(counts.iter().sum());
         for index in order {
             let taken = counts[index] + others(index);
-            let more = rest.min(self.scaling.most.saturating_sub(taken));
+            let more = rest.min(self.scaling.max_per_domain.saturating_sub(taken));
             counts[index] += more;
             rest -= more;
         }
--- a/coltsfoothall/tests/forward_order.rs
+++ b/coltsfoothall/tests/forward_order.rs
@@ -22,8 +22,8 @@
 fn scaling(reclaimable: Option<f64>) -> Scaling {
     let price = |name: &str| if name == "south" { 0.8 } else { 1.0 };
     Scaling {
-        least: 1,
-        most: 12,
+        min_per_domain: 1,
+        max_per_domain: 12,
         boot: Duration::from_secs(4),
         reclaimable,
         costs: NAMES
