--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -53,12 +53,18 @@
     if last || !job.route.kind.repeats() {
         return LAST_ATTEMPT_TIMEOUT;
     }
-    job.route.aim.duration().max(pick.wait) * SILENCE_FACTOR
+    job.route.target_latency.duration().max(pick.wait) * SILENCE_FACTOR
 }
 
 /// Whether the first event is expected too late to be of use.
 fn is_late(job: &Job, pick: &Pick) -> bool {
-    job.memory.is_some() && pick.wait > job.route.aim.duration().mul_f64(MAX_FIRST_EVENT_FACTOR)
+    job.memory.is_some()
+        && pick.wait
+            > job
+                .route
+                .target_latency
+                .duration()
+                .mul_f64(MAX_FIRST_EVENT_FACTOR)
 }
 
 /// Whether a request that may have run can be retried at another endpoint.
@@ -151,7 +157,9 @@
             // A response that would be late anyway would delay others as well; this request has not
             // run yet.
             Ok(pick) if trail.sends == 0 && is_late(job, &pick) => {
-                let retry_after = pick.wait.saturating_sub(job.route.aim.duration() / 2);
+                let retry_after = pick
+                    .wait
+                    .saturating_sub(job.route.target_latency.duration() / 2);
                 return Err(unavailable(
                     "expected wait too long at all endpoints",
                     retry_after.max(FULL_RETRY_DELAY),
--- a/coltsfoothall-forward/src/relay.rs
+++ b/coltsfoothall-forward/src/relay.rs
@@ -113,13 +113,13 @@
 /// Logs a response that took longer than the target of its route.
 fn log_late(state: &State, job: &Job, endpoint: &id::Endpoint) {
     let took = state.now().since(job.begun);
-    if took > job.route.aim.duration() {
+    if took > job.route.target_latency.duration() {
         event::LATE.emit(format_args!(
             "request={} endpoint={endpoint} route={} service={} aim_ms={} took_ms={} taken={:.2}",
             job.id(),
             job.route.name,
             job.service,
-            job.route.aim.0,
+            job.route.target_latency.0,
             took.as_millis(),
             state.roster.borrow().utilization(&job.service),
         ));
--- a/coltsfoothall/src/forward/config.rs
+++ b/coltsfoothall/src/forward/config.rs
@@ -62,7 +62,7 @@
     /// Time limit of the final answer.
     pub timeout: Millis,
     /// Target latency: an answer within it has its full value.
-    pub aim: Millis,
+    pub target_latency: Millis,
     /// Priority; 0 is the most urgent.
     pub rank: u8,
     /// Services to choose from.
--- a/coltsfoothall/tests/forward_config.rs
+++ b/coltsfoothall/tests/forward_config.rs
@@ -19,7 +19,7 @@
         prefix: prefix.into(),
         kind: Kind::Idempotent,
         timeout: Millis(1_000),
-        aim: Millis(100),
+        target_latency: Millis(100),
         rank: 0,
         targets: targets.collect(),
         attempts: 1,
