--- a/coltsfoothall/src/forward/peer.rs
+++ b/coltsfoothall/src/forward/peer.rs
@@ -21,20 +21,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
     /// Time between two batches of heartbeats.
-    pub turn: Duration,
+    pub heartbeat_interval: Duration,
     /// An instance without a heartbeat for this long is left out of addresses: over ten heartbeats
     /// in a small fleet.
-    pub silent: Duration,
+    pub silence_timeout: Duration,
     /// An instance without a heartbeat for this long that is not registered is removed.
-    pub forget: Duration,
+    pub removal_timeout: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            turn: Duration::from_millis(100),
-            silent: Duration::from_millis(1_200),
-            forget: Duration::from_secs(4),
+            heartbeat_interval: Duration::from_millis(100),
+            silence_timeout: Duration::from_millis(1_200),
+            removal_timeout: Duration::from_secs(4),
         }
     }
 }
@@ -178,10 +178,10 @@
 
     /// Removes instances that are neither registered nor alive. Returns their boot numbers.
     pub fn expire(&mut self, now: Time) -> Vec<u64> {
-        let forget = self.settings.forget;
+        let removal_timeout = self.settings.removal_timeout;
         let lost = |peer: &Peer| {
             let last = peer.last_seen.unwrap_or(peer.since);
-            now.since(last) > forget && !peer.registered
+            now.since(last) > removal_timeout && !peer.registered
         };
         let boots = self.peers.iter().filter(|peer| lost(peer));
         let boots = boots.map(|peer| peer.profile.boot).collect();
@@ -205,8 +205,8 @@
     /// Profiles of the instances that are alive, which are also reported to others.
     #[must_use]
     pub fn profiles(&self, now: Time) -> Vec<&Profile> {
-        let heard = self.peers.iter().filter(|peer| self.is_alive(now, peer));
-        heard.map(|peer| &peer.profile).collect()
+        let alive = self.peers.iter().filter(|peer| self.is_alive(now, peer));
+        alive.map(|peer| &peer.profile).collect()
     }
 
     /// Instances of a failure domain that are alive and accept callers.
@@ -223,8 +223,8 @@
     /// is paid for.
     #[must_use]
     pub fn with_newer_config(&self, now: Time, version: u64, domain: &id::Domain) -> Vec<&Profile> {
-        let heard = self.peers.iter().filter(|peer| self.is_alive(now, peer));
-        let profiles = heard.map(|peer| &peer.profile);
+        let alive = self.peers.iter().filter(|peer| self.is_alive(now, peer));
+        let profiles = alive.map(|peer| &peer.profile);
         let newest = profiles.clone().map(|profile| profile.version).max();
         let Some(newest) = newest.filter(|newest| *newest > version) else {
             return Vec::new();
@@ -244,10 +244,10 @@
     /// Members that share the rates and how many of them are alive, this instance included.
     #[must_use]
     pub fn coverage(&self, now: Time) -> Coverage {
-        let heard = self.peers.iter().filter(|peer| self.is_alive(now, peer));
+        let alive = self.peers.iter().filter(|peer| self.is_alive(now, peer));
         Coverage {
             members: self.peers.len() as u32 + 1,
-            heard: heard.count() as u32 + 1,
+            heard: alive.count() as u32 + 1,
         }
     }
 
@@ -318,9 +318,12 @@
     fn is_alive(&self, now: Time, peer: &Peer) -> bool {
         // In a fleet so large that heartbeats are rarer, three of them have to be missed.
         let turns = batch::count(self.peers.len(), MAX_HEARTBEATS_PER_BATCH) as u32;
-        let silent = self.settings.silent.max(self.settings.turn * turns * 3);
+        let timeout = self
+            .settings
+            .silence_timeout
+            .max(self.settings.heartbeat_interval * turns * 3);
         peer.last_seen
-            .is_some_and(|last_seen| now.since(last_seen) <= silent)
+            .is_some_and(|last_seen| now.since(last_seen) <= timeout)
     }
 
     fn index(&self, name: &id::Instance) -> Result<usize, usize> {
