--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -93,7 +93,7 @@
 /// here are current, so instances that read for others renew more often.
 fn renew_interval(state: &State) -> Duration {
     if registrations::reads_for_others(state) {
-        RENEW_INTERVAL.min(registrations::budget(state).oldest / 2)
+        RENEW_INTERVAL.min(registrations::budget(state).max_age / 2)
     } else {
         RENEW_INTERVAL
     }
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -57,7 +57,7 @@
                     reading.answered();
                     cursor = Some(now);
                     follower = Follower::new(Keyspace::Endpoints, Some(position));
-                    tokio::time::sleep(budget(&state).pause).await;
+                    tokio::time::sleep(budget(&state).poll_interval).await;
                 } else {
                     reading.failed(state.now());
                 }
@@ -132,7 +132,7 @@
     let budget = budget(state);
     let asked = state.now();
     let changes = fetch_changes(state, client, &profile, &had, known);
-    let Ok(Some(page)) = tokio::time::timeout(budget.answer, changes).await else {
+    let Ok(Some(page)) = tokio::time::timeout(budget.answer_timeout, changes).await else {
         log_lost("no answer", None);
         return None;
     };
@@ -140,7 +140,7 @@
     let age = page
         .age_ms
         .map(|age| Duration::from_millis(age) + round_trip);
-    if age.is_none_or(|age| age > budget.oldest) {
+    if age.is_none_or(|age| age > budget.max_age) {
         log_lost("its data is too old", age);
         return None;
     }
--- a/coltsfoothall/src/forward/reader.rs
+++ b/coltsfoothall/src/forward/reader.rs
@@ -36,11 +36,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Budget {
     /// Largest age of a reader's knowledge when its answer arrives.
-    pub oldest: Duration,
+    pub max_age: Duration,
     /// Delay between two requests to a reader.
-    pub pause: Duration,
+    pub poll_interval: Duration,
     /// Time limit of a reader's complete answer.
-    pub answer: Duration,
+    pub answer_timeout: Duration,
 }
 
 impl Budget {
@@ -48,9 +48,9 @@
     #[must_use]
     pub fn of(drain: Duration) -> Self {
         Self {
-            oldest: drain.mul_f64(0.4),
-            pause: drain.mul_f64(0.15),
-            answer: drain.mul_f64(0.175),
+            max_age: drain.mul_f64(0.4),
+            poll_interval: drain.mul_f64(0.15),
+            answer_timeout: drain.mul_f64(0.175),
         }
     }
 }
--- a/coltsfoothall/tests/forward_reader.rs
+++ b/coltsfoothall/tests/forward_reader.rs
@@ -255,21 +255,21 @@
                 let spans = &health[place.unwrap()];
                 match spans[span as usize % spans.len()] {
                     Health::Sound => {
-                        let way = delay(budget.answer);
-                        let age = delay(budget.oldest.saturating_sub(way));
+                        let way = delay(budget.answer_timeout);
+                        let age = delay(budget.max_age.saturating_sub(way));
                         let told = now - age;
                         now = now + way;
                         longest = longest.max(now.since(known));
                         known = known.max(told);
                         reading.answered();
-                        now = now + budget.pause;
+                        now = now + budget.poll_interval;
                     }
                     Health::Frozen => {
-                        now = now + budget.answer;
+                        now = now + budget.answer_timeout;
                         reading.failed(now);
                     }
                     Health::Stale => {
-                        now = now + delay(budget.answer);
+                        now = now + delay(budget.answer_timeout);
                         reading.failed(now);
                     }
                 }
