--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -239,7 +239,7 @@
         short.level,
         short.rate,
         reach.members,
-        reach.heard
+        reach.reporting
     ));
     Err(Refusal::NotRun(
         StatusCode::TOO_MANY_REQUESTS,
--- a/coltsfoothall-forward/src/report.rs
+++ b/coltsfoothall-forward/src/report.rs
@@ -54,7 +54,7 @@
             self.version(),
             self.roster.borrow().nodes().len(),
             reach.members,
-            reach.heard,
+            reach.reporting,
             self.calls
         ));
     }
--- a/coltsfoothall/src/forward/peer.rs
+++ b/coltsfoothall/src/forward/peer.rs
@@ -247,7 +247,7 @@
         let alive = self.peers.iter().filter(|peer| self.is_alive(now, peer));
         Coverage {
             members: self.peers.len() as u32 + 1,
-            heard: alive.count() as u32 + 1,
+            reporting: alive.count() as u32 + 1,
         }
     }
 
--- a/coltsfoothall/src/forward/rate_limit.rs
+++ b/coltsfoothall/src/forward/rate_limit.rs
@@ -29,13 +29,13 @@
     /// Members that may grant units.
     pub members: u32,
     /// Members whose grants are known here.
-    pub heard: u32,
+    pub reporting: u32,
 }
 
 impl Coverage {
     /// Share of a rate that belongs to members whose grants are known here.
     fn share(self) -> f64 {
-        f64::from(self.heard.max(1)) / f64::from(self.members.max(self.heard).max(1))
+        f64::from(self.reporting.max(1)) / f64::from(self.members.max(self.reporting).max(1))
     }
 }
 
--- a/coltsfoothall/tests/forward_peer.rs
+++ b/coltsfoothall/tests/forward_peer.rs
@@ -91,7 +91,10 @@
     let mut peers = peers();
     peers.registered(profile(2, 1, "north"));
     peers.receive(at(0), profile(3, 1, "north"));
-    let coverage = |heard| Coverage { members: 3, heard };
+    let coverage = |reporting| Coverage {
+        members: 3,
+        reporting,
+    };
     assert_eq!(peers.coverage(at(0)), coverage(2));
     assert_eq!(peers.coverage(at(2_000)), coverage(1));
     assert_eq!(peers.expire(at(5_000)), [1], "neither registered nor heard");
@@ -124,7 +127,7 @@
     peers.introduce(at(0), profile(2, 1, "north"));
     assert_eq!(peers.addresses(), [front(2)], "it gets heartbeats");
     assert_eq!(
-        peers.coverage(at(0)).heard,
+        peers.coverage(at(0)).reporting,
         1,
         "but does not count as alive"
     );
--- a/coltsfoothall/tests/forward_rate.rs
+++ b/coltsfoothall/tests/forward_rate.rs
@@ -15,7 +15,7 @@
 
 const ALONE: Coverage = Coverage {
     members: 1,
-    heard: 1,
+    reporting: 1,
 };
 
 fn at(millis: u64) -> Time {
@@ -140,7 +140,7 @@
     let mut limiter = limiter(900.0, 900.0);
     let coverage = Coverage {
         members: 9,
-        heard: 1,
+        reporting: 1,
     };
     let mut granted = 0;
     for n in 0..100 {
@@ -160,7 +160,7 @@
     let mut two = limiter(1_000.0, 1_000.0);
     let coverage = Coverage {
         members: 2,
-        heard: 2,
+        reporting: 2,
     };
     two.merge_granted(1, &one.granted());
     assert!(
@@ -207,7 +207,7 @@
         let alive = (0..count).filter(|other| *other != who && now < heard[who][*other] + 1_200);
         let coverage = Coverage {
             members: count as u32,
-            heard: alive.count() as u32 + 1,
+            reporting: alive.count() as u32 + 1,
         };
         let units = random.random_range(50..150);
         if limiters[who]
