--- a/coltsfoothall/src/forward/upgrade.rs
+++ b/coltsfoothall/src/forward/upgrade.rs
@@ -22,31 +22,31 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
     /// Share of a route's requests that the candidate gets during the trial.
-    pub share: f64,
+    pub trial_share: f64,
     /// Share of the time limit that the trial takes at least.
-    pub observed: f64,
+    pub min_trial_fraction: f64,
     /// Duration of one step; each step doubles the candidate's share.
-    pub step: Duration,
+    pub step_duration: Duration,
     /// Answers of the candidate that are required before the share grows.
-    pub answers: u32,
+    pub min_answers: u32,
     /// Answers of the candidate that are required on each busy route before the share grows.
-    pub sampled: u32,
+    pub min_route_answers: u32,
     /// Answers of the baseline from which on a route is busy.
-    pub busy: u32,
+    pub busy_route_answers: u32,
     /// Bounds the unused credit, in requests, so that a candidate that was absent is not flooded.
-    pub credit: f64,
+    pub max_credit: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            share: 0.08,
-            observed: 0.6,
-            step: Duration::from_millis(700),
-            answers: 30,
-            sampled: 8,
-            busy: 200,
-            credit: 2.0,
+            trial_share: 0.08,
+            min_trial_fraction: 0.6,
+            step_duration: Duration::from_millis(700),
+            min_answers: 30,
+            min_route_answers: 8,
+            busy_route_answers: 200,
+            max_credit: 2.0,
         }
     }
 }
@@ -310,7 +310,7 @@
             return;
         };
         let share = self.share(self.upgrades[index].stage);
-        let (max_credit, seed) = (self.settings.credit, self.seed);
+        let (max_credit, seed) = (self.settings.max_credit, self.seed);
         let upgrade = &mut self.upgrades[index];
         let spent = f64::from(u8::from(version == Some(&upgrade.order.target)));
         let tally = upgrade.tally(route);
@@ -411,7 +411,7 @@
         let all = upgrade.all();
         let (stage, reason) = match upgrade.stage {
             Stage::Complete | Stage::RolledBack => return None,
-            Stage::Trial if !upgrade.had_baseline && all.candidate.runs >= settings.answers => {
+            Stage::Trial if !upgrade.had_baseline && all.candidate.runs >= settings.min_answers => {
                 (Stage::Complete, "no endpoint of the baseline was present")
             }
             Stage::Trial if age >= upgrade.order.limit => (
@@ -419,15 +419,15 @@
                 "not found as good as the baseline in time",
             ),
             Stage::Trial
-                if age >= upgrade.order.limit.mul_f64(settings.observed)
-                    && all.candidate.runs >= settings.answers
+                if age >= upgrade.order.limit.mul_f64(settings.min_trial_fraction)
+                    && all.candidate.runs >= settings.min_answers
                     && upgrade.is_sampled(&settings)
                     && !upgrade.is_suspect() =>
             {
                 (Stage::Moving { step: 1 }, "as good as the baseline")
             }
-            Stage::Moving { step } if now.since(upgrade.entered) >= settings.step => {
-                if share_after(settings.share, step) < 1.0 {
+            Stage::Moving { step } if now.since(upgrade.entered) >= settings.step_duration => {
+                if share_after(settings.trial_share, step) < 1.0 {
                     if upgrade.is_suspect() {
                         return None;
                     }
@@ -450,8 +450,8 @@
     /// Share of a route's requests that the candidate gets.
     fn share(&self, stage: Stage) -> f64 {
         match stage {
-            Stage::Trial => self.settings.share,
-            Stage::Moving { step } => share_after(self.settings.share, step),
+            Stage::Trial => self.settings.trial_share,
+            Stage::Moving { step } => share_after(self.settings.trial_share, step),
             Stage::Complete => 1.0,
             Stage::RolledBack => 0.0,
         }
@@ -493,7 +493,8 @@
     fn is_sampled(&self, settings: &Settings) -> bool {
         self.routes().iter().all(|route| {
             let sum = self.sum(route);
-            sum.baseline.runs < settings.busy || sum.candidate.runs >= settings.sampled
+            sum.baseline.runs < settings.busy_route_answers
+                || sum.candidate.runs >= settings.min_route_answers
         })
     }
 
