--- a/coltsfoothall/benches/gossip.rs
+++ b/coltsfoothall/benches/gossip.rs
@@ -141,8 +141,8 @@
     let roster = roster(endpoints);
     let service = "reader".parse().expect("a name");
     let domain = name("domain", 1);
-    let parts = [(1, 5_000), (2, 400), (3, 200)].map(|(mark, tokens)| Part {
-        mark,
+    let parts = [(1, 5_000), (2, 400), (3, 200)].map(|(hash, tokens)| Part {
+        hash,
         tokens: Tokens(tokens),
     });
     let ask = Query {
--- a/coltsfoothall/src/forward/choice.rs
+++ b/coltsfoothall/src/forward/choice.rs
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
     /// Hash of its content.
-    pub mark: u64,
+    pub hash: u64,
     /// Its length.
     pub tokens: Tokens,
 }
@@ -341,7 +341,7 @@
 /// For each part, the chained hash of it and all parts before it.
 pub(super) fn chains(parts: &[Part]) -> impl Iterator<Item = u64> {
     parts.iter().scan(0, |chain, part| {
-        *chain = xxh3_64_with_seed(&part.mark.to_le_bytes(), *chain);
+        *chain = xxh3_64_with_seed(&part.hash.to_le_bytes(), *chain);
         Some(*chain)
     })
 }
--- a/coltsfoothall/tests/forward_parts.rs
+++ b/coltsfoothall/tests/forward_parts.rs
@@ -52,8 +52,8 @@
 }
 
 fn parts(mark: u64, own: u64) -> Vec<Part> {
-    let part = |mark, tokens| Part {
-        mark,
+    let part = |hash, tokens| Part {
+        hash,
         tokens: Tokens(tokens),
     };
     vec![part(1, 500), part(100 + mark, 4_000), part(own, 600)]
--- a/coltsfoothall/tests/forward_roster.rs
+++ b/coltsfoothall/tests/forward_roster.rs
@@ -258,8 +258,8 @@
 #[test]
 fn shared_prefix_home() {
     let mut case = Case::new();
-    let part = |mark, tokens| Part {
-        mark,
+    let part = |hash, tokens| Part {
+        hash,
         tokens: Tokens(tokens),
     };
     let mut homes = Vec::new();
@@ -268,7 +268,7 @@
         let one = roster(&["a", "b", "c", "d"])
             .choose(at(0), &case.ask(&[]))
             .unwrap();
-        case.parts[1].mark += 10_000;
+        case.parts[1].hash += 10_000;
         let two = roster(&["d", "c", "b", "a"])
             .choose(at(0), &case.ask(&[]))
             .unwrap();
@@ -288,11 +288,11 @@
     let mut case = Case::new();
     case.parts = vec![
         Part {
-            mark: 1,
+            hash: 1,
             tokens: Tokens(5_000),
         },
         Part {
-            mark: 2,
+            hash: 2,
             tokens: Tokens(100),
         },
     ];
@@ -457,7 +457,7 @@
 fn life_forgotten() {
     let mut case = Case::new();
     case.parts = vec![Part {
-        mark: 1,
+        hash: 1,
         tokens: Tokens(3_000),
     }];
     let mut roster = Roster::new(Settings::default());
