--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -100,7 +100,7 @@
                 .borrow()
                 .own(window.saturating_sub(REPORTED_WINDOWS)),
             ended: batch::select(&state.departures(), rows, round),
-            work: state.roster.borrow().work().to_vec(),
+            work: state.roster.borrow().endpoint_time().to_vec(),
             failed: batch::select(&state.roster.borrow().failure_counts(), rows, round),
             placed,
             evidence: state.suspicions.borrow().evidence_batch(now, rows, round),
@@ -169,7 +169,7 @@
     drop(peers);
     let mut roster = state.roster.borrow_mut();
     for boot in gone {
-        roster.forget(boot);
+        roster.remove_peer(boot);
     }
 }
 
@@ -211,7 +211,7 @@
         let mut peers = state.peers.borrow_mut();
         let replaced = peers.receive(now, heartbeat.profile);
         if let Some(old) = replaced {
-            state.roster.borrow_mut().forget(old);
+            state.roster.borrow_mut().remove_peer(old);
         }
         for profile in heartbeat.introduced {
             peers.introduce(now, profile);
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -302,7 +302,10 @@
         return;
     };
     let within = leaves.map(Millis::duration);
-    let event = state.roster.borrow_mut().left(state.now(), &id, at, within);
+    let event = state
+        .roster
+        .borrow_mut()
+        .record_draining(state.now(), &id, at, within);
     state.apply_event(event, at, PEER);
     state
         .changelog
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -364,7 +364,7 @@
     /// The load of a service, summed over all instances.
     #[must_use]
     pub fn load(&self, service: &id::Service) -> Option<order::Load> {
-        let own = self.roster.borrow().work().to_vec();
+        let own = self.roster.borrow().endpoint_time().to_vec();
         self.merge_work(self.boot, &own);
         let meters = self.meters.borrow();
         let found = meters.binary_search_by(|(have, _)| have.cmp(service));
--- a/coltsfoothall/benches/gossip.rs
+++ b/coltsfoothall/benches/gossip.rs
@@ -104,7 +104,7 @@
     print("load_heard", &size, instances * ROUNDS as u64, took);
     let begun = Instant::now();
     for boot in 0..instances {
-        roster.forget(boot);
+        roster.remove_peer(boot);
     }
     print("instance_forgotten", &size, instances, begun.elapsed());
 }
--- a/coltsfoothall/src/forward/gossip.rs
+++ b/coltsfoothall/src/forward/gossip.rs
@@ -200,7 +200,7 @@
     }
 
     /// Removes the load of an instance that is gone.
-    pub fn forget(&mut self, boot: u64) {
+    pub fn remove_peer(&mut self, boot: u64) {
         if let Some(index) = self.subtract_loads(boot) {
             self.peers.remove(index);
         }
--- a/coltsfoothall/src/forward/roster.rs
+++ b/coltsfoothall/src/forward/roster.rs
@@ -83,7 +83,7 @@
     /// Shared prefixes that this instance recently sent, oldest first, to be reported.
     pub(super) placements: Vec<Placement>,
     /// Microseconds of endpoints' time that this instance's requests took, by service.
-    work: Vec<(id::Service, u64)>,
+    endpoint_time: Vec<(id::Service, u64)>,
     /// Latency models of the engines, sorted by service.
     latency_models: Vec<(id::Service, Model)>,
     /// Latency model of engines without an answer yet.
@@ -108,7 +108,7 @@
             peers: Vec::new(),
             runs: 0,
             placements: Vec::new(),
-            work: Vec::new(),
+            endpoint_time: Vec::new(),
             ended: Vec::new(),
         }
     }
@@ -169,7 +169,7 @@
 
     /// Records a reader's report that an endpoint is draining as of `at`, and the time until it is
     /// reclaimed if that is known.
-    pub fn left(
+    pub fn record_draining(
         &mut self,
         now: Time,
         id: &id::Endpoint,
@@ -255,7 +255,7 @@
             let work = self
                 .latency_model(query.service)
                 .prefill(load.unread, load.pairs);
-            self.record_work(query.service, work as u64);
+            self.record_endpoint_time(query.service, work as u64);
         }
         let mut born = Millis(0);
         let mut placed = Vec::new();
@@ -322,7 +322,7 @@
     pub fn record_events(&mut self, run: &Run, events: u64) {
         if run.sample.is_some() {
             let work = self.latency_model(&run.service).event() * events as f64;
-            self.record_work(&run.service, work as u64);
+            self.record_endpoint_time(&run.service, work as u64);
         }
     }
 
@@ -369,14 +369,17 @@
 
     /// Microseconds of endpoints' time that this instance's requests took, by service.
     #[must_use]
-    pub fn work(&self) -> &[(id::Service, u64)] {
-        &self.work
+    pub fn endpoint_time(&self) -> &[(id::Service, u64)] {
+        &self.endpoint_time
     }
 
-    fn record_work(&mut self, service: &id::Service, micros: u64) {
-        match self.work.binary_search_by(|(name, _)| name.cmp(service)) {
-            Ok(index) => self.work[index].1 += micros,
-            Err(index) => self.work.insert(index, (service.clone(), micros)),
+    fn record_endpoint_time(&mut self, service: &id::Service, micros: u64) {
+        match self
+            .endpoint_time
+            .binary_search_by(|(name, _)| name.cmp(service))
+        {
+            Ok(index) => self.endpoint_time[index].1 += micros,
+            Err(index) => self.endpoint_time.insert(index, (service.clone(), micros)),
         }
     }
 
--- a/coltsfoothall/tests/forward_gossip.rs
+++ b/coltsfoothall/tests/forward_gossip.rs
@@ -71,7 +71,7 @@
     }
     assert_eq!(roster.peer_load_count(), 600);
     for boot in 0..300 {
-        roster.forget(boot);
+        roster.remove_peer(boot);
     }
     assert_eq!(roster.peer_load_count(), 0);
     assert!(roster.nodes().iter().all(|node| node.load().open == 0));
@@ -126,7 +126,7 @@
                     }
                 }
                 Step::Forgets { boot } => {
-                    roster.forget(boot);
+                    roster.remove_peer(boot);
                     told[boot as usize] = [0; 4];
                 }
                 Step::Restarts { endpoint } => {
--- a/coltsfoothall/tests/forward_roster.rs
+++ b/coltsfoothall/tests/forward_roster.rs
@@ -212,7 +212,7 @@
         roster.choose(at(0), &case.ask(&[])).unwrap().endpoint,
         id("a")
     );
-    roster.forget(2);
+    roster.remove_peer(2);
     assert_eq!(roster.node(&id("b")).unwrap().load(), Load::default());
 }
 
@@ -601,16 +601,26 @@
 #[test]
 fn leaving_told() {
     let mut roster = roster(&["a", "b"]);
-    let left = roster.left(at(1), &id("a"), place(2), Some(Duration::from_secs(1)));
+    let left = roster.record_draining(at(1), &id("a"), place(2), Some(Duration::from_secs(1)));
     assert_eq!(left, Some(Event::Leaving(id("a"))));
     assert!(roster.node(&id("a")).unwrap().entry.leaving);
-    assert_eq!(roster.left(at(2), &id("a"), place(3), None), None, "once");
+    assert_eq!(
+        roster.record_draining(at(2), &id("a"), place(3), None),
+        None,
+        "once"
+    );
     // Older than the known registration.
     roster.registered(at(3), entry("b", "north", 9));
-    assert_eq!(roster.left(at(4), &id("b"), place(8), None), None);
+    assert_eq!(
+        roster.record_draining(at(4), &id("b"), place(8), None),
+        None
+    );
     assert!(!roster.node(&id("b")).unwrap().entry.leaving);
     // Not known yet: an older registration that arrives later takes no work.
-    assert_eq!(roster.left(at(5), &id("c"), place(5), None), None);
+    assert_eq!(
+        roster.record_draining(at(5), &id("c"), place(5), None),
+        None
+    );
     let added = roster.registered(at(6), entry("c", "north", 4));
     assert_eq!(added, Some(Event::Leaving(id("c"))));
 }
