--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -27,7 +27,7 @@
     let mut follower = Follower::new(Keyspace::Configuration, None);
     let mut backlog = Backlog::default();
     loop {
-        if backlog.grew(state.newest_version()) {
+        if backlog.should_skip_history(state.newest_version()) {
             follower.reset();
         }
         let Some(Update { listing, complete }) = follower.tick(&state).await else {
--- a/coltsfoothall/src/forward/lag.rs
+++ b/coltsfoothall/src/forward/lag.rs
@@ -95,7 +95,7 @@
 pub struct Backlog {
     /// The newest version that the store delivered.
     delivered: u64,
-    /// The newest version that was known at the last call of [`Self::grew`].
+    /// The newest version that was known at the last call of [`Self::should_skip_history`].
     known: u64,
 }
 
@@ -107,9 +107,9 @@
 
     /// Whether to read the store's current value and skip its history, because a version is known
     /// that the store has not delivered. True once for each such version.
-    pub fn grew(&mut self, known: u64) -> bool {
-        let grew = known > self.delivered.max(self.known);
+    pub fn should_skip_history(&mut self, known: u64) -> bool {
+        let is_behind = known > self.delivered.max(self.known);
         self.known = self.known.max(known);
-        grew
+        is_behind
     }
 }
--- a/coltsfoothall/tests/forward_lag.rs
+++ b/coltsfoothall/tests/forward_lag.rs
@@ -71,18 +71,21 @@
 fn backlog_once() {
     let mut backlog = Backlog::default();
     backlog.record_delivered(5);
-    assert!(!backlog.grew(5), "every known version was delivered");
     assert!(
-        backlog.grew(8),
+        !backlog.should_skip_history(5),
+        "every known version was delivered"
+    );
+    assert!(
+        backlog.should_skip_history(8),
         "the history would include all versions in between"
     );
     assert!(
-        !backlog.grew(8),
+        !backlog.should_skip_history(8),
         "the store may lack it, as after a restore"
     );
-    assert!(backlog.grew(9));
+    assert!(backlog.should_skip_history(9));
     backlog.record_delivered(12);
-    assert!(!backlog.grew(12));
+    assert!(!backlog.should_skip_history(12));
 }
 
 /// The store delivers most configurations, and a peer's answer would compete with it for the link.
