--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -54,12 +54,12 @@
                     next: None,
                 });
                 if let Some((now, position)) = read_page(&state, &client, had, known).await {
-                    reading.answered();
+                    reading.record_answer();
                     cursor = Some(now);
                     follower = Follower::new(Keyspace::Endpoints, Some(position));
                     tokio::time::sleep(budget(&state).poll_interval).await;
                 } else {
-                    reading.failed(state.now());
+                    reading.record_failure(state.now());
                 }
             }
             (Source::Store, _) | (Source::Reader(_), None) => {
--- a/coltsfoothall/src/forward/reader.rs
+++ b/coltsfoothall/src/forward/reader.rs
@@ -119,12 +119,12 @@
     }
 
     /// Records that the reader answered.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         self.consecutive_failures = 0;
     }
 
     /// Records that the reader did not answer in time or reported its knowledge as too old.
-    pub fn failed(&mut self, now: Time) {
+    pub fn record_failure(&mut self, now: Time) {
         self.failures = self.failures.wrapping_add(1);
         self.consecutive_failures += 1;
         if self.consecutive_failures >= MAX_FAILED_READERS {
--- a/coltsfoothall/tests/forward_reader.rs
+++ b/coltsfoothall/tests/forward_reader.rs
@@ -114,9 +114,9 @@
     let mut reading = Reading::default();
     let mut asked = Vec::new();
     asked.push(source(&reading, at(0), &fleet, me));
-    reading.failed(at(600));
+    reading.record_failure(at(600));
     asked.push(source(&reading, at(600), &fleet, me));
-    reading.failed(at(1_200));
+    reading.record_failure(at(1_200));
     assert_eq!(source(&reading, at(1_201), &fleet, me), Source::Store);
     assert_eq!(source(&reading, at(4_199), &fleet, me), Source::Store);
     asked.push(source(&reading, at(4_200), &fleet, me));
@@ -135,10 +135,10 @@
     let me = fleet.last().unwrap();
     let mut reading = Reading::default();
     for turn in 0..10 {
-        reading.failed(at(turn * 1_000));
+        reading.record_failure(at(turn * 1_000));
         let other = source(&reading, at(turn * 1_000), &fleet, me);
         assert_ne!(other, Source::Store);
-        reading.answered();
+        reading.record_answer();
     }
 }
 
@@ -261,16 +261,16 @@
                         now = now + way;
                         longest = longest.max(now.since(known));
                         known = known.max(told);
-                        reading.answered();
+                        reading.record_answer();
                         now = now + budget.poll_interval;
                     }
                     Health::Frozen => {
                         now = now + budget.answer_timeout;
-                        reading.failed(now);
+                        reading.record_failure(now);
                     }
                     Health::Stale => {
                         now = now + delay(budget.answer_timeout);
-                        reading.failed(now);
+                        reading.record_failure(now);
                     }
                 }
             }
