--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -42,7 +42,7 @@
         order.position
     );
     let mut upgrades = state.upgrades.borrow_mut();
-    if !upgrades.ordered(state.now(), order) {
+    if !upgrades.apply_order(state.now(), order) {
         return false;
     }
     event::UPGRADE_ORDERED.emit(format_args!("{fields}"));
@@ -61,7 +61,7 @@
         Ok(Some((report, position))) if position > order.position => {
             if let Some(stage) = settled(&report, order) {
                 let mut upgrades = state.upgrades.borrow_mut();
-                upgrades.settled(state.now(), &order.service, stage);
+                upgrades.apply_final_stage(state.now(), &order.service, stage);
             }
         }
         Ok(_) => {}
@@ -144,7 +144,7 @@
             state
                 .upgrades
                 .borrow_mut()
-                .settled(now, &order.service, stage);
+                .apply_final_stage(now, &order.service, stage);
             return Ok(());
         }
         let view = view(state, order);
--- a/coltsfoothall/src/forward/upgrade.rs
+++ b/coltsfoothall/src/forward/upgrade.rs
@@ -216,7 +216,7 @@
 
     /// Applies an order, unless it or a newer one for the service is already known. Returns whether
     /// it was applied.
-    pub fn ordered(&mut self, now: Time, order: Order) -> bool {
+    pub fn apply_order(&mut self, now: Time, order: Order) -> bool {
         let upgrade = Upgrade {
             since: now,
             stage: Stage::Trial,
@@ -262,7 +262,7 @@
     }
 
     /// Applies the final stage that the store holds for the order; it never changes.
-    pub fn settled(&mut self, now: Time, service: &id::Service, stage: Stage) {
+    pub fn apply_final_stage(&mut self, now: Time, service: &id::Service, stage: Stage) {
         if let Ok(index) = self.find(service) {
             self.upgrades[index].enter(now, stage);
         }
--- a/coltsfoothall/tests/forward_upgrade.rs
+++ b/coltsfoothall/tests/forward_upgrade.rs
@@ -99,7 +99,7 @@
         let book = |number| Registry::new(Settings::default(), seed ^ number << 32);
         let mut books: Vec<Registry> = (0..count as u64).map(book).collect();
         for book in &mut books {
-            assert!(book.ordered(at(0), order(12, 5)));
+            assert!(book.apply_order(at(0), order(12, 5)));
             book.record_present(&service(), Some(&old()));
         }
         Self {
@@ -307,7 +307,7 @@
         let mut all = 0;
         for seed in 0..instances {
             let mut book = Registry::new(Settings::default(), seed);
-            book.ordered(at(0), order(12, 5));
+            book.apply_order(at(0), order(12, 5));
             book.record_present(&service(), Some(&old()));
             let mut exposed = 0;
             for asked in 1..=requests {
@@ -332,7 +332,7 @@
 #[test]
 fn start_not_flooded() {
     let mut book = Registry::new(Settings::default(), 1);
-    book.ordered(at(0), order(12, 5));
+    book.apply_order(at(0), order(12, 5));
     book.record_present(&service(), Some(&old()));
     for _ in 0..1_000 {
         book.record_sent(&service(), "letters", Some(&old()));
@@ -348,15 +348,15 @@
 #[test]
 fn later_order_replaces() {
     let mut book = Registry::new(Settings::default(), 1);
-    assert!(book.ordered(at(0), order(12, 5)));
-    assert!(!book.ordered(at(1), order(12, 5)), "the same one");
-    assert!(!book.ordered(at(1), order(12, 4)), "an older one");
-    book.settled(at(2), &service(), Stage::RolledBack);
+    assert!(book.apply_order(at(0), order(12, 5)));
+    assert!(!book.apply_order(at(1), order(12, 5)), "the same one");
+    assert!(!book.apply_order(at(1), order(12, 4)), "an older one");
+    book.apply_final_stage(at(2), &service(), Stage::RolledBack);
     let again = Order {
         target: version("v3"),
         ..order(12, 6)
     };
-    assert!(book.ordered(at(3), again.clone()));
+    assert!(book.apply_order(at(3), again.clone()));
     assert_eq!(book.stage(&service()), Some((&again, Stage::Trial)));
 }
 
@@ -364,9 +364,9 @@
 #[test]
 fn final_stays() {
     let mut book = Registry::new(Settings::default(), 1);
-    book.ordered(at(0), order(12, 5));
-    book.settled(at(1), &service(), Stage::Complete);
-    book.settled(at(2), &service(), Stage::RolledBack);
+    book.apply_order(at(0), order(12, 5));
+    book.apply_final_stage(at(1), &service(), Stage::Complete);
+    book.apply_final_stage(at(2), &service(), Stage::RolledBack);
     assert_eq!(book.stage(&service()).unwrap().1, Stage::Complete);
     let view = View::default();
     assert_eq!(book.advance(at(60_000), &service(), &view), None);
@@ -376,7 +376,7 @@
 #[test]
 fn absent_version_rolled_back() {
     let mut book = Registry::new(Settings::default(), 1);
-    book.ordered(at(0), order(12, 5));
+    book.apply_order(at(0), order(12, 5));
     book.record_present(&service(), Some(&old()));
     let view = View::default();
     assert_eq!(book.advance(at(11_999), &service(), &view), None);
@@ -390,7 +390,7 @@
 #[test]
 fn complete_when_moved() {
     let mut book = Registry::new(Settings::default(), 1);
-    book.ordered(at(0), order(12, 5));
+    book.apply_order(at(0), order(12, 5));
     book.record_present(&service(), Some(&old()));
     for _ in 0..100 {
         let took = Duration::from_millis(100);
@@ -424,7 +424,7 @@
 #[test]
 fn already_there() {
     let mut book = Registry::new(Settings::default(), 1);
-    book.ordered(at(0), order(12, 5));
+    book.apply_order(at(0), order(12, 5));
     book.record_present(&service(), Some(&new()));
     assert_eq!(book.versions(&service(), "letters"), [Versions::Any]);
     for _ in 0..30 {
