--- a/coltsfoothall/src/forward/latency.rs
+++ b/coltsfoothall/src/forward/latency.rs
@@ -57,22 +57,22 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
     /// Microseconds to a first event without a prefill.
-    pub start: f64,
+    pub base_us: f64,
     /// Microseconds to prefill one token.
-    pub read: f64,
+    pub us_per_token: f64,
     /// Microseconds for a million token pairs.
-    pub pairs: f64,
+    pub us_per_million_pairs: f64,
     /// Microseconds that each other request in the batch adds to an event.
-    pub beside: f64,
+    pub us_per_request: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            start: 20_000.0,
-            read: 14.0,
-            pairs: 100.0,
-            beside: 500.0,
+            base_us: 20_000.0,
+            us_per_token: 14.0,
+            us_per_million_pairs: 100.0,
+            us_per_request: 500.0,
         }
     }
 }
@@ -94,10 +94,10 @@
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         let prior = Vector4::new(
-            settings.start,
-            settings.read * TOKENS_PER_UNIT,
-            settings.pairs * PAIRS_PER_UNIT / 1e6,
-            settings.beside * REQUESTS_PER_UNIT,
+            settings.base_us,
+            settings.us_per_token * TOKENS_PER_UNIT,
+            settings.us_per_million_pairs * PAIRS_PER_UNIT / 1e6,
+            settings.us_per_request * REQUESTS_PER_UNIT,
         );
         Self {
             prior,
@@ -160,7 +160,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let [start, tokens, pairs, batch] = self.coefficients.into();
         let (tokens, pairs) = (tokens * 1e3 / TOKENS_PER_UNIT, pairs * 1e6 / PAIRS_PER_UNIT);
-        let beside = batch / REQUESTS_PER_UNIT;
-        write!(f, "{start:.0}/{tokens:.0}/{pairs:.0}/{beside:.0}")
+        let per_request = batch / REQUESTS_PER_UNIT;
+        write!(f, "{start:.0}/{tokens:.0}/{pairs:.0}/{per_request:.0}")
     }
 }
--- a/coltsfoothall/tests/forward_latency.rs
+++ b/coltsfoothall/tests/forward_latency.rs
@@ -67,9 +67,12 @@
     let settings = Settings::default();
     let model = Model::new(settings);
     let nothing = model.first_event(Sample::default());
-    assert_eq!(nothing, Duration::from_micros(settings.start as u64));
+    assert_eq!(nothing, Duration::from_micros(settings.base_us as u64));
     let read = model.prefill(1_000, 0);
-    assert!((read - settings.read * 1_000.0).abs() < 1.0, "{read}");
+    assert!(
+        (read - settings.us_per_token * 1_000.0).abs() < 1.0,
+        "{read}"
+    );
 }
 
 /// Engines whose cost of a further request in the batch differs sevenfold are told apart within the
