--- a/coltsfoothall/src/forward/choice.rs
+++ b/coltsfoothall/src/forward/choice.rs
@@ -142,7 +142,7 @@
         }
         let chains: Vec<u64> = chains(query.parts).collect();
         let prefix = shared_prefix(query, &chains);
-        let home = self.home(now, query, prefix);
+        let preferred = self.preferred(now, query, prefix);
         let model = self.latency_model(query.service);
         let mut unavailable = Unavailable::Absent;
         let mut best: Option<(&Node, Estimate)> = None;
@@ -157,7 +157,7 @@
             }
             among += 1;
             let estimate = self.estimate(now, node, query, &chains, model);
-            let cached = prefix.filter(|prefix| home.includes(node, prefix.chain));
+            let cached = prefix.filter(|prefix| preferred.includes(node, prefix.chain));
             // Prefilling the prefix elsewhere takes time now, and for later requests there.
             let saved = cached.map_or(0.0, |prefix| model.prefill(prefix.tokens.0, 0));
             let cost = estimate.cost - saved * self.settings.affinity;
@@ -181,20 +181,20 @@
     /// sent it to recently. For a prefix that was sent nowhere it is the first endpoint of the
     /// prefix's rendezvous hash, so that the prefix is prefilled once rather than once for each
     /// instance.
-    fn home(&self, now: Time, query: &Query<'_>, prefix: Option<Prefix>) -> Home<'_> {
+    fn preferred(&self, now: Time, query: &Query<'_>, prefix: Option<Prefix>) -> Preferred<'_> {
         let Some(Prefix { chain, .. }) = prefix else {
-            return Home::Nowhere;
+            return Preferred::None;
         };
         let oldest = now - self.settings.prefix_ttl;
         let nodes = || self.nodes.iter().filter(|node| query.allows(node));
         if nodes().any(|node| node.has_cached(chain, oldest)) {
-            return Home::Cached(oldest);
+            return Preferred::Cached(oldest);
         }
         let first = nodes().max_by_key(|node| {
             let name = node.entry.id.as_str();
             (xxh3_64_with_seed(name.as_bytes(), chain), name)
         });
-        first.map_or(Home::Nowhere, |node| Home::First(&node.entry.id))
+        first.map_or(Preferred::None, |node| Preferred::First(&node.entry.id))
     }
 
     fn is_full(&self, now: Time, node: &Node, query: &Query<'_>) -> bool {
@@ -311,19 +311,19 @@
 
 /// Endpoints that are preferred for a shared prefix.
 #[derive(Debug, Clone, Copy)]
-enum Home<'a> {
+enum Preferred<'a> {
     /// None: the prompt has no shared prefix, or there is no endpoint.
-    Nowhere,
+    None,
     /// All endpoints that it was sent to since this time.
     Cached(Time),
     /// This one, as no instance has sent the prefix to any endpoint recently.
     First(&'a id::Endpoint),
 }
 
-impl Home<'_> {
+impl Preferred<'_> {
     fn includes(self, node: &Node, chain: u64) -> bool {
         match self {
-            Self::Nowhere => false,
+            Self::None => false,
             Self::Cached(oldest) => node.has_cached(chain, oldest),
             Self::First(id) => node.entry.id == *id,
         }
--- a/coltsfoothall/src/forward/leader.rs
+++ b/coltsfoothall/src/forward/leader.rs
@@ -75,22 +75,22 @@
         self.held = None;
     }
 
-    /// Records that a claim succeeded; the lease was requested at `asked`.
-    pub fn claimed(&mut self, asked: Time, lease: Lease, created: Position) {
+    /// Records that a claim succeeded; the lease was requested at `requested_at`.
+    pub fn claimed(&mut self, requested_at: Time, lease: Lease, created: Position) {
         self.taken = true;
         self.held = Some(Held {
             lease,
             created,
-            expires: asked + self.term,
+            expires: requested_at + self.term,
         });
     }
 
-    /// Records that a renewal requested at `asked` succeeded.
-    pub fn renewed(&mut self, asked: Time, lease: Lease) {
+    /// Records that a renewal requested at `requested_at` succeeded.
+    pub fn renewed(&mut self, requested_at: Time, lease: Lease) {
         if let Some(held) = &mut self.held
             && held.lease == lease
         {
-            held.expires = asked + self.term;
+            held.expires = requested_at + self.term;
         }
     }
 
--- a/coltsfoothall/src/forward/rate_limit.rs
+++ b/coltsfoothall/src/forward/rate_limit.rs
@@ -3,7 +3,7 @@
 //!
 //! Each instance reports the total number of units that it has granted. It keeps a token bucket
 //! with the full rate and deducts the other instances' grants from it as their reports arrive.
-//! For each member that it does not hear from, it gives up that member's equal share of rate and
+//! For each member whose reports do not arrive, it gives up that member's equal share of rate and
 //! burst, as that member may still be granting on its own.
 
 use crate::clock::Time;
@@ -137,8 +137,8 @@
 
     /// Grants a request, or returns the time until its units will be available.
     ///
-    /// `tokens` is the length of the prompt and the most tokens of the answer; a request without
-    /// a token count costs the workspace's plain amount.
+    /// `tokens` is the length of the prompt plus the upper bound of the answer's length; a request
+    /// without a token count costs the workspace's plain amount.
     ///
     /// # Errors
     /// The delay before a retry, and the figures that decided the refusal.
--- a/coltsfoothall/src/forward/roster.rs
+++ b/coltsfoothall/src/forward/roster.rs
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Records a reader's report that an endpoint is draining as of `at`, and the time until it is
-    /// reclaimed if that is known.
+    /// Records a reader's report that an endpoint is draining as of the position `at`, and the time
+    /// until it is reclaimed if that is known.
     pub fn record_draining(
         &mut self,
         now: Time,
