--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -145,7 +145,7 @@
                 renew_at = now + state.settings().bounds.lease.duration() / 4;
             }
             Step::Release(lease) => release(&state, lease).await,
-            Step::Claim | Step::Renew(_) | Step::Rest => {}
+            Step::Claim | Step::Renew(_) | Step::Wait => {}
         }
     }
 }
--- a/coltsfoothall/src/forward/leader.rs
+++ b/coltsfoothall/src/forward/leader.rs
@@ -30,7 +30,7 @@
     /// Release this lease.
     Release(Lease),
     /// Do nothing.
-    Rest,
+    Wait,
 }
 
 /// Election state of this instance.
@@ -128,9 +128,9 @@
             Some(held) if self.stopping => Step::Release(held.lease),
             Some(held) if now >= held.expires => Step::Claim,
             Some(held) => Step::Renew(held.lease),
-            None if self.stopping || self.taken => Step::Rest,
+            None if self.stopping || self.taken => Step::Wait,
             // Claims are staggered so that an election costs one write, not one per instance.
-            None if now.since(self.free_since) < self.claim_delay(rank) => Step::Rest,
+            None if now.since(self.free_since) < self.claim_delay(rank) => Step::Wait,
             None => Step::Claim,
         }
     }
--- a/coltsfoothall/tests/forward_leader.rs
+++ b/coltsfoothall/tests/forward_leader.rs
@@ -27,7 +27,7 @@
     let mut leader = Leader::new(TERM);
     assert_eq!(
         leader.step(at(9_000), 0),
-        Step::Rest,
+        Step::Wait,
         "another instance may hold the key"
     );
     leader.freed(at(9_000));
@@ -38,11 +38,11 @@
 fn one_after_other() {
     let mut leader = Leader::new(TERM);
     leader.freed(at(1_000));
-    assert_eq!(leader.step(at(1_000), 2), Step::Rest);
-    assert_eq!(leader.step(at(1_700), 2), Step::Rest);
+    assert_eq!(leader.step(at(1_000), 2), Step::Wait);
+    assert_eq!(leader.step(at(1_700), 2), Step::Wait);
     assert_eq!(leader.step(at(1_750), 2), Step::Claim);
     leader.taken(place(5));
-    assert_eq!(leader.step(at(9_000), 2), Step::Rest);
+    assert_eq!(leader.step(at(9_000), 2), Step::Wait);
 }
 
 #[test]
@@ -82,7 +82,7 @@
         None,
         "a key of another leader ends the term"
     );
-    assert_eq!(leader.step(at(60_000), 0), Step::Rest);
+    assert_eq!(leader.step(at(60_000), 0), Step::Wait);
 }
 
 #[test]
@@ -95,7 +95,7 @@
     leader.freed(at(2));
     assert_eq!(
         leader.step(at(9_000), 0),
-        Step::Rest,
+        Step::Wait,
         "a stopping instance claims nothing"
     );
 }
