--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -74,8 +74,8 @@
         return None;
     }
     let peers = state.peers.borrow();
-    let ahead = peers.with_newer_config(now, state.version(), &state.domain);
-    ahead.into_iter().choose(&mut rand::rng()).cloned()
+    let candidates = peers.with_newer_config(now, state.version(), &state.domain);
+    candidates.into_iter().choose(&mut rand::rng()).cloned()
 }
 
 /// Fetches the configuration of another instance, unless its version is reached in another way
--- a/coltsfoothall-forward/src/connection.rs
+++ b/coltsfoothall-forward/src/connection.rs
@@ -52,7 +52,8 @@
         self.requests.get()
     }
 
-    /// Whether the head of the current request names its length in more than one way.
+    /// Whether the current request has more than one `Content-Length` or
+    /// `Transfer-Encoding` header, counted together.
     #[must_use]
     pub fn is_ambiguous(&self) -> bool {
         self.ambiguous.get()
--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -49,7 +49,7 @@
             pause(&state, MAX_REGISTRATION_JITTER.mul_f64(rand::random())).await;
             continue;
         }
-        let asked = state.now();
+        let called_at = state.now();
         let outcome = match lease {
             Some(lease) => {
                 state.calls.count(Call::Renew);
@@ -65,7 +65,7 @@
         };
         membership::record_call(
             &state,
-            asked,
+            called_at,
             matches!(outcome, Ok(()) | Err(Error::Missing(_))),
         );
         let wait = match outcome {
@@ -192,7 +192,7 @@
 
 async fn claim(state: &State) {
     let term = state.settings().bounds.lease.duration();
-    let asked = time::boot();
+    let called_at = time::boot();
     state.calls.count(Call::Lease);
     let lease = match state.adapter.grant_lease(term).await {
         Ok(lease) => lease,
@@ -210,7 +210,7 @@
     state.calls.count(Call::Write);
     match state.adapter.write(write).await {
         Ok(created) => {
-            state.leader.borrow_mut().claimed(asked, lease, created);
+            state.leader.borrow_mut().claimed(called_at, lease, created);
             let fence = Fence::from(created);
             event::LEADER.emit(format_args!("state=holder fence={fence} lease={lease}"));
         }
@@ -226,10 +226,10 @@
 }
 
 async fn renew(state: &State, lease: Lease) {
-    let asked = time::boot();
+    let called_at = time::boot();
     state.calls.count(Call::Renew);
     match state.adapter.renew_lease(lease).await {
-        Ok(()) => state.leader.borrow_mut().renewed(asked, lease),
+        Ok(()) => state.leader.borrow_mut().renewed(called_at, lease),
         Err(Error::Missing(_)) => {
             state.leader.borrow_mut().lost();
             event::LEADER.emit(format_args!(
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -73,18 +73,18 @@
 }
 
 impl Heartbeat {
-    /// Builds the heartbeat of a round. Over successive rounds, each target receives all rows in
-    /// time.
+    /// Builds the heartbeat of a round. Each target receives all rows over
+    /// successive rounds.
     fn build(state: &State, round: usize) -> Self {
         let now = state.now();
-        let turns = batch::count(state.reach().members as usize, MAX_HEARTBEATS_PER_BATCH);
-        let rows = MAX_ROWS / turns;
-        let span = HEARTBEAT_INTERVAL * (turns as u32 + 1) * HEARTBEATS_PER_PLACEMENT;
+        let batches = batch::count(state.reach().members as usize, MAX_HEARTBEATS_PER_BATCH);
+        let rows = MAX_ROWS / batches;
+        let report_period = HEARTBEAT_INTERVAL * (batches as u32 + 1) * HEARTBEATS_PER_PLACEMENT;
         let window = {
             let time = state.true_time();
             state.usage.borrow().window(time)
         };
-        let placed = state.roster.borrow_mut().placements(now, span);
+        let placed = state.roster.borrow_mut().placements(now, report_period);
         let introduced = {
             let peers = state.peers.borrow();
             let profiles = peers.profiles(now).into_iter().cloned();
@@ -114,11 +114,11 @@
 /// Sends a heartbeat to all instances at once, as before a shutdown.
 pub async fn broadcast(state: &Rc<State>, socket: &UdpSocket) {
     let targets = targets(state);
-    for turn in 0..batch::count(targets.len(), MAX_HEARTBEATS_PER_BATCH) {
-        if turn > 0 {
+    for round in 0..batch::count(targets.len(), MAX_HEARTBEATS_PER_BATCH) {
+        if round > 0 {
             tokio::time::sleep(BROADCAST_DELAY).await;
         }
-        send(state, socket, &targets, turn).await;
+        send(state, socket, &targets, round).await;
     }
 }
 
@@ -139,9 +139,9 @@
 
 /// Sends heartbeats until the process ends.
 pub async fn send_heartbeats(state: Rc<State>, socket: Rc<UdpSocket>) {
-    for turn in 0.. {
+    for round in 0.. {
         let targets = targets(&state);
-        send(&state, &socket, &targets, turn).await;
+        send(&state, &socket, &targets, round).await;
         tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         expire(&state);
         upgrades::judge(&state);
--- a/coltsfoothall-forward/src/health.rs
+++ b/coltsfoothall-forward/src/health.rs
@@ -23,10 +23,10 @@
 }
 
 impl Health {
-    /// Records that a call made at `asked` got no response or was rejected.
-    pub fn record_failure(&self, asked: Time) {
+    /// Records that a call made at `called_at` got no response or was rejected.
+    pub fn record_failure(&self, called_at: Time) {
         if self.failing_since.get().is_none() {
-            self.failing_since.set(Some(asked));
+            self.failing_since.set(Some(called_at));
         }
     }
 
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -182,8 +182,11 @@
         }
     };
     let holder = workspace.as_ref().map_or("", id::Workspace::as_str);
-    let asked = head.uri.path_and_query().map_or("", |asked| asked.as_str());
-    let fingerprint = Fingerprint::of_call(holder, head.method.as_str(), asked, &body);
+    let target = head
+        .uri
+        .path_and_query()
+        .map_or("", |target| target.as_str());
+    let fingerprint = Fingerprint::of_call(holder, head.method.as_str(), target, &body);
     let verdict = state.suspicions.borrow().verdict(state.now(), fingerprint);
     if verdict == Verdict::Poisonous {
         return Err(unavailable(
@@ -191,8 +194,8 @@
             POISONOUS_RETRY_DELAY,
         ));
     }
-    let draw = xxh3_64(call.id.as_deref().unwrap_or_default().as_bytes());
-    let Some(service) = route.target(draw).cloned() else {
+    let hash = xxh3_64(call.id.as_deref().unwrap_or_default().as_bytes());
+    let Some(service) = route.target(hash).cloned() else {
         return Err(unavailable(
             "the route has no service",
             NOT_READY_RETRY_DELAY,
--- a/coltsfoothall-forward/src/listen.rs
+++ b/coltsfoothall-forward/src/listen.rs
@@ -147,7 +147,8 @@
 const MAX_LINE_PREFIX_BYTES: usize = 20;
 
 impl Scan {
-    /// Scans the next bytes. Returns whether the head names its length in more than one way.
+    /// Scans the next bytes. Returns whether the head has more than one `Content-Length` or
+    /// `Transfer-Encoding` header, counted together.
     fn push(&mut self, bytes: &[u8]) -> bool {
         for byte in bytes {
             if self.ended {
--- a/coltsfoothall-forward/src/membership.rs
+++ b/coltsfoothall-forward/src/membership.rs
@@ -40,10 +40,10 @@
     }
 }
 
-/// Records whether the store answered a call, made at `asked`, that it answers immediately.
-pub fn record_call(state: &State, asked: Time, answered: bool) {
+/// Records whether the store answered a call, made at `called_at`, that it answers immediately.
+pub fn record_call(state: &State, called_at: Time, answered: bool) {
     if !answered {
-        state.health.record_failure(asked);
+        state.health.record_failure(called_at);
         return;
     }
     // An open watch would have returned any change by then.
@@ -51,16 +51,16 @@
         state
             .registrations_as_of
             .get()
-            .map(|fresh| fresh.max(asked)),
+            .map(|fresh| fresh.max(called_at)),
     );
-    let Some(away) = state.health.record_answer(state.now()) else {
+    let Some(outage) = state.health.record_answer(state.now()) else {
         return;
     };
     event::STORE.emit(format_args!(
         "realm=all state=back away_ms={}",
-        away.as_millis()
+        outage.as_millis()
     ));
-    if away > OUTAGE_THRESHOLD {
+    if outage > OUTAGE_THRESHOLD {
         state.store_returned();
     }
 }
--- a/coltsfoothall-forward/src/settings.rs
+++ b/coltsfoothall-forward/src/settings.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// Time from a stop's signal until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub grace: Millis,
     /// How long callers may keep addresses.
     pub addresses: Millis,
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -319,11 +319,11 @@
         let mut suspicions = self.suspicions.borrow_mut();
         suspicions.abandon(now - EVIDENCE_RETENTION);
         suspicions.expire(now);
-        let marks = suspicions.record_death(now, id, announced);
-        if !marks.is_empty() {
+        let suspects = suspicions.record_death(now, id, announced);
+        if !suspects.is_empty() {
             event::ENDPOINT_DIED.emit(format_args!(
                 "endpoint={id} announced={announced} suspects={}",
-                marks.len()
+                suspects.len()
             ));
         }
     }
--- a/coltsfoothall-forward/src/upgrades.rs
+++ b/coltsfoothall-forward/src/upgrades.rs
@@ -19,7 +19,7 @@
             Ok(Some(order)) => {
                 let is_new = accept(state, order.clone());
                 if is_new && complete {
-                    settle(state, &order).await;
+                    apply_outcome(state, &order).await;
                 }
             }
             Ok(None) => {}
@@ -56,10 +56,10 @@
 
 /// Applies the outcome of an order that has been decided. If the store does not answer, the
 /// candidate is probed again until the leader reads the outcome.
-async fn settle(state: &State, order: &Order) {
+async fn apply_outcome(state: &State, order: &Order) {
     match state.adapter.read_report(&order.service).await {
         Ok(Some((report, position))) if position > order.position => {
-            if let Some(stage) = settled(&report, order) {
+            if let Some(stage) = final_stage(&report, order) {
                 let mut upgrades = state.upgrades.borrow_mut();
                 upgrades.settled(state.now(), &order.service, stage);
             }
@@ -139,7 +139,7 @@
         let record = self.record(state, order).await?;
         if let Some((report, position)) = &record.written
             && *position > order.position
-            && let Some(stage) = settled(report, order)
+            && let Some(stage) = final_stage(report, order)
         {
             state
                 .upgrades
@@ -206,7 +206,7 @@
 }
 
 /// The final stage of an order, if one was reported to operators.
-fn settled(report: &Report, order: &Order) -> Option<Stage> {
+fn final_stage(report: &Report, order: &Order) -> Option<Stage> {
     if report.target != order.target {
         return None;
     }
