--- a/coltsfoothall-forward/src/adoption.rs
+++ b/coltsfoothall-forward/src/adoption.rs
@@ -20,7 +20,7 @@
     /// Its compressed form, for other instances; created at the first request.
     pub compressed: Rc<OnceCell<Bytes>>,
     /// Indexed for requests.
-    pub table: Rc<Config>,
+    pub config: Rc<Config>,
 }
 
 /// The state of configuration updates.
@@ -47,7 +47,7 @@
     #[must_use]
     pub fn version(&self) -> u64 {
         let configuration = self.adoption.current.borrow();
-        configuration.as_ref().map_or(0, |have| have.table.version)
+        configuration.as_ref().map_or(0, |have| have.config.version)
     }
 
     /// The newest version of the configuration that is known to exist.
@@ -60,14 +60,14 @@
     /// Puts a configuration in force unless it is older than the current one. Returns its version
     /// if it is valid.
     pub fn adopt(&self, raw: &Bytes, source: &str) -> Option<u64> {
-        let table = match self.adapter.parse_configuration(raw) {
-            Ok(table) => table,
+        let config = match self.adapter.parse_configuration(raw) {
+            Ok(config) => config,
             Err(error) => {
                 event::BAD_CATALOG.emit(format_args!("source={source} reason={error:?}"));
                 return None;
             }
         };
-        let (version, had) = (table.version, self.version());
+        let (version, had) = (config.version, self.version());
         if version <= had {
             if version < had {
                 event::OLDER.emit(format_args!("version={version} had={had} source={source}"));
@@ -75,12 +75,12 @@
             return Some(version);
         }
         let mut rate_limiter = self.rate_limiter.borrow_mut();
-        rate_limiter.configure(self.now(), table.workspaces());
+        rate_limiter.configure(self.now(), config.workspaces());
         let bytes = raw.len();
         *self.adoption.current.borrow_mut() = Some(Configuration {
             raw: raw.clone(),
             compressed: Rc::default(),
-            table: Rc::new(table),
+            config: Rc::new(config),
         });
         let behind = self
             .adoption
--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -43,7 +43,7 @@
     /// Fingerprint by which requests that crash endpoints are recognised.
     pub fingerprint: Fingerprint,
     /// When its headers were read.
-    pub begun: Time,
+    pub received_at: Time,
     /// Deadline of its response.
     pub due: Time,
 }
@@ -86,7 +86,7 @@
     route: std::sync::Arc<Route>,
     service: id::Service,
     version: Option<id::Version>,
-    began: Time,
+    started_at: Time,
     /// Whether the first event, or the complete response, was counted.
     answered: bool,
     /// The endpoint.
@@ -110,7 +110,7 @@
             route: std::sync::Arc::clone(&job.route),
             service: job.service.clone(),
             version: pick.version.clone(),
-            began: now,
+            started_at: now,
             answered: false,
             endpoint: pick.endpoint.clone(),
         }
@@ -121,7 +121,7 @@
     /// endpoint may be reclaimed.
     pub fn record_answer(&mut self, failed: bool) {
         if !std::mem::replace(&mut self.answered, true) {
-            let took = self.state.now().since(self.began);
+            let took = self.state.now().since(self.started_at);
             let (route, version) = (&self.route.name, self.version.as_ref());
             let mut upgrades = self.state.upgrades.borrow_mut();
             upgrades.record_answer(&self.service, route, version, took, failed);
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -102,7 +102,7 @@
     };
     let version = state.adopt(&raw, peer.name.as_str());
     if let Some(have) = state.configuration()
-        && Some(have.table.version) == version
+        && Some(have.config.version) == version
     {
         have.compressed.get_or_init(|| compressed);
     }
--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -217,7 +217,7 @@
                     "request={} endpoint={} reason={reason:?} after_ms={}",
                     job.id(),
                     pick.endpoint,
-                    state.now().since(job.begun).as_millis(),
+                    state.now().since(job.received_at).as_millis(),
                 ));
                 if may_repeat(state, job, trail) {
                     continue;
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -178,16 +178,16 @@
 /// Delay after a change, longer in a large fleet. Meanwhile, other instances report what they read,
 /// and every call is billed: a fleet of 64 made 5,900 calls in 76 s.
 pub fn poll_delay(state: &State, keyspace: Keyspace) -> Duration {
-    let turns = batch::count(state.reach().members as usize, MAX_HEARTBEATS_PER_BATCH) as u32;
+    let batches = batch::count(state.coverage().members as usize, MAX_HEARTBEATS_PER_BATCH) as u32;
     match keyspace {
         Keyspace::Configuration => {
-            CONFIGURATION_POLL_DELAY * turns.min(MAX_CONFIGURATION_POLL_FACTOR)
+            CONFIGURATION_POLL_DELAY * batches.min(MAX_CONFIGURATION_POLL_FACTOR)
         }
         // Other instances depend on what this one reads.
         Keyspace::Endpoints if !state.reads_directly() => ENDPOINTS_POLL_DELAY,
         Keyspace::Endpoints => {
             let max_delay = state.settings().bounds.drain.duration() / DRAIN_DIVISOR;
-            (ENDPOINTS_POLL_DELAY * turns).min(max_delay.max(ENDPOINTS_POLL_DELAY))
+            (ENDPOINTS_POLL_DELAY * batches).min(max_delay.max(ENDPOINTS_POLL_DELAY))
         }
         Keyspace::Live => {
             let rank = state.peers.borrow().rank(state.now());
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -77,7 +77,7 @@
     /// successive rounds.
     fn build(state: &State, round: usize) -> Self {
         let now = state.now();
-        let batches = batch::count(state.reach().members as usize, MAX_HEARTBEATS_PER_BATCH);
+        let batches = batch::count(state.coverage().members as usize, MAX_HEARTBEATS_PER_BATCH);
         let rows = MAX_ROWS / batches;
         let report_period = HEARTBEAT_INTERVAL * (batches as u32 + 1) * HEARTBEATS_PER_PLACEMENT;
         let window = {
@@ -114,23 +114,23 @@
 /// Sends a heartbeat to all instances at once, as before a shutdown.
 pub async fn broadcast(state: &Rc<State>, socket: &UdpSocket) {
     let targets = targets(state);
-    for round in 0..batch::count(targets.len(), MAX_HEARTBEATS_PER_BATCH) {
-        if round > 0 {
+    for batch_index in 0..batch::count(targets.len(), MAX_HEARTBEATS_PER_BATCH) {
+        if batch_index > 0 {
             tokio::time::sleep(BROADCAST_DELAY).await;
         }
-        send(state, socket, &targets, round).await;
+        send(state, socket, &targets, batch_index).await;
     }
 }
 
 /// Sends a heartbeat to the targets of a batch.
-async fn send(state: &State, socket: &UdpSocket, targets: &[SocketAddr], turn: usize) {
-    let round = turn / batch::count(targets.len(), MAX_HEARTBEATS_PER_BATCH);
+async fn send(state: &State, socket: &UdpSocket, targets: &[SocketAddr], batch_index: usize) {
+    let round = batch_index / batch::count(targets.len(), MAX_HEARTBEATS_PER_BATCH);
     let heartbeat = Heartbeat::build(state, round);
     let Ok(bytes) = rmp_serde::to_vec(&heartbeat) else {
         // Unreachable: all types of the message can be serialized.
         return;
     };
-    for address in batch::select(targets, MAX_HEARTBEATS_PER_BATCH, turn) {
+    for address in batch::select(targets, MAX_HEARTBEATS_PER_BATCH, batch_index) {
         if let Err(error) = socket.send_to(&bytes, address).await {
             event::LINK_FAILED.emit(format_args!("peer={address} reason={error:?}"));
         }
@@ -139,9 +139,9 @@
 
 /// Sends heartbeats until the process ends.
 pub async fn send_heartbeats(state: Rc<State>, socket: Rc<UdpSocket>) {
-    for round in 0.. {
+    for batch_index in 0.. {
         let targets = targets(&state);
-        send(&state, &socket, &targets, round).await;
+        send(&state, &socket, &targets, batch_index).await;
         tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         expire(&state);
         upgrades::judge(&state);
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -41,7 +41,7 @@
 impl Handler for Front {
     fn limits(&self) -> Limits {
         let configuration = self.0.configuration();
-        let limits = configuration.map_or_else(Default::default, |have| have.table.limits);
+        let limits = configuration.map_or_else(Default::default, |have| have.config.limits);
         Limits {
             max_head_bytes: limits.head,
             head_timeout: limits.head_wait,
@@ -74,7 +74,7 @@
     request: Request<Incoming>,
     connection: &Connection,
 ) -> Response<Outgoing> {
-    let begun = state.now();
+    let received_at = state.now();
     let (head, content) = request.into_parts();
     let call = state.adapter.parse_call(&head.headers);
     let id = call.id.clone();
@@ -85,12 +85,12 @@
             "conflicting message lengths",
         ))
     } else {
-        match admit(state, connection, call, head, content, begun).await {
+        match admit(state, connection, call, head, content, received_at).await {
             Ok(job) => finish(state, job).await,
             Err(refusal) => Err(refusal),
         }
     };
-    result.unwrap_or_else(|refusal| refuse(state, id.as_deref(), &path, begun, &refusal))
+    result.unwrap_or_else(|refusal| refuse(state, id.as_deref(), &path, received_at, &refusal))
 }
 
 /// Runs an admitted request and records its outcome.
@@ -106,12 +106,12 @@
         if job.route.kind.streams() && status.is_success() {
             state
                 .board
-                .first_token(&labels, state.now().since(job.begun));
+                .first_token(&labels, state.now().since(job.received_at));
         }
         if status.is_success() {
             state.count_served();
         }
-        state.record_ended(&labels, status.as_u16(), job.begun);
+        state.record_ended(&labels, status.as_u16(), job.received_at);
     }
     result
 }
@@ -120,7 +120,7 @@
     state: &State,
     id: Option<&str>,
     path: &str,
-    begun: Time,
+    received_at: Time,
     refusal: &Refusal,
 ) -> Response<Outgoing> {
     let (status, reason, retry_after) = refusal.parts();
@@ -128,7 +128,7 @@
         "request={} path={path} status={} reason={reason:?} ms={} version={}",
         id.unwrap_or("-"),
         status.as_u16(),
-        state.now().since(begun).as_millis(),
+        state.now().since(received_at).as_millis(),
         state.version(),
     ));
     let headers = state.adapter.own_headers(id, retry_after);
@@ -146,20 +146,20 @@
     call: Call,
     head: http::request::Parts,
     content: Incoming,
-    begun: Time,
+    received_at: Time,
 ) -> Result<Job, Refusal> {
     let Some(configuration) = state.configuration() else {
         return Err(unavailable("no configuration yet", NOT_READY_RETRY_DELAY));
     };
-    let table = configuration.table;
-    let route = find_route(&table, &head)?;
-    let (workspace, rank) = identify(&table, route, &call)?;
-    let due = begun
+    let config = configuration.config;
+    let route = find_route(&config, &head)?;
+    let (workspace, rank) = identify(&config, route, &call)?;
+    let due = received_at
         + call
             .timeout
             .unwrap_or(DEFAULT_TIMEOUT)
             .min(route.timeout.duration());
-    let read = body::read(content, table.limits.body);
+    let read = body::read(content, config.limits.body);
     let body = match tokio::time::timeout_at(state.clock.instant(due), read).await {
         Ok(Ok(body)) => body,
         Ok(Err(body::Error::Large(_))) => {
@@ -201,7 +201,7 @@
             NOT_READY_RETRY_DELAY,
         ));
     };
-    let engine = table
+    let engine = config
         .service(&service)
         .and_then(|service| service.engine.as_ref());
     let job = Job {
@@ -214,7 +214,7 @@
         workspace,
         rank,
         fingerprint,
-        begun,
+        received_at,
         due,
     };
     // This precedes the rate limit: the instance that takes over a refused request charges its
@@ -230,9 +230,9 @@
         return Ok(());
     };
     let tokens = job.call.tokens.map(|(prompt, most)| prompt.plus(most));
-    let reach = state.reach();
+    let coverage = state.coverage();
     let mut rate_limiter = state.rate_limiter.borrow_mut();
-    let Err(short) = rate_limiter.take(state.now(), workspace, tokens, reach) else {
+    let Err(short) = rate_limiter.take(state.now(), workspace, tokens, coverage) else {
         return Ok(());
     };
     event::OVER_RATE.emit(format_args!(
@@ -241,8 +241,8 @@
         short.units,
         short.level,
         short.rate,
-        reach.members,
-        reach.heard
+        coverage.members,
+        coverage.heard
     ));
     Err(Refusal::NotRun(
         StatusCode::TOO_MANY_REQUESTS,
@@ -252,33 +252,33 @@
 }
 
 fn find_route<'a>(
-    table: &'a Config,
+    config: &'a Config,
     head: &http::request::Parts,
 ) -> Result<&'a std::sync::Arc<Route>, Refusal> {
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.or(head.uri.host()).unwrap_or_default();
     let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
-    table
+    config
         .route(&name.to_ascii_lowercase(), head.uri.path())
         .ok_or(Refusal::Bad(StatusCode::NOT_FOUND, "no such route"))
 }
 
 /// The workspace and priority of a request.
 fn identify(
-    table: &Config,
+    config: &Config,
     route: &Route,
     call: &Call,
 ) -> Result<(Option<id::Workspace>, u8), Refusal> {
     let holder = call
         .key
         .as_deref()
-        .and_then(|key| table.workspace_by_key(key));
+        .and_then(|key| config.workspace_by_key(key));
     match holder {
         Some(workspace) => {
             let rank = workspace.rank.unwrap_or(route.rank);
             Ok((Some(workspace.name.clone()), rank))
         }
-        None if route.public || table.workspaces().is_empty() => Ok((None, route.rank)),
+        None if route.public || config.workspaces().is_empty() => Ok((None, route.rank)),
         None => Err(Refusal::Bad(StatusCode::UNAUTHORIZED, "unknown key")),
     }
 }
@@ -316,6 +316,6 @@
 
 /// Records that the request took at least this long, and refuses it.
 fn time_out(state: &State, job: &Job) -> Refusal {
-    state.record_duration(&job.route, job.begun);
+    state.record_duration(&job.route, job.received_at);
     timed_out()
 }
--- a/coltsfoothall-forward/src/listen.rs
+++ b/coltsfoothall-forward/src/listen.rs
@@ -93,7 +93,7 @@
 }
 
 async fn serve(stream: TcpStream, handler: Rc<dyn Handler>, closing: CancellationToken) {
-    if socket::tune(&stream).is_err() {
+    if socket::set_options(&stream).is_err() {
         // The peer has already closed the connection.
         return;
     }
--- a/coltsfoothall-forward/src/orders.rs
+++ b/coltsfoothall-forward/src/orders.rs
@@ -35,7 +35,7 @@
         let Some(configuration) = state.configuration() else {
             return;
         };
-        for service in configuration.table.services() {
+        for service in configuration.config.services() {
             if let Some(scaling) = &service.scaling {
                 self.order_service(state, service, scaling).await;
             }
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -93,7 +93,7 @@
         name: &state.name,
         link: state.settings().link(),
     };
-    let members = state.reach().members as usize;
+    let members = state.coverage().members as usize;
     let max_direct_members = state.settings().read_alone;
     reading.source(state.now(), me, &local, members, max_direct_members)
 }
--- a/coltsfoothall-forward/src/relay.rs
+++ b/coltsfoothall-forward/src/relay.rs
@@ -88,7 +88,7 @@
             if !failed {
                 log_late(state, job, &endpoint);
                 if status.is_success() {
-                    state.record_duration(&job.route, job.begun);
+                    state.record_duration(&job.route, job.received_at);
                 }
                 return Ok(answer);
             }
@@ -112,7 +112,7 @@
 
 /// Logs a response that took longer than the target of its route.
 fn log_late(state: &State, job: &Job, endpoint: &id::Endpoint) {
-    let took = state.now().since(job.begun);
+    let took = state.now().since(job.received_at);
     if took > job.route.aim.duration() {
         event::LATE.emit(format_args!(
             "request={} endpoint={endpoint} route={} service={} aim_ms={} took_ms={} taken={:.2}",
@@ -335,7 +335,8 @@
     fn close(&mut self) {
         self.ended = true;
         self.finish(End::Whole);
-        self.state.record_duration(&self.job.route, self.job.begun);
+        self.state
+            .record_duration(&self.job.route, self.job.received_at);
         if let Some(checkout) = self.checkout.take() {
             checkout.release(&self.state);
         }
@@ -345,12 +346,13 @@
     fn abort(&mut self, reason: &'static str) -> io::Error {
         self.ended = true;
         self.finish(End::Abandoned);
-        self.state.record_duration(&self.job.route, self.job.begun);
+        self.state
+            .record_duration(&self.job.route, self.job.received_at);
         event::CUT.emit(format_args!(
             "request={} reason={reason:?} events={} ms={}",
             self.job.id(),
             self.splitter.events(),
-            self.state.now().since(self.job.begun).as_millis()
+            self.state.now().since(self.job.received_at).as_millis()
         ));
         io::Error::other(reason)
     }
--- a/coltsfoothall-forward/src/report.rs
+++ b/coltsfoothall-forward/src/report.rs
@@ -25,7 +25,7 @@
     }
 
     /// Records that a request ended with this status.
-    pub fn record_ended(&self, labels: &Labels, status: u16, begun: Time) {
+    pub fn record_ended(&self, labels: &Labels, status: u16, received_at: Time) {
         let (code, outcome) = match status {
             200..=299 => ("ok", "done"),
             429 => ("over_rate", "not_run"),
@@ -35,7 +35,7 @@
             400..=499 => ("bad_request", "not_run"),
             _ => ("endpoint_failed", "done"),
         };
-        self.board.latency(labels, self.now().since(begun));
+        self.board.latency(labels, self.now().since(received_at));
         self.board.ended(labels, End { code, outcome });
     }
 
@@ -47,14 +47,14 @@
     /// Logs the number of successful requests since the last summary, and the current state.
     pub fn log_summary(&self) {
         let served = self.served.take();
-        let reach = self.reach();
+        let coverage = self.coverage();
         event::SERVED.emit(format_args!(
             "served={served} open={} version={} endpoints={} members={} heard={} store_calls={}",
             self.open.get(),
             self.version(),
             self.roster.borrow().nodes().len(),
-            reach.members,
-            reach.heard,
+            coverage.members,
+            coverage.heard,
             self.calls
         ));
     }
@@ -67,7 +67,7 @@
         self.board.endpoints("leaving", leaving);
         self.board
             .endpoints("ready", roster.nodes().len() as u64 - leaving);
-        self.board.members(u64::from(self.reach().members));
+        self.board.members(u64::from(self.coverage().members));
         self.board.revision(self.version());
         let behind = self.adoption.lag.borrow().age(self.now());
         self.board.behind(behind.unwrap_or_default());
--- a/coltsfoothall-forward/src/socket.rs
+++ b/coltsfoothall-forward/src/socket.rs
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// The operating system rejects an option.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
+pub fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))?;
@@ -43,6 +43,6 @@
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))??;
-    tune(&stream)?;
+    set_options(&stream)?;
     Ok(stream)
 }
--- a/coltsfoothall-forward/src/state.rs
+++ b/coltsfoothall-forward/src/state.rs
@@ -267,7 +267,7 @@
 
     /// The members that share the rate limits.
     #[must_use]
-    pub fn reach(&self) -> Coverage {
+    pub fn coverage(&self) -> Coverage {
         self.peers.borrow().coverage(self.now())
     }
 
@@ -330,7 +330,7 @@
 
     /// Counts a request that is sent to a service for the first time.
     pub fn count_sent(&self, service: &id::Service) {
-        let (now, members) = (self.now(), self.reach().members);
+        let (now, members) = (self.now(), self.coverage().members);
         self.retries
             .borrow_mut()
             .record_first(now, service, members);
@@ -340,7 +340,7 @@
     /// budget.
     #[must_use]
     pub fn may_retry(&self, service: &id::Service) -> bool {
-        let (now, members) = (self.now(), self.reach().members);
+        let (now, members) = (self.now(), self.coverage().members);
         self.retries.borrow_mut().allow(now, service, members)
     }
 
@@ -374,8 +374,8 @@
     }
 
     /// Records how long a request took until its response was complete or abandoned.
-    pub fn record_duration(&self, route: &Route, begun: Time) {
-        let took = self.now().since(begun);
+    pub fn record_duration(&self, route: &Route, received_at: Time) {
+        let took = self.now().since(received_at);
         self.durations.borrow_mut().record(&route.name, took);
     }
 
@@ -452,7 +452,7 @@
     /// Whether the fleet is so small that every instance reads the registrations from the store.
     #[must_use]
     pub fn reads_directly(&self) -> bool {
-        self.reach().members as usize <= self.settings().read_alone
+        self.coverage().members as usize <= self.settings().read_alone
     }
 
     /// The newest known era of the store.
--- a/coltsfoothall-forward/src/time.rs
+++ b/coltsfoothall-forward/src/time.rs
@@ -9,7 +9,7 @@
 /// The runtime's clock, read as time since the process began.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    began: Instant,
+    start: Instant,
 }
 
 impl Clock {
@@ -17,20 +17,20 @@
     #[must_use]
     pub fn start() -> Self {
         Self {
-            began: Instant::now(),
+            start: Instant::now(),
         }
     }
 
     /// The current reading.
     #[must_use]
     pub fn now(self) -> Time {
-        Time::since_start(self.began.elapsed())
+        Time::since_start(self.start.elapsed())
     }
 
     /// The runtime's instant that corresponds to a reading.
     #[must_use]
     pub fn instant(self, time: Time) -> Instant {
-        self.began + time.since(Time::START)
+        self.start + time.since(Time::START)
     }
 }
 
