--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -51,7 +51,7 @@
 impl Job {
     /// The query by which an endpoint is chosen for it.
     #[must_use]
-    pub fn ask<'a>(
+    pub fn query<'a>(
         &'a self,
         domain: &'a id::Domain,
         exclude: &'a [id::Endpoint],
@@ -94,9 +94,9 @@
 }
 
 impl Share {
-    fn new(state: &Rc<State>, pick: &Pick, ask: &Query<'_>, job: &Job) -> Self {
+    fn new(state: &Rc<State>, pick: &Pick, query: &Query<'_>, job: &Job) -> Self {
         let now = state.now();
-        let run = state.roster.borrow_mut().begin(now, pick, ask);
+        let run = state.roster.borrow_mut().begin(now, pick, query);
         let version = pick.version.as_ref();
         let route = &job.route.name;
         state
@@ -223,8 +223,8 @@
     exclude: &[id::Endpoint],
     after: Option<&str>,
 ) -> Result<Sent, (Fault, Share)> {
-    let ask = job.ask(&state.domain, exclude, &Versions::Any);
-    let share = Share::new(state, pick, &ask, job);
+    let query = job.query(&state.domain, exclude, &Versions::Any);
+    let share = Share::new(state, pick, &query, job);
     let body_sent = Rc::new(Cell::new(false));
     let mut pooled = {
         let now = tokio::time::Instant::now();
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -69,8 +69,13 @@
 /// that is slow or busy.
 fn choose_peer(state: &State) -> Option<Profile> {
     let now = state.now();
-    let waits = state.version() > 0 && !state.adoption.store_lost.get();
-    if !state.adoption.lag.borrow().should_ask_peer(now, waits) {
+    let follows_store = state.version() > 0 && !state.adoption.store_lost.get();
+    if !state
+        .adoption
+        .lag
+        .borrow()
+        .should_ask_peer(now, follows_store)
+    {
         return None;
     }
     let peers = state.peers.borrow();
--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -83,7 +83,7 @@
     let roster = state.roster.borrow();
     let mut found = Err(Unavailable::Absent);
     for versions in &versions {
-        found = roster.choose(state.now(), &job.ask(&state.domain, exclude, versions));
+        found = roster.choose(state.now(), &job.query(&state.domain, exclude, versions));
         if found.is_ok() {
             break;
         }
--- a/coltsfoothall-forward/src/follower.rs
+++ b/coltsfoothall-forward/src/follower.rs
@@ -81,7 +81,7 @@
     /// Makes one call. Returns its result, if it succeeded.
     pub async fn tick(&mut self, state: &State) -> Option<Update> {
         let keyspace = self.keyspace;
-        let asked = state.now();
+        let called_at = state.now();
         let replaced = |after: &mut Position| Some(after.era) < state.era();
         if self.position.take_if(replaced).is_some() {
             event::STORE.emit(format_args!("realm={keyspace:?} state=history_replaced"));
@@ -111,14 +111,14 @@
                 self.position = None;
                 tokio::time::sleep(ERA_MISMATCH_DELAY).await;
             }
-            Ok(listing) => return Some(self.accept(state, asked, listing)),
+            Ok(listing) => return Some(self.accept(state, called_at, listing)),
             Err(Error::Dropped(_)) => {
                 event::STORE.emit(format_args!("realm={keyspace:?} state=history_dropped"));
                 self.position = None;
             }
             Err(error) => {
                 if self.failing_since.is_none() {
-                    self.failing_since = Some(asked);
+                    self.failing_since = Some(called_at);
                     event::STORE.emit(format_args!(
                         "realm={keyspace:?} state=lost reason={error:?}"
                     ));
@@ -138,17 +138,17 @@
         None
     }
 
-    fn accept(&mut self, state: &State, asked: Time, listing: Listing) -> Update {
+    fn accept(&mut self, state: &State, called_at: Time, listing: Listing) -> Update {
         let keyspace = self.keyspace;
         let complete = self.position.is_none();
         self.retry_delay = MIN_RETRY_DELAY;
         if let Some(since) = self.failing_since.take() {
-            let away = asked.since(since);
+            let outage = called_at.since(since);
             event::STORE.emit(format_args!(
                 "realm={keyspace:?} state=back away_ms={}",
-                away.as_millis()
+                outage.as_millis()
             ));
-            if away > OUTAGE_THRESHOLD {
+            if outage > OUTAGE_THRESHOLD {
                 state.store_returned();
             }
         }
@@ -159,7 +159,7 @@
                 // watch returns as soon as there is a change.
                 state
                     .registrations_as_of
-                    .set(Some(if complete { asked } else { state.now() }));
+                    .set(Some(if complete { called_at } else { state.now() }));
                 state.registrations_lost.set(false);
             }
             Keyspace::Live | Keyspace::Notes => {}
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -220,12 +220,12 @@
     // This precedes the rate limit: the instance that takes over a refused request charges its
     // tokens too.
     stop::check(state, &job, connection)?;
-    grant(state, &job)?;
+    charge(state, &job)?;
     Ok(job)
 }
 
 /// Charges a request to the rate limit of its workspace.
-fn grant(state: &State, job: &Job) -> Result<(), Refusal> {
+fn charge(state: &State, job: &Job) -> Result<(), Refusal> {
     let Some(workspace) = &job.workspace else {
         return Ok(());
     };
--- a/coltsfoothall-forward/src/membership.rs
+++ b/coltsfoothall-forward/src/membership.rs
@@ -51,7 +51,7 @@
         state
             .registrations_as_of
             .get()
-            .map(|fresh| fresh.max(called_at)),
+            .map(|as_of| as_of.max(called_at)),
     );
     let Some(outage) = state.health.record_answer(state.now()) else {
         return;
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -47,13 +47,13 @@
             // The first complete list is always read from the store, to spare the reader's link.
             (Source::Reader(reader), Some(known)) => {
                 state.registrations_as_of.set(None);
-                let had = cursor.take().filter(|had| had.reader == reader);
-                let had = had.unwrap_or(Cursor {
+                let previous = cursor.take().filter(|previous| previous.reader == reader);
+                let previous = previous.unwrap_or(Cursor {
                     reader,
                     boot: 0,
                     next: None,
                 });
-                if let Some((now, position)) = read_page(&state, &client, had, known).await {
+                if let Some((now, position)) = read_page(&state, &client, previous, known).await {
                     reading.answered();
                     cursor = Some(now);
                     follower = Follower::new(Keyspace::Endpoints, Some(position));
@@ -113,11 +113,11 @@
 async fn read_page(
     state: &Rc<State>,
     client: &Client,
-    had: Cursor,
+    previous: Cursor,
     known: Position,
 ) -> Option<(Cursor, Position)> {
     let log_lost = |reason: &str, age: Option<Duration>| {
-        let reader = &had.reader;
+        let reader = &previous.reader;
         event::STORE.emit(format_args!(
             "realm=Endpoints reader={reader} state=lost reason={reason:?} age_ms={:?}",
             age.map(|age| age.as_millis())
@@ -126,17 +126,17 @@
     let profile = {
         let peers = state.peers.borrow();
         let local = peers.same_domain(state.now(), &state.domain);
-        let found = local.into_iter().find(|peer| peer.name == had.reader);
+        let found = local.into_iter().find(|peer| peer.name == previous.reader);
         found.cloned()?
     };
     let budget = budget(state);
-    let asked = state.now();
-    let changes = fetch_changes(state, client, &profile, &had, known);
+    let sent_at = state.now();
+    let changes = fetch_changes(state, client, &profile, &previous, known);
     let Ok(Some(page)) = tokio::time::timeout(budget.answer, changes).await else {
         log_lost("no answer", None);
         return None;
     };
-    let round_trip = state.now().since(asked);
+    let round_trip = state.now().since(sent_at);
     let age = page
         .age_ms
         .map(|age| Duration::from_millis(age) + round_trip);
@@ -147,7 +147,7 @@
     let now = Cursor {
         boot: page.boot,
         next: Some(page.next),
-        ..had
+        ..previous
     };
     let position = known.max(page.position);
     apply_page(state, page);
@@ -160,16 +160,16 @@
     state: &State,
     client: &Client,
     reader: &Profile,
-    had: &Cursor,
+    previous: &Cursor,
     known: Position,
 ) -> Option<Page> {
-    let by_place = Since::Position(known);
-    let after = had.next.map_or(by_place, Since::Sequence);
+    let by_position = Since::Position(known);
+    let after = previous.next.map_or(by_position, Since::Sequence);
     let page = fetch(state, client, reader, after).await?;
-    if page.boot == had.boot || after == by_place {
+    if page.boot == previous.boot || after == by_position {
         return Some(page);
     }
-    fetch(state, client, reader, by_place).await
+    fetch(state, client, reader, by_position).await
 }
 
 /// Fetches the registrations that changed since then from another instance.
@@ -228,7 +228,7 @@
     let age = state
         .registrations_as_of
         .get()
-        .map(|fresh| state.now().since(fresh));
+        .map(|as_of| state.now().since(as_of));
     let page = Page {
         boot: state.boot,
         next,
