--- a/coltsfoothall-forward/src/calls.rs
+++ b/coltsfoothall-forward/src/calls.rs
@@ -72,8 +72,8 @@
 
 impl fmt::Display for Calls {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let made = NAMES.iter().zip(&self.counts);
-        for (index, (name, count)) in made.filter(|(_, count)| count.get() > 0).enumerate() {
+        let by_kind = NAMES.iter().zip(&self.counts);
+        for (index, (name, count)) in by_kind.filter(|(_, count)| count.get() > 0).enumerate() {
             let comma = if index == 0 { "" } else { "," };
             write!(f, "{comma}{name}:{}", count.get())?;
         }
--- a/coltsfoothall-forward/src/changelog.rs
+++ b/coltsfoothall-forward/src/changelog.rs
@@ -151,8 +151,8 @@
         self.position
     }
 
-    /// The changes since then, and the sequence number from which to resume. After sequence number
-    /// 0, these are all current registrations.
+    /// The changes later than `after`, and the sequence number from which to resume. After sequence
+    /// number 0, these are all current registrations.
     #[must_use]
     pub fn since(&self, after: Since) -> (u64, Vec<Row>) {
         let is_newer = |record: &&Record| match after {
--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -36,7 +36,7 @@
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(800);
 /// Key of the snapshot.
 const SNAPSHOT_NAME: &str = "tally";
-/// Usage reports that are kept at the store.
+/// Maximum number of usage reports that are kept at the store.
 const MAX_KEPT_REPORTS: u64 = 6;
 
 /// Keeps this instance registered until it shuts down.
@@ -99,7 +99,7 @@
     }
 }
 
-/// Waits for this time, or until the era of the store changes or shutdown begins.
+/// Waits for the time `wait`, or until the era of the store changes or shutdown begins.
 async fn pause(state: &State, wait: Duration) {
     tokio::select! {
         () = tokio::time::sleep(wait) => {}
@@ -190,6 +190,7 @@
     }
 }
 
+/// Tries to become the leader by creating the leader's key under a new lease.
 async fn claim(state: &State) {
     let term = state.settings().bounds.lease.duration();
     let called_at = time::boot();
@@ -357,6 +358,8 @@
     }
 }
 
+/// Stores the report on a window. Returns the stored report, which is that of an earlier leader if
+/// there was one.
 async fn store_report(state: &State, window: u64, counts: Vec<Count>) -> Result<Vec<Count>, Error> {
     let name = format!("usage/{window}");
     let key = format!("notes/{name}");
--- a/coltsfoothall-forward/src/fetch.rs
+++ b/coltsfoothall-forward/src/fetch.rs
@@ -26,7 +26,7 @@
     let step = "ask a peer";
     let answer = client.fetch(step, &address, path, RESPONSE_TIMEOUT).await;
     match answer.and_then(|answer| answer.success(step, &address)) {
-        Ok(raw) => Some(raw),
+        Ok(body) => Some(body),
         Err(error) => {
             event::LINK_FAILED.emit(format_args!(
                 "peer={} reason={:?}",
--- a/coltsfoothall-forward/src/gossip.rs
+++ b/coltsfoothall-forward/src/gossip.rs
@@ -161,6 +161,8 @@
     targets
 }
 
+/// Removes the instances that are neither registered nor alive, and the load of all that are not
+/// alive.
 fn expire(state: &State) {
     let now = state.now();
     let mut peers = state.peers.borrow_mut();
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -229,7 +229,10 @@
     let Some(workspace) = &job.workspace else {
         return Ok(());
     };
-    let tokens = job.call.tokens.map(|(prompt, most)| prompt.plus(most));
+    let tokens = job
+        .call
+        .tokens
+        .map(|(prompt, max_answer)| prompt.plus(max_answer));
     let coverage = state.coverage();
     let mut rate_limiter = state.rate_limiter.borrow_mut();
     let Err(short) = rate_limiter.take(state.now(), workspace, tokens, coverage) else {
@@ -269,11 +272,11 @@
     route: &Route,
     call: &Call,
 ) -> Result<(Option<id::Workspace>, u8), Refusal> {
-    let holder = call
+    let workspace = call
         .key
         .as_deref()
         .and_then(|key| config.workspace_by_key(key));
-    match holder {
+    match workspace {
         Some(workspace) => {
             let rank = workspace.rank.unwrap_or(route.rank);
             Ok((Some(workspace.name.clone()), rank))
--- a/coltsfoothall-forward/src/membership.rs
+++ b/coltsfoothall-forward/src/membership.rs
@@ -46,7 +46,8 @@
         state.health.record_failure(called_at);
         return;
     }
-    // An open watch would have returned any change by then.
+    // The store is available, so an open watch would have returned any change made
+    // before this call.
     state.registrations_as_of.set(
         state
             .registrations_as_of
@@ -103,8 +104,8 @@
     let client = Client::new();
     loop {
         tokio::time::sleep(PEER_QUERY_INTERVAL).await;
-        // While the store answers, each instance reads it: the links of other instances are
-        // narrower.
+        // While the store answers, each instance reads from it, as the store's link is wider
+        // than those of other instances.
         if state.registrations_lost.get() && state.roster.borrow().nodes().is_empty() {
             fetch_from_one(&state, &client).await;
         }
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -31,6 +31,7 @@
 #[derive(Debug)]
 struct Cursor {
     reader: id::Instance,
+    /// The run of the reader's process that assigned the sequence numbers.
     boot: u64,
     /// The sequence number from which to resume, once known.
     next: Option<u64>,
@@ -89,13 +90,13 @@
             link: profile.link,
         })
         .collect();
-    let me = Candidate {
+    let own = Candidate {
         name: &state.name,
         link: state.settings().link(),
     };
     let members = state.coverage().members as usize;
     let max_direct_members = state.settings().read_alone;
-    reading.source(state.now(), me, &local, members, max_direct_members)
+    reading.source(state.now(), own, &local, members, max_direct_members)
 }
 
 /// Whether this instance is one of those that read the store for others.
@@ -172,7 +173,7 @@
     fetch(state, client, reader, by_position).await
 }
 
-/// Fetches the registrations that changed since then from another instance.
+/// Fetches the registrations that changed later than `after` from another instance.
 pub async fn fetch(state: &State, client: &Client, peer: &Profile, after: Since) -> Option<Page> {
     let path = match after {
         Since::Sequence(number) => format!("{ENDPOINTS_PATH}?{AFTER_PARAM}={number}"),
@@ -301,8 +302,11 @@
         event::STORE_FAILED.emit(format_args!("endpoint={name:?} reason=\"not a name\""));
         return;
     };
-    let within = leaves.map(Millis::duration);
-    let event = state.roster.borrow_mut().left(state.now(), &id, at, within);
+    let time_left = leaves.map(Millis::duration);
+    let event = state
+        .roster
+        .borrow_mut()
+        .left(state.now(), &id, at, time_left);
     state.apply_event(event, at, PEER);
     state
         .changelog
--- a/coltsfoothall-forward/src/relay.rs
+++ b/coltsfoothall-forward/src/relay.rs
@@ -331,7 +331,7 @@
         Ok(())
     }
 
-    /// The stream is complete.
+    /// Ends a complete stream, and returns the connection to the pool.
     fn close(&mut self) {
         self.ended = true;
         self.finish(End::Whole);
--- a/coltsfoothall-forward/src/retries.rs
+++ b/coltsfoothall-forward/src/retries.rs
@@ -9,7 +9,7 @@
 const SLACK_SHARE: f64 = 0.6;
 /// Share of the retry ratio that is used, for the same reason.
 const RATIO_SHARE: f64 = 0.8;
-/// Minimum number of members that share a budget, as other members may not be known yet.
+/// Minimum number of members that are assumed to share a budget, as some may not be known yet.
 const MIN_MEMBERS: u32 = 3;
 
 #[derive(Debug)]
--- a/coltsfoothall-forward/src/run.rs
+++ b/coltsfoothall-forward/src/run.rs
@@ -219,8 +219,8 @@
         if fronts.is_empty() {
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let keep = state.settings().bounds.addresses.duration();
-        return json(Outgoing::full(adapter.addresses(&fronts, keep)));
+        let ttl = state.settings().bounds.addresses.duration();
+        return json(Outgoing::full(adapter.addresses(&fronts, ttl)));
     }
     if path == METRICS_PATH {
         state.update_gauges();
--- a/coltsfoothall-forward/src/stop.rs
+++ b/coltsfoothall-forward/src/stop.rs
@@ -58,7 +58,8 @@
     }
     // Callers that do not read do not delay the shutdown.
     let _closed = timeout(FLUSH_TIMEOUT, callers.closed()).await;
-    // The last runs are in no heartbeat yet; with 60 other instances this takes about 0.07 s.
+    // Reports the runs that no heartbeat has reported yet; with 60 other instances this takes about
+    // 0.07 s.
     gossip::broadcast(state, socket).await;
 }
 
