--- a/coltsfoothall-forward/src/changelog.rs
+++ b/coltsfoothall-forward/src/changelog.rs
@@ -45,10 +45,10 @@
     pub boot: u64,
     /// The sequence number from which to resume.
     pub next: u64,
-    /// The last change at the store that the reader knows.
+    /// Position of the last change at the store that the reader knows.
     #[serde(rename = "place")]
     pub position: Position,
-    /// Age of the reader's data in milliseconds; none if the store does not answer it.
+    /// Age of the reader's data in milliseconds; none if the store does not answer the reader.
     pub age_ms: Option<u64>,
     /// The changes.
     pub rows: Vec<Row>,
