--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -43,7 +43,7 @@
     /// Fingerprint by which requests that crash endpoints are recognised.
     pub fingerprint: Fingerprint,
     /// When its headers were read.
-    pub begun: Time,
+    pub received_at: Time,
     /// Deadline of its response.
     pub due: Time,
 }
@@ -51,7 +51,7 @@
 impl Job {
     /// The query by which an endpoint is chosen for it.
     #[must_use]
-    pub fn ask<'a>(
+    pub fn query<'a>(
         &'a self,
         domain: &'a id::Domain,
         exclude: &'a [id::Endpoint],
@@ -86,7 +86,7 @@
     route: std::sync::Arc<Route>,
     service: id::Service,
     version: Option<id::Version>,
-    began: Time,
+    started_at: Time,
     /// Whether the first event, or the complete response, was counted.
     answered: bool,
     /// The endpoint.
@@ -94,9 +94,9 @@
 }
 
 impl Share {
-    fn new(state: &Rc<State>, pick: &Pick, ask: &Query<'_>, job: &Job) -> Self {
+    fn new(state: &Rc<State>, pick: &Pick, query: &Query<'_>, job: &Job) -> Self {
         let now = state.now();
-        let run = state.roster.borrow_mut().begin(now, pick, ask);
+        let run = state.roster.borrow_mut().begin(now, pick, query);
         let version = pick.version.as_ref();
         let route = &job.route.name;
         state
@@ -110,7 +110,7 @@
             route: std::sync::Arc::clone(&job.route),
             service: job.service.clone(),
             version: pick.version.clone(),
-            began: now,
+            started_at: now,
             answered: false,
             endpoint: pick.endpoint.clone(),
         }
@@ -121,7 +121,7 @@
     /// endpoint may be reclaimed.
     pub fn record_answer(&mut self, failed: bool) {
         if !std::mem::replace(&mut self.answered, true) {
-            let took = self.state.now().since(self.began);
+            let took = self.state.now().since(self.started_at);
             let (route, version) = (&self.route.name, self.version.as_ref());
             let mut upgrades = self.state.upgrades.borrow_mut();
             upgrades.record_answer(&self.service, route, version, took, failed);
@@ -223,8 +223,8 @@
     exclude: &[id::Endpoint],
     after: Option<&str>,
 ) -> Result<Sent, (Fault, Share)> {
-    let ask = job.ask(&state.domain, exclude, &Versions::Any);
-    let share = Share::new(state, pick, &ask, job);
+    let query = job.query(&state.domain, exclude, &Versions::Any);
+    let share = Share::new(state, pick, &query, job);
     let body_sent = Rc::new(Cell::new(false));
     let mut pooled = {
         let now = tokio::time::Instant::now();
--- a/coltsfoothall-forward/src/changelog.rs
+++ b/coltsfoothall-forward/src/changelog.rs
@@ -45,10 +45,10 @@
     pub boot: u64,
     /// The sequence number from which to resume.
     pub next: u64,
-    /// The last change at the store that the reader knows.
+    /// Position of the last change at the store that the reader knows.
     #[serde(rename = "place")]
     pub position: Position,
-    /// Age of the reader's data in milliseconds; none if the store does not answer it.
+    /// Age of the reader's data in milliseconds; none if the store does not answer the reader.
     pub age_ms: Option<u64>,
     /// The changes.
     pub rows: Vec<Row>,
@@ -151,8 +151,8 @@
         self.position
     }
 
-    /// The changes since then, and the sequence number from which to resume. After sequence number
-    /// 0, these are all current registrations.
+    /// The changes later than `after`, and the sequence number from which to resume. After sequence
+    /// number 0, these are all current registrations.
     #[must_use]
     pub fn since(&self, after: Since) -> (u64, Vec<Row>) {
         let is_newer = |record: &&Record| match after {
--- a/coltsfoothall-forward/src/configuration.rs
+++ b/coltsfoothall-forward/src/configuration.rs
@@ -69,13 +69,18 @@
 /// that is slow or busy.
 fn choose_peer(state: &State) -> Option<Profile> {
     let now = state.now();
-    let waits = state.version() > 0 && !state.adoption.store_lost.get();
-    if !state.adoption.lag.borrow().should_ask_peer(now, waits) {
+    let follows_store = state.version() > 0 && !state.adoption.store_lost.get();
+    if !state
+        .adoption
+        .lag
+        .borrow()
+        .should_ask_peer(now, follows_store)
+    {
         return None;
     }
     let peers = state.peers.borrow();
-    let ahead = peers.with_newer_config(now, state.version(), &state.domain);
-    ahead.into_iter().choose(&mut rand::rng()).cloned()
+    let candidates = peers.with_newer_config(now, state.version(), &state.domain);
+    candidates.into_iter().choose(&mut rand::rng()).cloned()
 }
 
 /// Fetches the configuration of another instance, unless its version is reached in another way
@@ -102,7 +107,7 @@
     };
     let version = state.adopt(&raw, peer.name.as_str());
     if let Some(have) = state.configuration()
-        && Some(have.table.version) == version
+        && Some(have.config.version) == version
     {
         have.compressed.get_or_init(|| compressed);
     }
--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -89,7 +89,7 @@
     let roster = state.roster.borrow();
     let mut found = Err(Unavailable::Absent);
     for versions in &versions {
-        found = roster.choose(state.now(), &job.ask(&state.domain, exclude, versions));
+        found = roster.choose(state.now(), &job.query(&state.domain, exclude, versions));
         if found.is_ok() {
             break;
         }
@@ -225,7 +225,7 @@
                     "request={} endpoint={} reason={reason:?} after_ms={}",
                     job.id(),
                     pick.endpoint,
-                    state.now().since(job.begun).as_millis(),
+                    state.now().since(job.received_at).as_millis(),
                 ));
                 if may_repeat(state, job, trail) {
                     continue;
--- a/coltsfoothall-forward/src/duty.rs
+++ b/coltsfoothall-forward/src/duty.rs
@@ -36,7 +36,7 @@
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(800);
 /// Key of the snapshot.
 const SNAPSHOT_NAME: &str = "tally";
-/// Usage reports that are kept at the store.
+/// Maximum number of usage reports that are kept at the store.
 const MAX_KEPT_REPORTS: u64 = 6;
 
 /// Keeps this instance registered until it shuts down.
@@ -49,7 +49,7 @@
             pause(&state, MAX_REGISTRATION_JITTER.mul_f64(rand::random())).await;
             continue;
         }
-        let asked = state.now();
+        let called_at = state.now();
         let outcome = match lease {
             Some(lease) => {
                 state.calls.count(Call::Renew);
@@ -65,7 +65,7 @@
         };
         membership::record_call(
             &state,
-            asked,
+            called_at,
             matches!(outcome, Ok(()) | Err(Error::Missing(_))),
         );
         let wait = match outcome {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Waits for this time, or until the era of the store changes or shutdown begins.
+/// Waits for the time `wait`, or until the era of the store changes or shutdown begins.
 async fn pause(state: &State, wait: Duration) {
     tokio::select! {
         () = tokio::time::sleep(wait) => {}
@@ -190,9 +190,10 @@
     }
 }
 
+/// Tries to become the leader by creating the leader's key under a new lease.
 async fn claim(state: &State) {
     let term = state.settings().bounds.lease.duration();
-    let asked = time::boot();
+    let called_at = time::boot();
     state.calls.count(Call::Lease);
     let lease = match state.adapter.grant_lease(term).await {
         Ok(lease) => lease,
@@ -210,7 +211,7 @@
     state.calls.count(Call::Write);
     match state.adapter.write(write).await {
         Ok(created) => {
-            state.leader.borrow_mut().claimed(asked, lease, created);
+            state.leader.borrow_mut().claimed(called_at, lease, created);
             let fence = Fence::from(created);
             event::LEADER.emit(format_args!("state=holder fence={fence} lease={lease}"));
         }
@@ -226,10 +227,10 @@
 }
 
 async fn renew(state: &State, lease: Lease) {
-    let asked = time::boot();
+    let called_at = time::boot();
     state.calls.count(Call::Renew);
     match state.adapter.renew_lease(lease).await {
-        Ok(()) => state.leader.borrow_mut().renewed(asked, lease),
+        Ok(()) => state.leader.borrow_mut().renewed(called_at, lease),
         Err(Error::Missing(_)) => {
             state.leader.borrow_mut().lost();
             event::LEADER.emit(format_args!(
@@ -357,6 +358,8 @@
     }
 }
 
+/// Stores the report on a window. Returns the stored report, which is that of an earlier leader if
+/// there was one.
 async fn store_report(state: &State, window: u64, counts: Vec<Count>) -> Result<Vec<Count>, Error> {
     let name = format!("usage/{window}");
     let key = format!("notes/{name}");
--- a/coltsfoothall-forward/src/listen.rs
+++ b/coltsfoothall-forward/src/listen.rs
@@ -93,7 +93,7 @@
 }
 
 async fn serve(stream: TcpStream, handler: Rc<dyn Handler>, closing: CancellationToken) {
-    if socket::tune(&stream).is_err() {
+    if socket::set_options(&stream).is_err() {
         // The peer has already closed the connection.
         return;
     }
@@ -147,7 +147,8 @@
 const MAX_LINE_PREFIX_BYTES: usize = 20;
 
 impl Scan {
-    /// Scans the next bytes. Returns whether the head names its length in more than one way.
+    /// Scans the next bytes. Returns whether the head has more than one `Content-Length` or
+    /// `Transfer-Encoding` header, counted together.
     fn push(&mut self, bytes: &[u8]) -> bool {
         for byte in bytes {
             if self.ended {
--- a/coltsfoothall-forward/src/membership.rs
+++ b/coltsfoothall-forward/src/membership.rs
@@ -40,27 +40,28 @@
     }
 }
 
-/// Records whether the store answered a call, made at `asked`, that it answers immediately.
-pub fn record_call(state: &State, asked: Time, answered: bool) {
+/// Records whether the store answered a call, made at `called_at`, that it answers immediately.
+pub fn record_call(state: &State, called_at: Time, answered: bool) {
     if !answered {
-        state.health.record_failure(asked);
+        state.health.record_failure(called_at);
         return;
     }
-    // An open watch would have returned any change by then.
+    // The store is available, so an open watch would have returned any change made
+    // before this call.
     state.registrations_as_of.set(
         state
             .registrations_as_of
             .get()
-            .map(|fresh| fresh.max(asked)),
+            .map(|as_of| as_of.max(called_at)),
     );
-    let Some(away) = state.health.record_answer(state.now()) else {
+    let Some(outage) = state.health.record_answer(state.now()) else {
         return;
     };
     event::STORE.emit(format_args!(
         "realm=all state=back away_ms={}",
-        away.as_millis()
+        outage.as_millis()
     ));
-    if away > OUTAGE_THRESHOLD {
+    if outage > OUTAGE_THRESHOLD {
         state.store_returned();
     }
 }
@@ -103,8 +104,8 @@
     let client = Client::new();
     loop {
         tokio::time::sleep(PEER_QUERY_INTERVAL).await;
-        // While the store answers, each instance reads it: the links of other instances are
-        // narrower.
+        // While the store answers, each instance reads from it, as the store's link is wider
+        // than those of other instances.
         if state.registrations_lost.get() && state.roster.borrow().nodes().is_empty() {
             fetch_from_one(&state, &client).await;
         }
--- a/coltsfoothall-forward/src/registrations.rs
+++ b/coltsfoothall-forward/src/registrations.rs
@@ -31,6 +31,7 @@
 #[derive(Debug)]
 struct Cursor {
     reader: id::Instance,
+    /// The run of the reader's process that assigned the sequence numbers.
     boot: u64,
     /// The sequence number from which to resume, once known.
     next: Option<u64>,
@@ -47,13 +48,13 @@
             // The first complete list is always read from the store, to spare the reader's link.
             (Source::Reader(reader), Some(known)) => {
                 state.registrations_as_of.set(None);
-                let had = cursor.take().filter(|had| had.reader == reader);
-                let had = had.unwrap_or(Cursor {
+                let previous = cursor.take().filter(|previous| previous.reader == reader);
+                let previous = previous.unwrap_or(Cursor {
                     reader,
                     boot: 0,
                     next: None,
                 });
-                if let Some((now, position)) = read_page(&state, &client, had, known).await {
+                if let Some((now, position)) = read_page(&state, &client, previous, known).await {
                     reading.record_answer();
                     cursor = Some(now);
                     follower = Follower::new(Keyspace::Endpoints, Some(position));
@@ -89,13 +90,13 @@
             link: profile.link,
         })
         .collect();
-    let me = Candidate {
+    let own = Candidate {
         name: &state.name,
         link: state.settings().link(),
     };
-    let members = state.reach().members as usize;
+    let members = state.coverage().members as usize;
     let max_direct_members = state.settings().read_alone;
-    reading.source(state.now(), me, &local, members, max_direct_members)
+    reading.source(state.now(), own, &local, members, max_direct_members)
 }
 
 /// Whether this instance is one of those that read the store for others.
@@ -113,11 +114,11 @@
 async fn read_page(
     state: &Rc<State>,
     client: &Client,
-    had: Cursor,
+    previous: Cursor,
     known: Position,
 ) -> Option<(Cursor, Position)> {
     let log_lost = |reason: &str, age: Option<Duration>| {
-        let reader = &had.reader;
+        let reader = &previous.reader;
         event::STORE.emit(format_args!(
             "realm=Endpoints reader={reader} state=lost reason={reason:?} age_ms={:?}",
             age.map(|age| age.as_millis())
@@ -126,17 +127,17 @@
     let profile = {
         let peers = state.peers.borrow();
         let local = peers.same_domain(state.now(), &state.domain);
-        let found = local.into_iter().find(|peer| peer.name == had.reader);
+        let found = local.into_iter().find(|peer| peer.name == previous.reader);
         found.cloned()?
     };
     let budget = budget(state);
-    let asked = state.now();
-    let changes = fetch_changes(state, client, &profile, &had, known);
+    let sent_at = state.now();
+    let changes = fetch_changes(state, client, &profile, &previous, known);
     let Ok(Some(page)) = tokio::time::timeout(budget.answer_timeout, changes).await else {
         log_lost("no answer", None);
         return None;
     };
-    let round_trip = state.now().since(asked);
+    let round_trip = state.now().since(sent_at);
     let age = page
         .age_ms
         .map(|age| Duration::from_millis(age) + round_trip);
@@ -147,7 +148,7 @@
     let now = Cursor {
         boot: page.boot,
         next: Some(page.next),
-        ..had
+        ..previous
     };
     let position = known.max(page.position);
     apply_page(state, page);
@@ -160,19 +161,19 @@
     state: &State,
     client: &Client,
     reader: &Profile,
-    had: &Cursor,
+    previous: &Cursor,
     known: Position,
 ) -> Option<Page> {
-    let by_place = Since::Position(known);
-    let after = had.next.map_or(by_place, Since::Sequence);
+    let by_position = Since::Position(known);
+    let after = previous.next.map_or(by_position, Since::Sequence);
     let page = fetch(state, client, reader, after).await?;
-    if page.boot == had.boot || after == by_place {
+    if page.boot == previous.boot || after == by_position {
         return Some(page);
     }
-    fetch(state, client, reader, by_place).await
+    fetch(state, client, reader, by_position).await
 }
 
-/// Fetches the registrations that changed since then from another instance.
+/// Fetches the registrations that changed later than `after` from another instance.
 pub async fn fetch(state: &State, client: &Client, peer: &Profile, after: Since) -> Option<Page> {
     let path = match after {
         Since::Sequence(number) => format!("{ENDPOINTS_PATH}?{AFTER_PARAM}={number}"),
@@ -228,7 +229,7 @@
     let age = state
         .registrations_as_of
         .get()
-        .map(|fresh| state.now().since(fresh));
+        .map(|as_of| state.now().since(as_of));
     let page = Page {
         boot: state.boot,
         next,
@@ -301,11 +302,11 @@
         event::STORE_FAILED.emit(format_args!("endpoint={name:?} reason=\"not a name\""));
         return;
     };
-    let within = leaves.map(Millis::duration);
+    let time_left = leaves.map(Millis::duration);
     let event = state
         .roster
         .borrow_mut()
-        .record_draining(state.now(), &id, at, within);
+        .record_draining(state.now(), &id, at, time_left);
     state.apply_event(event, at, PEER);
     state
         .changelog
