--- a/coltsfoothall/benches/gossip.rs
+++ b/coltsfoothall/benches/gossip.rs
@@ -27,9 +27,9 @@
 
 fn main() {
     for (instances, endpoints) in FLEETS {
-        loads(instances, endpoints);
-        counts(instances);
-        choices(endpoints);
+        bench_merge_loads(instances, endpoints);
+        bench_merge_counts(instances);
+        bench_choose(endpoints);
     }
 }
 
@@ -38,21 +38,21 @@
     println!("{name} {size}: {micros:.2} us");
 }
 
-fn name<T: std::str::FromStr>(kind: &str, at: usize) -> T
+fn name<T: std::str::FromStr>(kind: &str, index: usize) -> T
 where
     T::Err: std::fmt::Debug,
 {
-    format!("{kind}-{at:05}").parse().expect("a name")
+    format!("{kind}-{index:05}").parse().expect("a name")
 }
 
-fn entry(at: usize) -> Entry {
+fn entry(index: usize) -> Entry {
     Entry {
-        id: name("endpoint", at),
+        id: name("endpoint", index),
         born: Millis(1),
         service: "reader".parse().expect("a name"),
         version: None,
         address: "127.0.0.1:9".parse().expect("an address"),
-        domain: name("domain", at % 5),
+        domain: name("domain", index % 5),
         slots: 16,
         leaving: false,
         leaves: None,
@@ -63,13 +63,13 @@
 
 fn roster(endpoints: usize) -> Roster {
     let mut roster = Roster::new(Settings::default());
-    for at in 0..endpoints {
-        roster.registered(Time::START, entry(at));
+    for index in 0..endpoints {
+        roster.registered(Time::START, entry(index));
     }
     roster
 }
 
-fn loads(instances: u64, endpoints: usize) {
+fn bench_merge_loads(instances: u64, endpoints: usize) {
     let mut roster = roster(endpoints);
     let load = Load {
         open: 1,
@@ -79,39 +79,39 @@
     };
     let report = |boot: u64, round: usize| -> Vec<Count<Load>> {
         let first = (boot as usize * 31 + round * 7) % endpoints;
-        let mut at: Vec<usize> = (0..OPEN)
+        let mut indices: Vec<usize> = (0..OPEN)
             .map(|step| (first + step * 37) % endpoints)
             .collect();
-        at.sort_unstable();
-        at.dedup();
-        let count = |at| Count {
-            id: name("endpoint", at),
+        indices.sort_unstable();
+        indices.dedup();
+        let count = |index| Count {
+            id: name("endpoint", index),
             born: Millis(1),
             value: load,
         };
-        at.into_iter().map(count).collect()
+        indices.into_iter().map(count).collect()
     };
     let mut took = Duration::ZERO;
     for round in 0..ROUNDS {
         for boot in 0..instances {
             let report = report(boot, round);
-            let begun = Instant::now();
+            let started = Instant::now();
             black_box(roster.merge_loads(Time::START, boot, &report));
-            took += begun.elapsed();
+            took += started.elapsed();
         }
     }
     let size = format!("instances={instances} endpoints={endpoints}");
     print("load_heard", &size, instances * ROUNDS as u64, took);
-    let begun = Instant::now();
+    let started = Instant::now();
     for boot in 0..instances {
         roster.forget(boot);
     }
-    print("instance_forgotten", &size, instances, begun.elapsed());
+    print("instance_forgotten", &size, instances, started.elapsed());
 }
 
-fn counts(instances: u64) {
+fn bench_merge_counts(instances: u64) {
     let mut counter = usage::Counter::new(0, Duration::from_secs(5));
-    let workspaces: Vec<id::Workspace> = (0..WORKSPACES).map(|at| name("film", at)).collect();
+    let workspaces: Vec<id::Workspace> = (0..WORKSPACES).map(|index| name("film", index)).collect();
     let mut took = Duration::ZERO;
     for round in 0..ROUNDS as u64 {
         for boot in 1..=instances {
@@ -123,21 +123,21 @@
                     runs: 1,
                 })
                 .collect();
-            let begun = Instant::now();
+            let started = Instant::now();
             counter.merge_counts(boot, &counts);
-            took += begun.elapsed();
+            took += started.elapsed();
         }
     }
     let size = format!("instances={instances}");
     print("counts_heard", &size, instances * ROUNDS as u64, took);
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..100 {
         counter.record_start(ROUNDS as u64, &workspaces[3]);
     }
-    print("run_counted", &size, 100, begun.elapsed());
+    print("run_counted", &size, 100, started.elapsed());
 }
 
-fn choices(endpoints: usize) {
+fn bench_choose(endpoints: usize) {
     let roster = roster(endpoints);
     let service = "reader".parse().expect("a name");
     let domain = name("domain", 1);
@@ -145,7 +145,7 @@
         mark,
         tokens: Tokens(tokens),
     });
-    let ask = Query {
+    let query = Query {
         service: &service,
         parts: &parts,
         prompt: Tokens(5_600),
@@ -155,10 +155,10 @@
         memory: Some(Tokens(500_000)),
         versions: &Versions::Any,
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..100 {
-        black_box(roster.choose(Time::START, &ask)).expect("an endpoint");
+        black_box(roster.choose(Time::START, &query)).expect("an endpoint");
     }
     let size = format!("endpoints={endpoints}");
-    print("chosen", &size, 100, begun.elapsed());
+    print("chosen", &size, 100, started.elapsed());
 }
--- a/coltsfoothall/benches/verdict.rs
+++ b/coltsfoothall/benches/verdict.rs
@@ -91,14 +91,14 @@
         }
         let harm = if answer > kind.from { kind.harm } else { 0.0 };
         let failed = rng.random_bool(kind.usual) || rng.random_bool(harm);
-        let had = candidate;
+        let before = candidate;
         candidate.add(took, failed, Count::default());
-        detector.record(candidate.since(had), baseline);
-        let part = |count: Count| f64::from(count.bad) / f64::from(count.runs);
+        detector.record(candidate.since(before), baseline);
+        let share = |count: Count| f64::from(count.bad) / f64::from(count.runs);
         let above =
-            candidate.runs >= MIN_ANSWERS && part(candidate) > part(baseline) + EXCESS_THRESHOLD;
-        let ways = [detector.is_certain(), above];
-        for (found, now) in found.iter_mut().zip(ways) {
+            candidate.runs >= MIN_ANSWERS && share(candidate) > share(baseline) + EXCESS_THRESHOLD;
+        let verdicts = [detector.is_certain(), above];
+        for (found, now) in found.iter_mut().zip(verdicts) {
             if now && found.is_none() {
                 *found = Some(answer);
             }
@@ -111,16 +111,21 @@
     println!("kind | way | found of {SEEDS} | answers until then: median, 99 in 100");
     for kind in &KINDS {
         let plays: Vec<_> = (0..SEEDS).map(|seed| play(kind, seed)).collect();
-        for (way, name) in ["evidence", "threshold"].iter().enumerate() {
-            let mut after: Vec<u32> = plays.iter().filter_map(|found| found[way]).collect();
-            after.sort_unstable();
-            let at = |part: usize| after.get(after.len() * part / 100).copied().unwrap_or(0);
+        for (method, name) in ["evidence", "threshold"].iter().enumerate() {
+            let mut counts: Vec<u32> = plays.iter().filter_map(|found| found[method]).collect();
+            counts.sort_unstable();
+            let percentile = |percent: usize| {
+                counts
+                    .get(counts.len() * percent / 100)
+                    .copied()
+                    .unwrap_or(0)
+            };
             println!(
                 "{} | {name} | {} | {}, {}",
                 kind.name,
-                after.len(),
-                at(50),
-                at(99)
+                counts.len(),
+                percentile(50),
+                percentile(99)
             );
         }
     }
--- a/coltsfoothall/tests/forward_config.rs
+++ b/coltsfoothall/tests/forward_config.rs
@@ -64,9 +64,9 @@
     let draws = (0..1_000).filter_map(|draw| route.target(draw));
     let heavy = draws.filter(|service| service.as_str() == "a").count();
     assert_eq!(heavy, 900);
-    let idle = self::route("h", "/", &[("a", 0), ("b", 0)]);
+    let unweighted = self::route("h", "/", &[("a", 0), ("b", 0)]);
     assert_eq!(
-        idle.target(7).unwrap().as_str(),
+        unweighted.target(7).unwrap().as_str(),
         "a",
         "targets without weights are still served"
     );
@@ -91,12 +91,17 @@
     let name = |key: &str| {
         config
             .workspace_by_key(key)
-            .map(|have| have.name.to_string())
+            .map(|workspace| workspace.name.to_string())
     };
     assert_eq!(name("k1"), Some("zeta".into()));
     assert_eq!(name("k2"), Some("alpha".into()));
     assert_eq!(name("k"), None);
-    assert!(config.workspaces().iter().all(|have| have.keys.is_empty()));
+    assert!(
+        config
+            .workspaces()
+            .iter()
+            .all(|workspace| workspace.keys.is_empty())
+    );
     assert_eq!(config.limits.idle, Duration::from_secs(15));
 }
 
--- a/coltsfoothall/tests/forward_egress.rs
+++ b/coltsfoothall/tests/forward_egress.rs
@@ -22,12 +22,12 @@
 
 #[test]
 fn refused_while_busy() {
-    let mut outflow = Limiter::default();
+    let mut limiter = Limiter::default();
     let admitted = (0..20)
-        .filter(|_| outflow.admit(at(0), VALUE_BYTES))
+        .filter(|_| limiter.admit(at(0), VALUE_BYTES))
         .count();
     assert!((2..5).contains(&admitted), "{admitted} admitted at once");
-    assert!(outflow.admit(at(1_000), VALUE_BYTES), "others later");
+    assert!(limiter.admit(at(1_000), VALUE_BYTES), "others later");
     let mut large = Limiter::default();
     assert!(
         large.admit(at(0), 16 << 20),
@@ -37,22 +37,22 @@
 }
 
 /// All instances without the value repeatedly ask those that have it, which deliver what they
-/// admit after `carried` milliseconds. Returns the time until all have it.
-fn spread(seed: u64, have: usize, carried: u64) -> u64 {
+/// admit after `delivery_ms` milliseconds. Returns the time until all have it.
+fn spread(seed: u64, holders: usize, delivery_ms: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let mut outflows = vec![Limiter::default(); FLEET];
+    let mut limiters = vec![Limiter::default(); FLEET];
     let mut since: Vec<Option<u64>> = vec![None; FLEET];
-    since[..have].fill(Some(0));
+    since[..holders].fill(Some(0));
     let mut now = 0;
     while since.iter().any(Option::is_none) {
         now += REQUEST_INTERVAL_MS;
         assert!(now < MAX_SPREAD_MS, "seed {seed}: not all are served");
         let served = |since: &Option<u64>| since.is_some_and(|since| since <= now);
-        let sources: Vec<usize> = (0..FLEET).filter(|at| served(&since[*at])).collect();
+        let sources: Vec<usize> = (0..FLEET).filter(|index| served(&since[*index])).collect();
         for since in since.iter_mut().filter(|since| since.is_none()) {
             let source = sources[random.next_u64() as usize % sources.len()];
-            if outflows[source].admit(at(now), VALUE_BYTES) {
-                *since = Some(now + carried);
+            if limiters[source].admit(at(now), VALUE_BYTES) {
+                *since = Some(now + delivery_ms);
             }
         }
     }
--- a/coltsfoothall/tests/forward_gossip.rs
+++ b/coltsfoothall/tests/forward_gossip.rs
@@ -22,7 +22,7 @@
     format!("e-{number:04}").parse().unwrap()
 }
 
-fn place(revision: u64) -> Position {
+fn position(revision: u64) -> Position {
     let era = Era(0);
     Position { era, revision }
 }
@@ -39,7 +39,7 @@
         leaving: false,
         leaves: None,
         reclaimable: false,
-        position: place(revision),
+        position: position(revision),
     }
 }
 
@@ -77,25 +77,25 @@
     assert!(roster.nodes().iter().all(|node| node.load().open == 0));
 }
 
-/// An action of another instance, or a change of an endpoint.
+/// A report or loss of another instance, or a restart or expiry of an endpoint.
 #[derive(Debug, Clone)]
 enum Step {
-    Hears { boot: u64, loads: Vec<(usize, u32)> },
-    Forgets { boot: u64 },
-    Restarts { endpoint: usize },
-    Lapses { endpoint: usize },
+    Receive { boot: u64, loads: Vec<(usize, u32)> },
+    Forget { boot: u64 },
+    Restart { endpoint: usize },
+    Expire { endpoint: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let loads = prop::collection::btree_map(0..4_usize, 1..9_u32, 0..4);
     prop_oneof![
-        6 => (0..3_u64, loads).prop_map(|(boot, loads)| Step::Hears {
+        6 => (0..3_u64, loads).prop_map(|(boot, loads)| Step::Receive {
             boot,
             loads: loads.into_iter().collect(),
         }),
-        1 => (0..3_u64).prop_map(|boot| Step::Forgets { boot }),
-        1 => (0..4_usize).prop_map(|endpoint| Step::Restarts { endpoint }),
-        1 => (0..4_usize).prop_map(|endpoint| Step::Lapses { endpoint }),
+        1 => (0..3_u64).prop_map(|boot| Step::Forget { boot }),
+        1 => (0..4_usize).prop_map(|endpoint| Step::Restart { endpoint }),
+        1 => (0..4_usize).prop_map(|endpoint| Step::Expire { endpoint }),
     ]
 }
 
@@ -106,7 +106,7 @@
     fn last_told_counts(steps in prop::collection::vec(step(), 1..60)) {
         let mut roster = Roster::new(Settings::default());
         let mut born = [1_u64; 4];
-        let mut told = [[0_u32; 4]; 3];
+        let mut reports = [[0_u32; 4]; 3];
         let mut revision = 1;
         for number in 0..4 {
             roster.registered(at(0), entry(number, 1, 1));
@@ -114,35 +114,35 @@
         for step in steps {
             revision += 1;
             match step {
-                Step::Hears { boot, loads } => {
-                    let said: Vec<_> = loads
+                Step::Receive { boot, loads } => {
+                    let reported: Vec<_> = loads
                         .iter()
                         .map(|(number, count)| open(*number, born[*number], *count))
                         .collect();
-                    roster.merge_loads(at(revision), boot, &said);
-                    told[boot as usize] = [0; 4];
+                    roster.merge_loads(at(revision), boot, &reported);
+                    reports[boot as usize] = [0; 4];
                     for (number, count) in loads {
-                        told[boot as usize][number] = count;
+                        reports[boot as usize][number] = count;
                     }
                 }
-                Step::Forgets { boot } => {
+                Step::Forget { boot } => {
                     roster.forget(boot);
-                    told[boot as usize] = [0; 4];
+                    reports[boot as usize] = [0; 4];
                 }
-                Step::Restarts { endpoint } => {
+                Step::Restart { endpoint } => {
                     born[endpoint] += 1;
                     roster.registered(at(revision), entry(endpoint, born[endpoint], revision));
-                    told.iter_mut().for_each(|told| told[endpoint] = 0);
+                    reports.iter_mut().for_each(|report| report[endpoint] = 0);
                 }
-                Step::Lapses { endpoint } => {
-                    roster.removed(&id(endpoint), place(revision));
+                Step::Expire { endpoint } => {
+                    roster.removed(&id(endpoint), position(revision));
                     roster.registered(at(revision), entry(endpoint, born[endpoint], revision + 1));
                     revision += 1;
-                    told.iter_mut().for_each(|told| told[endpoint] = 0);
+                    reports.iter_mut().for_each(|report| report[endpoint] = 0);
                 }
             }
             for (number, node) in roster.nodes().iter().enumerate() {
-                let sum: u32 = told.iter().map(|told| told[number]).sum();
+                let sum: u32 = reports.iter().map(|report| report[number]).sum();
                 prop_assert_eq!(node.load().open, sum);
                 prop_assert_eq!(node.load().unread, u64::from(sum) * 100);
             }
--- a/coltsfoothall/tests/forward_history.rs
+++ b/coltsfoothall/tests/forward_history.rs
@@ -28,13 +28,13 @@
 proptest! {
     /// A position survives formatting and parsing.
     #[test]
-    fn place_from_text(position in position()) {
+    fn position_from_text(position in position()) {
         prop_assert_eq!(position.to_string().parse(), Ok(position));
     }
 }
 
 #[test]
-fn one_copy_alone() {
+fn first_era_fence() {
     let position = Position {
         era: Era(0),
         revision: 77,
@@ -51,7 +51,7 @@
 
 /// The store is restored at revision 40; values up to that revision may be from the era before.
 #[test]
-fn copy_dated_before() {
+fn positions_after_restore() {
     let mut eras = Eras::default();
     let first = eras.record(Some(Era(3)));
     assert_eq!(eras.at(first, 90).revision, 90);
--- a/coltsfoothall/tests/forward_lag.rs
+++ b/coltsfoothall/tests/forward_lag.rs
@@ -45,7 +45,7 @@
         lag.take_overdue(at(2_100)),
         Some((6, Duration::from_millis(2_100)))
     );
-    assert_eq!(lag.take_overdue(at(3_000)), None, "told before");
+    assert_eq!(lag.take_overdue(at(3_000)), None, "reported before");
     lag.record_applied(at(3_000), 6);
     lag.record_known(at(4_000), 8);
     assert!(lag.take_overdue(at(7_000)).is_some(), "another lag");
--- a/coltsfoothall/tests/forward_latency.rs
+++ b/coltsfoothall/tests/forward_latency.rs
@@ -13,7 +13,7 @@
     start: f64,
     read: f64,
     pairs: f64,
-    beside: f64,
+    per_open: f64,
 }
 
 impl Truth {
@@ -21,7 +21,7 @@
         self.start
             + self.read * sample.tokens as f64
             + self.pairs * sample.pairs as f64 / 1e6
-            + self.beside * f64::from(sample.open)
+            + self.per_open * f64::from(sample.open)
     }
 }
 
@@ -66,8 +66,8 @@
 fn assumed_at_first() {
     let settings = Settings::default();
     let model = Model::new(settings);
-    let nothing = model.first_event(Sample::default());
-    assert_eq!(nothing, Duration::from_micros(settings.start as u64));
+    let empty = model.first_event(Sample::default());
+    assert_eq!(empty, Duration::from_micros(settings.start as u64));
     let read = model.prefill(1_000, 0);
     assert!((read - settings.read * 1_000.0).abs() < 1.0, "{read}");
 }
@@ -80,21 +80,21 @@
         start: 60_000.0,
         read: 10.9,
         pairs: 350.0,
-        beside: 730.0,
+        per_open: 730.0,
     };
     let slow = Truth {
         start: 20_000.0,
         read: 32.0,
         pairs: 100.0,
-        beside: 100.0,
+        per_open: 100.0,
     };
     for (seed, truth) in [(1, fast), (2, slow), (3, fast), (4, slow)] {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut model = Model::new(Settings::default());
-        for (answers, most) in [(20, 0.35), (80, 0.15), (300, 0.10)] {
+        for (answers, max_error) in [(20, 0.35), (80, 0.15), (300, 0.10)] {
             learn(&mut model, truth, answers, &mut random);
             let error = error(&model, truth, &mut random);
-            assert!(error < most, "seed {seed} after {answers}: {error}");
+            assert!(error < max_error, "seed {seed} after {answers}: {error}");
         }
         let read = model.prefill(1_000, 0) / 1e3;
         assert!(
@@ -112,7 +112,7 @@
         start: 60_000.0,
         read: 10.9,
         pairs: 350.0,
-        beside: 730.0,
+        per_open: 730.0,
     };
     let mut random = Pcg64Mcg::seed_from_u64(5);
     let mut model = Model::new(Settings::default());
@@ -133,7 +133,7 @@
         start: 60_000.0,
         read: 10.9,
         pairs: 350.0,
-        beside: 850.0,
+        per_open: 850.0,
     };
     for seed in 0..5 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
@@ -147,14 +147,14 @@
             model.record(seen, Duration::from_micros(took as u64));
         }
         let event = model.event();
-        assert!(event < 3.0 * truth.beside, "seed {seed}: {event}");
+        assert!(event < 3.0 * truth.per_open, "seed {seed}: {event}");
     }
 }
 
 proptest! {
     /// For any answers, no coefficient is negative and the expected time is finite.
     #[test]
-    fn always_sound(answers in proptest::collection::vec(
+    fn coefficients_stay_valid(answers in proptest::collection::vec(
         (0_u64..200_000, 0_u64..20_000_000_000, 0_u32..2_000, 0_u64..120_000_000), 1..200)) {
         let mut model = Model::new(Settings::default());
         for (tokens, pairs, open, took) in answers {
--- a/coltsfoothall/tests/forward_leader.rs
+++ b/coltsfoothall/tests/forward_leader.rs
@@ -12,7 +12,7 @@
     Time::START + Duration::from_millis(millis)
 }
 
-fn place(revision: u64) -> Position {
+fn position(revision: u64) -> Position {
     let era = Era(1);
     Position { era, revision }
 }
@@ -41,7 +41,7 @@
     assert_eq!(leader.step(at(1_000), 2), Step::Rest);
     assert_eq!(leader.step(at(1_700), 2), Step::Rest);
     assert_eq!(leader.step(at(1_750), 2), Step::Claim);
-    leader.taken(place(5));
+    leader.taken(position(5));
     assert_eq!(leader.step(at(9_000), 2), Step::Rest);
 }
 
@@ -49,15 +49,15 @@
 fn acts_within_lease() {
     let mut leader = Leader::new(TERM);
     leader.freed(at(0));
-    leader.claimed(at(0), lease(7), place(12));
-    assert_eq!(leader.fence(at(2_000)), Some(Fence::from(place(12))));
+    leader.claimed(at(0), lease(7), position(12));
+    assert_eq!(leader.fence(at(2_000)), Some(Fence::from(position(12))));
     assert_eq!(
         leader.fence(at(2_250)),
         None,
         "the margin at the end of the lease"
     );
     leader.renewed(at(1_000), lease(7));
-    assert_eq!(leader.fence(at(3_000)), Some(Fence::from(place(12))));
+    assert_eq!(leader.fence(at(3_000)), Some(Fence::from(position(12))));
     leader.renewed(at(3_000), lease(99));
     assert_eq!(
         leader.fence(at(3_300)),
@@ -67,15 +67,15 @@
 }
 
 #[test]
-fn frozen_holder_silent() {
+fn frozen_leader_silent() {
     let mut leader = Leader::new(TERM);
-    leader.claimed(at(0), lease(7), place(12));
+    leader.claimed(at(0), lease(7), position(12));
     assert_eq!(
         leader.fence(at(60_000)),
         None,
         "the lease expires while the process is frozen"
     );
-    leader.taken(place(15));
+    leader.taken(position(15));
     leader.renewed(at(60_000), lease(7));
     assert_eq!(
         leader.fence(at(60_000)),
@@ -88,7 +88,7 @@
 #[test]
 fn stop_releases() {
     let mut leader = Leader::new(TERM);
-    leader.claimed(at(0), lease(7), place(12));
+    leader.claimed(at(0), lease(7), position(12));
     leader.stop();
     assert_eq!(leader.step(at(1), 0), Step::Release(lease(7)));
     leader.lost();
@@ -104,9 +104,9 @@
 #[test]
 fn claims_anew() {
     let mut leader = Leader::new(TERM);
-    leader.claimed(at(0), lease(7), place(900));
+    leader.claimed(at(0), lease(7), position(900));
     leader.record_era(Era(1));
-    assert_eq!(leader.fence(at(100)), Some(Fence::from(place(900))));
+    assert_eq!(leader.fence(at(100)), Some(Fence::from(position(900))));
     leader.record_era(Era(2));
     assert_eq!(leader.fence(at(100)), None, "no fence before a new claim");
     leader.renewed(at(100), lease(7));
@@ -117,13 +117,10 @@
     );
     leader.freed(at(200));
     assert_eq!(leader.step(at(200), 0), Step::Claim);
-    let (era, lower) = (Era(2), 13);
-    let created = Position {
-        era,
-        revision: lower,
-    };
+    let (era, revision) = (Era(2), 13);
+    let created = Position { era, revision };
     leader.claimed(at(200), Lease { id: 7, era }, created);
-    assert!(leader.fence(at(300)) > Some(Fence::from(place(900))));
+    assert!(leader.fence(at(300)) > Some(Fence::from(position(900))));
 }
 
 /// A lease that was granted before the restore, and a key that was written after it.
--- a/coltsfoothall/tests/forward_order.rs
+++ b/coltsfoothall/tests/forward_order.rs
@@ -46,14 +46,15 @@
     (load / Settings::default().max_utilization).ceil() as u32
 }
 
-/// A platform that executes orders at once, except for reclaimable endpoints while `dry`.
-struct Site {
+/// A platform that executes orders at once, but refuses reclaimable endpoints while
+/// `reclaimable_exhausted` is set.
+struct Platform {
     live: Vec<(id::Domain, Live)>,
     planner: Planner,
-    dry: bool,
+    reclaimable_exhausted: bool,
 }
 
-impl Site {
+impl Platform {
     fn new(on_demand: u32) -> Self {
         let live: Vec<(id::Domain, Live)> = NAMES
             .iter()
@@ -71,7 +72,7 @@
         Self {
             live,
             planner,
-            dry: false,
+            reclaimable_exhausted: false,
         }
     }
 
@@ -79,17 +80,17 @@
         let load = settled(load);
         for now in (from..to).step_by(300) {
             for order in self.planner.decide(at(now), load, &self.live) {
-                if order.reclaimable && self.dry {
+                if order.reclaimable && self.reclaimable_exhausted {
                     self.planner.refused(at(now), &order);
                 } else {
                     self.planner.accepted(&order);
-                    self.fill(&order);
+                    self.apply(&order);
                 }
             }
         }
     }
 
-    fn fill(&mut self, order: &Order) {
+    fn apply(&mut self, order: &Order) {
         let found = self.live.iter_mut().find(|(name, _)| *name == order.domain);
         let (_, live) = found.unwrap();
         if order.reclaimable {
@@ -108,7 +109,7 @@
     }
 
     /// Endpoints left after the loss of the domain with the most reclaimable ones.
-    fn left(&self) -> u32 {
+    fn capacity_after_loss(&self) -> u32 {
         let worst = self
             .live
             .iter()
@@ -121,72 +122,76 @@
 
 #[test]
 fn cheap_and_spread() {
-    let mut site = Site::new(6);
-    site.run(0, 20_000, 8.0);
-    assert!(site.on_demand() <= 2, "{:?}", site.live);
+    let mut platform = Platform::new(6);
+    platform.run(0, 20_000, 8.0);
+    assert!(platform.on_demand() <= 2, "{:?}", platform.live);
     assert!(
-        site.left() >= need(8.0),
+        platform.capacity_after_loss() >= need(8.0),
         "the load is carried after the loss of one domain: {:?}",
-        site.live
+        platform.live
     );
-    let south = &site.live[1].1;
+    let south = &platform.live[1].1;
     assert_eq!(
         south.on_demand,
-        site.on_demand(),
+        platform.on_demand(),
         "on-demand endpoints are in the cheapest domain"
     );
 }
 
 #[test]
 fn loss_replaced() {
-    let mut site = Site::new(6);
-    site.run(0, 20_000, 8.0);
-    site.dry = true;
-    site.live[0].1.reclaimable = 0;
-    site.run(20_000, 21_000, 8.0);
+    let mut platform = Platform::new(6);
+    platform.run(0, 20_000, 8.0);
+    platform.reclaimable_exhausted = true;
+    platform.live[0].1.reclaimable = 0;
+    platform.run(20_000, 21_000, 8.0);
     assert!(
-        site.left() >= need(8.0),
+        platform.capacity_after_loss() >= need(8.0),
         "ready for the next loss at once: {:?}",
-        site.live
+        platform.live
     );
-    site.live[1].1.reclaimable = 0;
-    site.live[2].1.reclaimable = 0;
-    site.run(21_000, 22_500, 8.0);
-    assert!(site.on_demand() >= need(8.0), "{:?}", site.live);
-    site.dry = false;
-    site.run(22_500, 45_000, 8.0);
+    platform.live[1].1.reclaimable = 0;
+    platform.live[2].1.reclaimable = 0;
+    platform.run(21_000, 22_500, 8.0);
+    assert!(platform.on_demand() >= need(8.0), "{:?}", platform.live);
+    platform.reclaimable_exhausted = false;
+    platform.run(22_500, 45_000, 8.0);
     assert!(
-        site.on_demand() <= 2,
+        platform.on_demand() <= 2,
         "reclaimable endpoints replace on-demand ones again: {:?}",
-        site.live
+        platform.live
     );
 }
 
 /// A load that falls for 3 s and recovers does not reduce the count; one that stays low does.
 #[test]
-fn trough_held() {
-    let mut site = Site::new(6);
+fn short_trough_ignored() {
+    let mut platform = Platform::new(6);
     let mut meter = Meter::new(at(0), Settings::default());
     let mut total = 0;
-    let mut run = |site: &mut Site, from: u64, to: u64, load: u64| {
+    let mut run = |platform: &mut Platform, from: u64, to: u64, load: u64| {
         for now in (from..to).step_by(300) {
             total += load * 300_000;
             meter.merge_work(at(now), 1, total);
-            for order in site
+            for order in platform
                 .planner
-                .decide(at(now), meter.load(at(now)), &site.live)
+                .decide(at(now), meter.load(at(now)), &platform.live)
             {
-                site.fill(&order);
+                platform.apply(&order);
             }
         }
     };
-    run(&mut site, 0, 30_000, 8);
-    let before = site.reclaimable();
-    run(&mut site, 30_000, 33_000, 3);
-    run(&mut site, 33_000, 45_000, 8);
-    assert_eq!(site.reclaimable(), before, "a short trough changes nothing");
-    run(&mut site, 45_000, 65_000, 3);
-    assert!(site.reclaimable() < before);
+    run(&mut platform, 0, 30_000, 8);
+    let before = platform.reclaimable();
+    run(&mut platform, 30_000, 33_000, 3);
+    run(&mut platform, 33_000, 45_000, 8);
+    assert_eq!(
+        platform.reclaimable(),
+        before,
+        "a short trough changes nothing"
+    );
+    run(&mut platform, 45_000, 65_000, 3);
+    assert!(platform.reclaimable() < before);
 }
 
 /// Reclaims in quick succession within one start-up time, while no reclaimable endpoints are
@@ -194,14 +199,14 @@
 /// next two.
 #[test]
 fn wave_borne() {
-    let mut site = Site::new(6);
-    site.run(0, 20_000, 8.0);
-    site.dry = true;
-    site.live[0].1.reclaimable = 0;
-    site.run(20_000, 21_000, 8.0);
-    let on_demand = site.on_demand();
-    site.live[1].1.reclaimable = 0;
-    site.live[2].1.reclaimable = 0;
+    let mut platform = Platform::new(6);
+    platform.run(0, 20_000, 8.0);
+    platform.reclaimable_exhausted = true;
+    platform.live[0].1.reclaimable = 0;
+    platform.run(20_000, 21_000, 8.0);
+    let on_demand = platform.on_demand();
+    platform.live[1].1.reclaimable = 0;
+    platform.live[2].1.reclaimable = 0;
     assert!(on_demand >= need(8.0), "{on_demand} of {}", need(8.0));
 }
 
@@ -223,13 +228,13 @@
         .collect();
     planner.decide(at(0), None, &none);
     let orders = planner.decide(at(300), None, &live);
-    let least = orders
+    let min_count = orders
         .iter()
         .filter(|order| order.reclaimable)
         .map(|order| order.count)
         .min();
     assert!(
-        least >= Some(5),
+        min_count >= Some(5),
         "the assumed load follows the registrations: {orders:?}"
     );
     assert!(
@@ -252,9 +257,9 @@
 
 #[test]
 fn domain_limits() {
-    let mut site = Site::new(1);
-    site.run(0, 20_000, 100.0);
-    for (name, live) in &site.live {
+    let mut platform = Platform::new(1);
+    platform.run(0, 20_000, 100.0);
+    for (name, live) in &platform.live {
         assert!(live.on_demand + live.reclaimable <= 12, "{name}: {live:?}");
         assert!(live.on_demand + live.reclaimable >= 1, "{name}: {live:?}");
     }
@@ -306,11 +311,11 @@
     };
     for now in (0..9_000).step_by(300) {
         let orders = planner.decide(at(now), Some(young), &live);
-        let less = orders
+        let reduced = orders
             .iter()
             .filter(|order| order.reclaimable && order.count < 5);
         assert_eq!(
-            less.count(),
+            reduced.count(),
             0,
             "the previous leader had ordered them for a reason"
         );
@@ -319,34 +324,38 @@
 
 #[test]
 fn assumed_load_is_stable() {
-    let mut site = Site::new(6);
+    let mut platform = Platform::new(6);
     for now in (0..9_000).step_by(300) {
-        for order in site.planner.decide(at(now), None, &site.live) {
-            site.fill(&order);
+        for order in platform.planner.decide(at(now), None, &platform.live) {
+            platform.apply(&order);
         }
     }
     assert!(
-        site.reclaimable() <= 18,
+        platform.reclaimable() <= 18,
         "orders of the planner do not count as load: {:?}",
-        site.live
+        platform.live
+    );
+    let assumed = 18.0 * Settings::default().initial_utilization;
+    assert!(
+        platform.capacity_after_loss() >= need(assumed),
+        "{:?}",
+        platform.live
     );
-    let guessed = 18.0 * Settings::default().initial_utilization;
-    assert!(site.left() >= need(guessed), "{:?}", site.live);
 }
 
 #[test]
 fn on_demand_is_stable() {
-    let mut site = Site::new(6);
-    site.run(0, 20_000, 10.0);
-    site.dry = true;
-    for (_, live) in &mut site.live {
+    let mut platform = Platform::new(6);
+    platform.run(0, 20_000, 10.0);
+    platform.reclaimable_exhausted = true;
+    for (_, live) in &mut platform.live {
         live.reclaimable = 0;
     }
-    site.run(20_000, 22_500, 10.0);
-    let before = site.live.clone();
-    site.run(22_500, 40_000, 10.0);
+    platform.run(20_000, 22_500, 10.0);
+    let before = platform.live.clone();
+    platform.run(22_500, 40_000, 10.0);
     assert_eq!(
-        before, site.live,
+        before, platform.live,
         "attempts to order reclaimable endpoints change nothing else"
     );
 }
@@ -355,22 +364,25 @@
 /// ones serve, the on-demand count is reduced, without the reduction delay.
 #[test]
 fn idle_given_back() {
-    let mut site = Site::new(6);
+    let mut platform = Platform::new(6);
     for now in (0..6_000).step_by(300) {
-        for order in site.planner.decide(at(now), None, &site.live) {
-            site.fill(&order);
+        for order in platform.planner.decide(at(now), None, &platform.live) {
+            platform.apply(&order);
         }
     }
-    assert!(site.on_demand() <= 2, "{:?}", site.live);
-    let before = site.live.clone();
+    assert!(platform.on_demand() <= 2, "{:?}", platform.live);
+    let before = platform.live.clone();
     let young = Some(Load {
         value: 0.5,
         settled: false,
     });
     for now in (6_000..8_000).step_by(300) {
-        for order in site.planner.decide(at(now), young, &site.live) {
-            site.fill(&order);
+        for order in platform.planner.decide(at(now), young, &platform.live) {
+            platform.apply(&order);
         }
     }
-    assert_eq!(before, site.live, "the endpoints for the assumed load stay");
+    assert_eq!(
+        before, platform.live,
+        "the endpoints for the assumed load stay"
+    );
 }
--- a/coltsfoothall/tests/forward_parts.rs
+++ b/coltsfoothall/tests/forward_parts.rs
@@ -20,7 +20,7 @@
 /// Shared prefixes in the requests.
 const PARTS: u64 = 40;
 /// Milliseconds between two heartbeats.
-const HEARTBEAT: u64 = 100;
+const HEARTBEAT_INTERVAL_MS: u64 = 100;
 
 fn at(millis: u64) -> Time {
     Time::START + Duration::from_millis(millis)
@@ -30,7 +30,7 @@
     format!("e{number}").parse().unwrap()
 }
 
-fn place(revision: u64) -> Position {
+fn position(revision: u64) -> Position {
     let era = Era(0);
     Position { era, revision }
 }
@@ -47,7 +47,7 @@
         leaving: false,
         leaves: None,
         reclaimable: false,
-        position: place(revision),
+        position: position(revision),
     }
 }
 
@@ -62,16 +62,16 @@
 /// Instances, endpoints, and which endpoint really prefilled which prefix.
 struct Fleet {
     rosters: Vec<Roster>,
-    read: Vec<(id::Endpoint, u64)>,
-    reads: u32,
+    prefilled: Vec<(id::Endpoint, u64)>,
+    prefills: u32,
 }
 
 impl Fleet {
     fn new(endpoints: u64) -> Self {
         let mut fleet = Self {
             rosters: vec![Roster::new(Settings::default()); INSTANCES],
-            read: Vec::new(),
-            reads: 0,
+            prefilled: Vec::new(),
+            prefills: 0,
         };
         (0..endpoints).for_each(|number| fleet.add(0, number));
         fleet
@@ -85,15 +85,16 @@
 
     fn remove(&mut self, number: u64) {
         for roster in &mut self.rosters {
-            roster.removed(&id(number), place(1_000 + number));
+            roster.removed(&id(number), position(1_000 + number));
         }
-        self.read.retain(|(endpoint, _)| *endpoint != id(number));
+        self.prefilled
+            .retain(|(endpoint, _)| *endpoint != id(number));
     }
 
-    fn tell(&mut self, now: u64, random: &mut Pcg64Mcg) {
+    fn gossip(&mut self, now: u64, random: &mut Pcg64Mcg) {
         for from in 0..INSTANCES {
-            let placed =
-                self.rosters[from].placements(at(now), Duration::from_millis(3 * HEARTBEAT));
+            let placed = self.rosters[from]
+                .placements(at(now), Duration::from_millis(3 * HEARTBEAT_INTERVAL_MS));
             for to in (0..INSTANCES).filter(|to| *to != from) {
                 if random.random_bool(0.95) {
                     self.rosters[to].merge_placements(at(now), &placed);
@@ -103,10 +104,10 @@
     }
 
     /// A request with a shared prefix arrives at a random instance.
-    fn ask(&mut self, now: u64, mark: u64, random: &mut Pcg64Mcg) {
+    fn request(&mut self, now: u64, mark: u64, random: &mut Pcg64Mcg) {
         let (service, domain) = ("reader".parse().unwrap(), "north".parse().unwrap());
         let parts = parts(mark, random.random());
-        let ask = Query {
+        let query = Query {
             service: &service,
             parts: &parts,
             prompt: Tokens(5_100),
@@ -117,14 +118,14 @@
             versions: &Versions::Any,
         };
         let roster = &mut self.rosters[random.random_range(0..INSTANCES)];
-        let pick = roster.choose(at(now), &ask).unwrap();
-        let mut run = roster.begin(at(now), &pick, &ask);
+        let pick = roster.choose(at(now), &query).unwrap();
+        let mut run = roster.begin(at(now), &pick, &query);
         roster.record_first_event(at(now + 60), &mut run);
         roster.finish(at(now + 60), &run, End::Whole);
-        let held = (pick.endpoint, mark);
-        if !self.read.contains(&held) {
-            self.read.push(held);
-            self.reads += 1;
+        let cached = (pick.endpoint, mark);
+        if !self.prefilled.contains(&cached) {
+            self.prefilled.push(cached);
+            self.prefills += 1;
         }
     }
 }
@@ -136,10 +137,10 @@
     for now in 0..20_000 {
         if now % 25 == 0 {
             let mark = random.random_range(0..PARTS);
-            fleet.ask(now, mark, &mut random);
+            fleet.request(now, mark, &mut random);
         }
-        if now % HEARTBEAT == 0 {
-            fleet.tell(now, &mut random);
+        if now % HEARTBEAT_INTERVAL_MS == 0 {
+            fleet.gossip(now, &mut random);
         }
         change(&mut fleet, now);
     }
@@ -156,25 +157,31 @@
                 fleet.add(now, 4 + now / 1_500);
             }
         });
-        let (reads, least) = (fleet.reads, PARTS as u32);
-        assert!(reads <= least * 5 / 4, "seed {seed}: {reads} of {least}");
+        let (prefills, min_prefills) = (fleet.prefills, PARTS as u32);
+        assert!(
+            prefills <= min_prefills * 5 / 4,
+            "seed {seed}: {prefills} of {min_prefills}"
+        );
     }
 }
 
 /// When endpoints are reclaimed, only the prefixes they had cached are prefilled again.
 #[test]
-fn lost_parts_alone() {
+fn only_lost_parts_prefilled() {
     for seed in 0..5 {
         let mut lost = 0;
         let fleet = play(seed, 8, |fleet, now| {
             if now % 5_000 == 4_999 {
-                let before = fleet.read.len();
+                let before = fleet.prefilled.len();
                 fleet.remove(now / 5_000);
-                lost += before - fleet.read.len();
+                lost += before - fleet.prefilled.len();
                 fleet.add(now, 20 + now / 5_000);
             }
         });
-        let (reads, least) = (fleet.reads, PARTS as u32 + lost as u32);
-        assert!(reads <= least * 5 / 4, "seed {seed}: {reads} of {least}");
+        let (prefills, min_prefills) = (fleet.prefills, PARTS as u32 + lost as u32);
+        assert!(
+            prefills <= min_prefills * 5 / 4,
+            "seed {seed}: {prefills} of {min_prefills}"
+        );
     }
 }
--- a/coltsfoothall/tests/forward_peer.rs
+++ b/coltsfoothall/tests/forward_peer.rs
@@ -199,25 +199,25 @@
     assert_eq!(ahead(&peers, at(0), 0), [2, 3, 8], "enough local instances");
 }
 
-/// All instances get heartbeats in turn, in batches small enough for a slow link.
+/// All instances get heartbeats over successive ticks, in batches small enough for a slow link.
 #[test]
 fn told_in_turns() {
     for count in [0, 1, 16, 17, 63, 329] {
         let all: Vec<SocketAddr> = (0..count)
             .map(|n| SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8], 7_500)))
             .collect();
-        let turns = batch::count(all.len(), MAX_HEARTBEATS_PER_BATCH);
-        let mut told = Vec::new();
-        for turn in 7..7 + turns {
-            let due = batch::select(&all, MAX_HEARTBEATS_PER_BATCH, turn);
+        let batches = batch::count(all.len(), MAX_HEARTBEATS_PER_BATCH);
+        let mut notified = Vec::new();
+        for tick in 7..7 + batches {
+            let recipients = batch::select(&all, MAX_HEARTBEATS_PER_BATCH, tick);
             assert!(
-                due.len() <= MAX_HEARTBEATS_PER_BATCH,
+                recipients.len() <= MAX_HEARTBEATS_PER_BATCH,
                 "{count}: {}",
-                due.len()
+                recipients.len()
             );
-            told.extend(due);
+            notified.extend(recipients);
         }
-        told.sort_unstable();
-        assert_eq!(told, all);
+        notified.sort_unstable();
+        assert_eq!(notified, all);
     }
 }
--- a/coltsfoothall/tests/forward_rate.rs
+++ b/coltsfoothall/tests/forward_rate.rs
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const ALONE: Coverage = Coverage {
+const SINGLE_INSTANCE: Coverage = Coverage {
     members: 1,
     heard: 1,
 };
@@ -47,8 +47,11 @@
 #[test]
 fn burst_then_rate() {
     let mut limiter = limiter(1_000.0, 500.0);
-    let take =
-        |limiter: &mut Limiter, now| limiter.take(now, &name(), Some(Tokens(100)), ALONE).is_ok();
+    let take = |limiter: &mut Limiter, now| {
+        limiter
+            .take(now, &name(), Some(Tokens(100)), SINGLE_INSTANCE)
+            .is_ok()
+    };
     let first = (0..10).filter(|_| take(&mut limiter, at(0))).count();
     assert_eq!(first, 5);
     let later = (0..10).filter(|n| take(&mut limiter, at(n * 100))).count();
@@ -59,20 +62,20 @@
 }
 
 #[test]
-fn wait_told() {
+fn retry_after_reported() {
     let mut limiter = limiter(1_000.0, 500.0);
     assert!(
         limiter
-            .take(at(0), &name(), Some(Tokens(500)), ALONE)
+            .take(at(0), &name(), Some(Tokens(500)), SINGLE_INSTANCE)
             .is_ok()
     );
     let short = limiter
-        .take(at(0), &name(), Some(Tokens(250)), ALONE)
+        .take(at(0), &name(), Some(Tokens(250)), SINGLE_INSTANCE)
         .unwrap_err();
     assert_eq!(short.retry_after, Duration::from_millis(250));
     assert!(
         limiter
-            .take(at(250), &name(), Some(Tokens(250)), ALONE)
+            .take(at(250), &name(), Some(Tokens(250)), SINGLE_INSTANCE)
             .is_ok()
     );
 }
@@ -81,7 +84,7 @@
 fn plain_amount() {
     let mut limiter = limiter(1_000.0, 500.0);
     let granted = (0..9)
-        .filter(|_| limiter.take(at(0), &name(), None, ALONE).is_ok())
+        .filter(|_| limiter.take(at(0), &name(), None, SINGLE_INSTANCE).is_ok())
         .count();
     assert_eq!(granted, 2, "a request without tokens counts as 200");
 }
@@ -91,18 +94,18 @@
     let mut limiter = limiter(1_000.0, 500.0);
     assert!(
         limiter
-            .take(at(0), &name(), Some(Tokens(3_000)), ALONE)
+            .take(at(0), &name(), Some(Tokens(3_000)), SINGLE_INSTANCE)
             .is_ok()
     );
     assert!(
         limiter
-            .take(at(2_000), &name(), Some(Tokens(1)), ALONE)
+            .take(at(2_000), &name(), Some(Tokens(1)), SINGLE_INSTANCE)
             .is_err(),
         "the deficit is paid back first"
     );
     assert!(
         limiter
-            .take(at(3_000), &name(), Some(Tokens(1)), ALONE)
+            .take(at(3_000), &name(), Some(Tokens(1)), SINGLE_INSTANCE)
             .is_ok()
     );
 }
@@ -112,11 +115,11 @@
     let mut limiter = limiter(0.0, 0.0);
     assert!(
         limiter
-            .take(at(0), &name(), Some(Tokens(1 << 40)), ALONE)
+            .take(at(0), &name(), Some(Tokens(1 << 40)), SINGLE_INSTANCE)
             .is_ok()
     );
     let other: id::Workspace = "other".parse().unwrap();
-    assert!(limiter.take(at(0), &other, None, ALONE).is_ok());
+    assert!(limiter.take(at(0), &other, None, SINGLE_INSTANCE).is_ok());
 }
 
 #[test]
@@ -125,12 +128,12 @@
     limiter.configure(at(0), &[workspace(10.0, 10.0)]);
     assert!(
         limiter
-            .take(at(0), &name(), Some(Tokens(10)), ALONE)
+            .take(at(0), &name(), Some(Tokens(10)), SINGLE_INSTANCE)
             .is_ok()
     );
     assert!(
         limiter
-            .take(at(0), &name(), Some(Tokens(10)), ALONE)
+            .take(at(0), &name(), Some(Tokens(10)), SINGLE_INSTANCE)
             .is_err()
     );
 }
@@ -180,37 +183,38 @@
     );
 }
 
-/// Plays instances that exchange their grants over a network with loss and partitions. Returns the
-/// units granted relative to the limit.
-fn granted(seed: u64, count: usize, loss: f64, parted: bool) -> f64 {
+/// Simulates instances that exchange their grants over a network with loss and partitions. Returns
+/// the units granted relative to the limit.
+fn granted(seed: u64, count: usize, loss: f64, partitioned: bool) -> f64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let (rate, burst) = (10_000.0, 10_000.0);
     let mut limiters: Vec<Limiter> = (0..count).map(|_| limiter(rate, burst)).collect();
-    let mut heard = vec![vec![0_u64; count]; count];
+    let mut last_seen = vec![vec![0_u64; count]; count];
     let mut granted = 0_u64;
     let span = 20_000;
     for now in 0..span {
-        let cut = parted && (5_000..15_000).contains(&now);
-        let together = |a: usize, b: usize| !cut || (a < count / 2) == (b < count / 2);
+        let is_split = partitioned && (5_000..15_000).contains(&now);
+        let connected = |a: usize, b: usize| !is_split || (a < count / 2) == (b < count / 2);
         if now % 100 == 0 {
             for from in 0..count {
                 let spent = limiters[from].granted();
                 for to in 0..count {
-                    if from != to && together(from, to) && !random.random_bool(loss) {
+                    if from != to && connected(from, to) && !random.random_bool(loss) {
                         limiters[to].merge_granted(from as u64, &spent);
-                        heard[to][from] = now;
+                        last_seen[to][from] = now;
                     }
                 }
             }
         }
-        let who = random.random_range(0..count);
-        let alive = (0..count).filter(|other| *other != who && now < heard[who][*other] + 1_200);
+        let instance = random.random_range(0..count);
+        let alive = (0..count)
+            .filter(|other| *other != instance && now < last_seen[instance][*other] + 1_200);
         let coverage = Coverage {
             members: count as u32,
             heard: alive.count() as u32 + 1,
         };
         let units = random.random_range(50..150);
-        if limiters[who]
+        if limiters[instance]
             .take(at(now), &name(), Some(Tokens(units)), coverage)
             .is_ok()
         {
@@ -221,26 +225,29 @@
 }
 
 #[test]
-fn whole_fleet_bounded() {
+fn fleet_total_bounded() {
     for seed in 0..10 {
-        let calm = granted(seed, 9, 0.0, false);
-        assert!((0.9..1.1).contains(&calm), "seed {seed}: {calm}");
+        let lossless = granted(seed, 9, 0.0, false);
+        assert!((0.9..1.1).contains(&lossless), "seed {seed}: {lossless}");
         let lossy = granted(seed, 9, 0.3, false);
         assert!((0.9..1.1).contains(&lossy), "seed {seed}: {lossy}");
-        let parted = granted(seed, 8, 0.05, true);
-        assert!((0.7..1.15).contains(&parted), "seed {seed}: {parted}");
+        let partitioned = granted(seed, 8, 0.05, true);
+        assert!(
+            (0.7..1.15).contains(&partitioned),
+            "seed {seed}: {partitioned}"
+        );
     }
 }
 
 proptest! {
     #[test]
-    fn never_over(units in proptest::collection::vec((0_u64..200, 1_u64..400), 1..200)) {
+    fn limit_never_exceeded(units in proptest::collection::vec((0_u64..200, 1_u64..400), 1..200)) {
         let mut limiter = limiter(1_000.0, 400.0);
         let mut now = 0;
         let mut granted = 0;
         for (pause, units) in units {
             now += pause;
-            if limiter.take(at(now), &name(), Some(Tokens(units)), ALONE).is_ok() {
+            if limiter.take(at(now), &name(), Some(Tokens(units)), SINGLE_INSTANCE).is_ok() {
                 granted += units;
             }
         }
@@ -268,18 +275,18 @@
             };
             asked[usize::from(large)] += 1;
             if limiter
-                .take(at(now), &name(), Some(Tokens(units)), ALONE)
+                .take(at(now), &name(), Some(Tokens(units)), SINGLE_INSTANCE)
                 .is_ok()
             {
                 granted[usize::from(large)] += 1;
             }
         }
-        let part = |kind: usize| f64::from(granted[kind]) / f64::from(asked[kind]);
+        let share = |kind: usize| f64::from(granted[kind]) / f64::from(asked[kind]);
         assert!(
-            part(1) >= 0.5 * part(0),
+            share(1) >= 0.5 * share(0),
             "seed {seed}: large {:.2}, small {:.2}",
-            part(1),
-            part(0)
+            share(1),
+            share(0)
         );
     }
 }
--- a/coltsfoothall/tests/forward_reader.rs
+++ b/coltsfoothall/tests/forward_reader.rs
@@ -1,4 +1,4 @@
-//! Who reads the endpoints' registrations in a large fleet.
+//! Choice of the instances that read endpoints' registrations from the store in a large fleet.
 
 #![expect(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -19,8 +19,10 @@
 }
 
 fn fleet(count: usize) -> Vec<id::Instance> {
-    let name = |at| format!("entry-{}-{at:03}", at % DOMAINS);
-    let mut names: Vec<id::Instance> = (0..count).map(|at| name(at).parse().unwrap()).collect();
+    let name = |index| format!("entry-{}-{index:03}", index % DOMAINS);
+    let mut names: Vec<id::Instance> = (0..count)
+        .map(|index| name(index).parse().unwrap())
+        .collect();
     names.sort_unstable();
     names
 }
@@ -31,7 +33,7 @@
 }
 
 /// The other instances of the failure domain, without those that are lost.
-fn near<'a>(
+fn local_candidates<'a>(
     fleet: &'a [id::Instance],
     me: &id::Instance,
     lost: &[Candidate<'_>],
@@ -50,14 +52,14 @@
     reading.source(
         now,
         candidate(me),
-        &near(fleet, me, &[]),
+        &local_candidates(fleet, me, &[]),
         fleet.len(),
         MAX_DIRECT_MEMBERS,
     )
 }
 
 /// All endpoints write their registration once a second. When all instances read these writes, 300
-/// instances and 2,997 endpoints needed 1.8 Gbit/s of the store's 1 Gbit/s, and the news that an
+/// instances and 2,997 endpoints needed 1.8 Gbit/s of the store's 1 Gbit/s, and the report that an
 /// endpoint is draining took 6.4 s. Only few instances may read, and followers must spread evenly
 /// over them.
 #[test]
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn small_fleets_read() {
+fn small_fleet_reads_store() {
     let fleet = fleet(MAX_DIRECT_MEMBERS);
     for me in &fleet {
         assert_eq!(
@@ -120,9 +122,9 @@
     assert_eq!(source(&reading, at(1_201), &fleet, me), Source::Store);
     assert_eq!(source(&reading, at(4_199), &fleet, me), Source::Store);
     asked.push(source(&reading, at(4_200), &fleet, me));
-    for (place, source) in asked.iter().enumerate() {
+    for (index, source) in asked.iter().enumerate() {
         assert!(
-            *source != Source::Store && !asked[..place].contains(source),
+            *source != Source::Store && !asked[..index].contains(source),
             "{asked:?}"
         );
     }
@@ -130,13 +132,13 @@
 
 /// Only consecutive failures lead to a read at the store.
 #[test]
-fn failures_apart() {
+fn separate_failures() {
     let fleet = fleet(195);
     let me = fleet.last().unwrap();
     let mut reading = Reading::default();
-    for turn in 0..10 {
-        reading.failed(at(turn * 1_000));
-        let other = source(&reading, at(turn * 1_000), &fleet, me);
+    for attempt in 0..10 {
+        reading.failed(at(attempt * 1_000));
+        let other = source(&reading, at(attempt * 1_000), &fleet, me);
         assert_ne!(other, Source::Store);
         reading.answered();
     }
@@ -152,11 +154,11 @@
         Megabits(if number / DOMAINS % 10 == 7 { 200 } else { 10 })
     };
     let candidates = |me: &id::Instance| {
-        let mut near = near(&fleet, me, &[]);
-        for other in &mut near {
+        let mut candidates_in_domain = local_candidates(&fleet, me, &[]);
+        for other in &mut candidates_in_domain {
             other.link = link(other.name);
         }
-        near
+        candidates_in_domain
     };
     for name in &fleet {
         let me = Candidate {
@@ -177,14 +179,14 @@
 fn readers_lost() {
     let fleet = fleet(195);
     let me = fleet.last().unwrap();
-    let all = near(&fleet, me, &[]);
+    let all = local_candidates(&fleet, me, &[]);
     let lost = &all[..READERS_PER_DOMAIN];
-    let heir = all[READERS_PER_DOMAIN].name;
+    let successor = all[READERS_PER_DOMAIN].name;
     let reading = Reading::default();
     let role = reading.source(
         at(0),
-        candidate(heir),
-        &near(&fleet, heir, lost),
+        candidate(successor),
+        &local_candidates(&fleet, successor, lost),
         195,
         MAX_DIRECT_MEMBERS,
     );
@@ -192,7 +194,7 @@
     let asked = reading.source(
         at(0),
         candidate(me),
-        &near(&fleet, me, lost),
+        &local_candidates(&fleet, me, lost),
         195,
         MAX_DIRECT_MEMBERS,
     );
@@ -201,7 +203,7 @@
 
 /// The instances of a small failure domain all read the store, as there are no other readers.
 #[test]
-fn few_in_domain() {
+fn small_domain_reads_store() {
     let fleet = fleet(195);
     let me: id::Instance = "entry-9-001".parse().unwrap();
     let reading = Reading::default();
@@ -217,14 +219,14 @@
     Sound,
     /// It does not answer.
     Frozen,
-    /// It answers that its knowledge is too old.
+    /// It answers that its data is too old.
     Stale,
 }
 
 /// Length of the spans in which a reader's health is constant.
 const SPAN: Duration = Duration::from_millis(700);
 
-/// Plays one follower for ten seconds. Returns the longest time for which it lacked a change.
+/// Simulates one follower for ten seconds. Returns the longest time for which it missed a change.
 fn longest_unknown(
     count: usize,
     drain: Duration,
@@ -233,11 +235,11 @@
 ) -> Duration {
     let fleet = fleet(count);
     let me = fleet.last().unwrap();
-    let readers = near(&fleet, me, &[]);
+    let readers = local_candidates(&fleet, me, &[]);
     let budget = Budget::of(drain);
     let mut reading = Reading::default();
     let mut delays = delays.iter().cycle();
-    let mut delay = |most: Duration| most.mul_f64(*delays.next().unwrap());
+    let mut delay = |max: Duration| max.mul_f64(*delays.next().unwrap());
     let (mut now, mut known) = (at(0), at(0));
     let mut longest = Duration::ZERO;
     while now < at(10_000) {
@@ -250,17 +252,17 @@
                 known = asked;
             }
             Source::Reader(name) => {
-                let place = readers.iter().position(|reader| *reader.name == name);
+                let index = readers.iter().position(|reader| *reader.name == name);
                 let span = now.since(Time::START).as_millis() / SPAN.as_millis();
-                let spans = &health[place.unwrap()];
+                let spans = &health[index.unwrap()];
                 match spans[span as usize % spans.len()] {
                     Health::Sound => {
-                        let way = delay(budget.answer);
-                        let age = delay(budget.oldest.saturating_sub(way));
-                        let told = now - age;
-                        now = now + way;
+                        let round_trip = delay(budget.answer);
+                        let age = delay(budget.oldest.saturating_sub(round_trip));
+                        let as_of = now - age;
+                        now = now + round_trip;
                         longest = longest.max(now.since(known));
-                        known = known.max(told);
+                        known = known.max(as_of);
                         reading.answered();
                         now = now + budget.pause;
                     }
@@ -289,7 +291,7 @@
 }
 
 proptest! {
-    /// Whatever the readers do, together or individually, and however old their knowledge is, a
+    /// Whatever the readers do, together or individually, and however old their data is, a
     /// follower learns of a draining endpoint within the time in which it must stop getting work.
     #[test]
     fn news_in_time(
--- a/coltsfoothall/tests/forward_roster.rs
+++ b/coltsfoothall/tests/forward_roster.rs
@@ -23,7 +23,7 @@
     name.parse().unwrap()
 }
 
-fn place(revision: u64) -> Position {
+fn position(revision: u64) -> Position {
     let era = Era(0);
     Position { era, revision }
 }
@@ -40,7 +40,7 @@
         leaving: false,
         leaves: None,
         reclaimable: false,
-        position: place(revision),
+        position: position(revision),
     }
 }
 
@@ -79,7 +79,7 @@
         }
     }
 
-    fn ask<'a>(&'a self, exclude: &'a [id::Endpoint]) -> Query<'a> {
+    fn query<'a>(&'a self, exclude: &'a [id::Endpoint]) -> Query<'a> {
         let prompt: u64 = self.parts.iter().map(|part| part.tokens.0).sum();
         Query {
             service: &self.service,
@@ -98,13 +98,13 @@
 fn no_endpoints() {
     let case = Case::new();
     assert_eq!(
-        roster(&[]).choose(at(0), &case.ask(&[])),
+        roster(&[]).choose(at(0), &case.query(&[])),
         Err(Unavailable::Absent)
     );
     let roster = roster(&["a"]);
     let exclude = [id("a")];
     assert_eq!(
-        roster.choose(at(0), &case.ask(&exclude)),
+        roster.choose(at(0), &case.query(&exclude)),
         Err(Unavailable::Absent)
     );
 }
@@ -116,18 +116,22 @@
     let event = roster.registered(at(1), leaving("a", 2));
     assert_eq!(event, Some(Event::Leaving(id("a"))));
     for _ in 0..20 {
-        let pick = roster.choose(at(2), &case.ask(&[])).unwrap();
+        let pick = roster.choose(at(2), &case.query(&[])).unwrap();
         assert_eq!(pick.endpoint, id("b"));
     }
-    assert_eq!(roster.registered(at(3), leaving("a", 3)), None, "told once");
+    assert_eq!(
+        roster.registered(at(3), leaving("a", 3)),
+        None,
+        "reported once"
+    );
 }
 
 #[test]
-fn news_first() {
+fn end_before_registration() {
     let mut roster = roster(&[]);
     let ended = Ended {
         id: id("a"),
-        position: place(5),
+        position: position(5),
     };
     assert_eq!(
         roster.merge_ended(&ended),
@@ -143,24 +147,24 @@
 }
 
 #[test]
-fn lapsed_comes_back() {
+fn expired_registers_again() {
     let case = Case::new();
     let mut roster = roster(&["a"]);
     assert_eq!(
-        roster.removed(&id("a"), place(7)),
+        roster.removed(&id("a"), position(7)),
         Some(Event::Gone(id("a")))
     );
     assert_eq!(
-        roster.choose(at(0), &case.ask(&[])),
+        roster.choose(at(0), &case.query(&[])),
         Err(Unavailable::Absent)
     );
     assert_eq!(
         roster.registered(at(1), entry("a", "north", 9)),
         Some(Event::Added(id("a")))
     );
-    assert!(roster.choose(at(1), &case.ask(&[])).is_ok());
+    assert!(roster.choose(at(1), &case.query(&[])).is_ok());
     assert_eq!(
-        roster.removed(&id("a"), place(7)),
+        roster.removed(&id("a"), position(7)),
         None,
         "the removal is older than the new registration"
     );
@@ -180,11 +184,11 @@
     let mut roster = roster(&["a", "b", "c", "d"]);
     let mut runs = Vec::new();
     for _ in 0..8 {
-        let ask = case.ask(&[]);
-        let pick = roster.choose(at(0), &ask).unwrap();
-        runs.push(roster.begin(at(0), &pick, &ask));
+        let query = case.query(&[]);
+        let pick = roster.choose(at(0), &query).unwrap();
+        runs.push(roster.begin(at(0), &pick, &query));
     }
-    assert!(roster.own_loads().iter().all(|said| said.value.open == 2));
+    assert!(roster.own_loads().iter().all(|load| load.value.open == 2));
     for run in &runs {
         roster.finish(at(1), run, End::Whole);
     }
@@ -192,7 +196,7 @@
 }
 
 #[test]
-fn others_count() {
+fn peer_loads_count() {
     let case = Case::new();
     let mut roster = roster(&["a", "b"]);
     let busy = Load {
@@ -203,13 +207,13 @@
     };
     let _ = roster.merge_loads(at(0), 1, &[count(id("a"), busy)]);
     assert_eq!(
-        roster.choose(at(0), &case.ask(&[])).unwrap().endpoint,
+        roster.choose(at(0), &case.query(&[])).unwrap().endpoint,
         id("b")
     );
     let _ = roster.merge_loads(at(0), 2, &[count(id("b"), busy)]);
     let _ = roster.merge_loads(at(0), 1, &[]);
     assert_eq!(
-        roster.choose(at(0), &case.ask(&[])).unwrap().endpoint,
+        roster.choose(at(0), &case.query(&[])).unwrap().endpoint,
         id("a")
     );
     roster.forget(2);
@@ -222,11 +226,11 @@
     let mut roster = roster(&["a"]);
     let mut runs = Vec::new();
     loop {
-        let ask = case.ask(&[]);
-        match roster.choose(at(0), &ask) {
-            Ok(pick) => runs.push(roster.begin(at(0), &pick, &ask)),
-            Err(nobody) => {
-                assert_eq!(nobody, Unavailable::Full);
+        let query = case.query(&[]);
+        match roster.choose(at(0), &query) {
+            Ok(pick) => runs.push(roster.begin(at(0), &pick, &query)),
+            Err(error) => {
+                assert_eq!(error, Unavailable::Full);
                 break;
             }
         }
@@ -241,46 +245,46 @@
     let case = Case::new();
     let roster = roster(&["a", "b"]);
     for (prompt, answer) in [(u64::MAX, u64::MAX), (100_000, 1), (1, 100_000)] {
-        let ask = Query {
+        let query = Query {
             prompt: Tokens(prompt),
             answer: Tokens(answer),
-            ..case.ask(&[])
+            ..case.query(&[])
         };
-        assert_eq!(roster.choose(at(0), &ask), Err(Unavailable::Large));
+        assert_eq!(roster.choose(at(0), &query), Err(Unavailable::Large));
     }
-    let whole = Query {
+    let fitting = Query {
         prompt: Tokens(99_900),
-        ..case.ask(&[])
+        ..case.query(&[])
     };
-    assert!(roster.choose(at(0), &whole).is_ok());
+    assert!(roster.choose(at(0), &fitting).is_ok());
 }
 
 #[test]
-fn shared_prefix_home() {
+fn shared_prefix_placement() {
     let mut case = Case::new();
     let part = |mark, tokens| Part {
         mark,
         tokens: Tokens(tokens),
     };
-    let mut homes = Vec::new();
+    let mut chosen = Vec::new();
     for shared in 0..40 {
         case.parts = vec![part(shared, 5_000), part(1_000 + shared, 500)];
         let one = roster(&["a", "b", "c", "d"])
-            .choose(at(0), &case.ask(&[]))
+            .choose(at(0), &case.query(&[]))
             .unwrap();
         case.parts[1].mark += 10_000;
         let two = roster(&["d", "c", "b", "a"])
-            .choose(at(0), &case.ask(&[]))
+            .choose(at(0), &case.query(&[]))
             .unwrap();
         assert_eq!(
             one.endpoint, two.endpoint,
             "all instances agree without communication"
         );
-        homes.push(one.endpoint);
+        chosen.push(one.endpoint);
     }
-    homes.sort();
-    homes.dedup();
-    assert_eq!(homes.len(), 4, "prefixes spread over the endpoints");
+    chosen.sort();
+    chosen.dedup();
+    assert_eq!(chosen.len(), 4, "prefixes spread over the endpoints");
 }
 
 #[test]
@@ -297,11 +301,11 @@
         },
     ];
     let mut roster = roster(&["a", "b", "c"]);
-    let ask = case.ask(&[]);
-    let first = roster.choose(at(0), &ask).unwrap();
-    let run = roster.begin(at(0), &first, &ask);
+    let query = case.query(&[]);
+    let first = roster.choose(at(0), &query).unwrap();
+    let run = roster.begin(at(0), &first, &query);
     roster.finish(at(100), &run, End::Whole);
-    let again = roster.choose(at(200), &ask).unwrap();
+    let again = roster.choose(at(200), &query).unwrap();
     assert_eq!(again.endpoint, first.endpoint);
     assert_eq!(again.unread, Tokens(0));
 }
@@ -311,14 +315,14 @@
     let case = Case::new();
     let mut roster = roster(&["a", "b"]);
     for n in 0..6 {
-        let ask = case.ask(&[]);
-        let mut pick = roster.choose(at(n), &ask).unwrap();
+        let query = case.query(&[]);
+        let mut pick = roster.choose(at(n), &query).unwrap();
         pick.endpoint = id("a");
-        let run = roster.begin(at(n), &pick, &ask);
+        let run = roster.begin(at(n), &pick, &query);
         roster.finish(at(n), &run, End::Failed);
     }
     assert_eq!(
-        roster.choose(at(9), &case.ask(&[])).unwrap().endpoint,
+        roster.choose(at(9), &case.query(&[])).unwrap().endpoint,
         id("b")
     );
 }
@@ -327,9 +331,9 @@
 fn silent_avoided() {
     let case = Case::new();
     let mut roster = roster(&["a", "b"]);
-    let ask = case.ask(&[]);
-    let pick = roster.choose(at(0), &ask).unwrap();
-    let _run = roster.begin(at(0), &pick, &ask);
+    let query = case.query(&[]);
+    let pick = roster.choose(at(0), &query).unwrap();
+    let _run = roster.begin(at(0), &pick, &query);
     let busy = Load {
         open: 3,
         unread: 20_000,
@@ -343,10 +347,10 @@
     };
     let _ = roster.merge_loads(at(0), 1, &[count(other.clone(), busy)]);
     assert_eq!(
-        roster.choose(at(100), &ask).unwrap().endpoint,
+        roster.choose(at(100), &query).unwrap().endpoint,
         pick.endpoint
     );
-    assert_eq!(roster.choose(at(4_000), &ask).unwrap().endpoint, other);
+    assert_eq!(roster.choose(at(4_000), &query).unwrap().endpoint, other);
 }
 
 #[test]
@@ -356,7 +360,7 @@
     roster.registered(at(0), entry("a", "south", 1));
     roster.registered(at(0), entry("b", "north", 1));
     assert_eq!(
-        roster.choose(at(0), &case.ask(&[])).unwrap().endpoint,
+        roster.choose(at(0), &case.query(&[])).unwrap().endpoint,
         id("b")
     );
 }
@@ -379,12 +383,12 @@
             match kind {
                 0 => drop(roster.registered(at(0), entry("a", "north", revision))),
                 1 => drop(roster.registered(at(0), leaving("a", revision))),
-                _ => drop(roster.merge_ended(&Ended { id: id("a"), position: place(revision) })),
+                _ => drop(roster.merge_ended(&Ended { id: id("a"), position: position(revision) })),
             }
         }
-        let works = roster.choose(at(0), &Case::new().ask(&[])).is_ok();
+        let is_chosen = roster.choose(at(0), &Case::new().query(&[])).is_ok();
         if last.0 != 0 {
-            prop_assert!(!works);
+            prop_assert!(!is_chosen);
         }
     }
 }
@@ -394,24 +398,24 @@
     let case = Case::new();
     let (mut one, mut two) = (roster(&["a", "b"]), roster(&["a", "b"]));
     let fail = |roster: &mut Roster, now: u64| {
-        let ask = case.ask(&[]);
-        let mut pick = roster.choose(at(now), &ask).unwrap();
+        let query = case.query(&[]);
+        let mut pick = roster.choose(at(now), &query).unwrap();
         pick.endpoint = id("a");
-        let run = roster.begin(at(now), &pick, &ask);
+        let run = roster.begin(at(now), &pick, &query);
         roster.finish(at(now), &run, End::Failed);
     };
     fail(&mut one, 0);
     fail(&mut one, 1);
     two.merge_failures(at(2), 7, &one.failure_counts());
     assert_eq!(
-        two.choose(at(2), &case.ask(&[])).unwrap().endpoint,
+        two.choose(at(2), &case.query(&[])).unwrap().endpoint,
         id("b"),
         "before any failure of its own"
     );
     let before = two.clone();
     two.merge_failures(at(3), 7, &one.failure_counts());
-    let wait = |roster: &Roster| roster.failure_rate(at(3), &id("a"));
-    assert_eq!(wait(&before), wait(&two), "the same report counts once");
+    let rate = |roster: &Roster| roster.failure_rate(at(3), &id("a"));
+    assert_eq!(rate(&before), rate(&two), "the same report counts once");
 }
 
 #[test]
@@ -419,10 +423,10 @@
     let case = Case::new();
     let mut roster = roster(&["a", "b"]);
     for now in 0..4 {
-        let ask = case.ask(&[]);
-        let mut pick = roster.choose(at(now), &ask).unwrap();
+        let query = case.query(&[]);
+        let mut pick = roster.choose(at(now), &query).unwrap();
         pick.endpoint = id("a");
-        let run = roster.begin(at(now), &pick, &ask);
+        let run = roster.begin(at(now), &pick, &query);
         roster.finish(at(now), &run, End::Failed);
     }
     let busy = Load {
@@ -433,11 +437,14 @@
     };
     let _ = roster.merge_loads(at(0), 1, &[count(id("b"), busy)]);
     assert_eq!(
-        roster.choose(at(100), &case.ask(&[])).unwrap().endpoint,
+        roster.choose(at(100), &case.query(&[])).unwrap().endpoint,
         id("b")
     );
     assert_eq!(
-        roster.choose(at(20_000), &case.ask(&[])).unwrap().endpoint,
+        roster
+            .choose(at(20_000), &case.query(&[]))
+            .unwrap()
+            .endpoint,
         id("a"),
         "tried again"
     );
@@ -462,11 +469,11 @@
     }];
     let mut roster = Roster::new(Settings::default());
     roster.registered(at(0), restarted("a", 1_000, 1));
-    let ask = case.ask(&[]);
-    let pick = roster.choose(at(0), &ask).unwrap();
-    let old = roster.begin(at(0), &pick, &ask);
+    let query = case.query(&[]);
+    let pick = roster.choose(at(0), &query).unwrap();
+    let old = roster.begin(at(0), &pick, &query);
     for now in 1..6 {
-        let run = roster.begin(at(now), &pick, &ask);
+        let run = roster.begin(at(now), &pick, &query);
         roster.finish(at(now), &run, End::Failed);
     }
     let left = Entry {
@@ -479,9 +486,9 @@
     assert_eq!(roster.failure_rate(at(20), &id("a")), 0.0);
     let node = roster.node(&id("a")).unwrap();
     assert_eq!(node.load(), Load::default());
-    let pick = roster.choose(at(20), &ask).unwrap();
+    let pick = roster.choose(at(20), &query).unwrap();
     assert_eq!(pick.unread, Tokens(3_000), "its cache is empty");
-    let new = roster.begin(at(20), &pick, &ask);
+    let new = roster.begin(at(20), &pick, &query);
     roster.finish(at(30), &old, End::Failed);
     assert_eq!(
         roster.node(&id("a")).unwrap().load().open,
@@ -510,18 +517,18 @@
         open: 1,
         ..Load::default()
     };
-    let said = |born| Count {
+    let report = |born| Count {
         id: id("a"),
         born: Millis(born),
         value,
     };
-    assert_eq!(roster.merge_loads(at(1), 7, &[said(500)]), []);
+    assert_eq!(roster.merge_loads(at(1), 7, &[report(500)]), []);
     assert_eq!(roster.node(&id("a")).unwrap().load().open, 0);
-    let told = roster.merge_loads(at(2), 8, &[said(2_000)]);
-    assert_eq!(told, [Event::Restarted(id("a"))]);
+    let events = roster.merge_loads(at(2), 8, &[report(2_000)]);
+    assert_eq!(events, [Event::Restarted(id("a"))]);
     let node = roster.node(&id("a")).unwrap();
     assert_eq!((node.load().open, node.entry.leaving), (1, false));
-    assert_eq!(roster.merge_loads(at(3), 9, &[said(1_000)]), []);
+    assert_eq!(roster.merge_loads(at(3), 9, &[report(1_000)]), []);
     assert_eq!(roster.node(&id("a")).unwrap().load().open, 1);
 }
 
@@ -537,23 +544,23 @@
             steps.swap(n, (seed.rotate_left(n as u32) % len as u64) as usize);
         }
         let mut roster = Roster::new(Settings::default());
-        let said = |born: u64, open: u32| Count { id: id("a"), born: Millis(born), value: Load { open, ..Load::default() } };
+        let report = |born: u64, open: u32| Count { id: id("a"), born: Millis(born), value: Load { open, ..Load::default() } };
         let failed = |born: u64| Count { id: id("a"), born: Millis(born), value: 4_u32 };
         for step in steps {
             match step {
                 0 => drop(roster.registered(at(0), restarted("a", 1_000, 1))),
                 1 => drop(roster.registered(at(0), Entry { leaving: true, ..restarted("a", 1_000, 2) })),
-                2 => drop(roster.removed(&id("a"), place(3))),
+                2 => drop(roster.removed(&id("a"), position(3))),
                 3 => drop(roster.registered(at(0), restarted("a", 2_000, 4))),
-                4 => drop(roster.merge_loads(at(0), 7, &[said(1_000, 5)])),
-                5 => drop(roster.merge_loads(at(0), 8, &[said(2_000, 2)])),
+                4 => drop(roster.merge_loads(at(0), 7, &[report(1_000, 5)])),
+                5 => drop(roster.merge_loads(at(0), 8, &[report(2_000, 2)])),
                 6 => roster.merge_failures(at(0), 7, &[failed(1_000)]),
-                _ => drop(roster.merge_ended(&Ended { id: id("a"), position: place(2) })),
+                _ => drop(roster.merge_ended(&Ended { id: id("a"), position: position(2) })),
             }
         }
         // A heartbeat holds the complete report of its sender, and the next one follows soon.
-        drop(roster.merge_loads(at(1), 7, &[said(1_000, 5)]));
-        drop(roster.merge_loads(at(1), 8, &[said(2_000, 2)]));
+        drop(roster.merge_loads(at(1), 7, &[report(1_000, 5)]));
+        drop(roster.merge_loads(at(1), 8, &[report(2_000, 2)]));
         let node = roster.node(&id("a")).unwrap();
         prop_assert_eq!(node.entry.born, Millis(2_000));
         prop_assert_eq!(node.load().open, 2);
@@ -576,19 +583,19 @@
     };
     let ended = Ended {
         id: id("a"),
-        position: place(95),
+        position: position(95),
     };
     assert_eq!(roster.merge_ended(&ended), Some(Event::Leaving(id("a"))));
     assert_eq!(
         roster.registered(at(1), again(0, 40)),
         None,
-        "from the copy"
+        "from the backup"
     );
     assert!(roster.node(&id("a")).unwrap().entry.leaving);
     assert_eq!(roster.registered(at(2), again(1, 41)), None);
     assert!(
         !roster.node(&id("a")).unwrap().entry.leaving,
-        "written since"
+        "written after the restore"
     );
     let gone = Position {
         era: Era(1),
@@ -601,16 +608,20 @@
 #[test]
 fn leaving_told() {
     let mut roster = roster(&["a", "b"]);
-    let left = roster.left(at(1), &id("a"), place(2), Some(Duration::from_secs(1)));
+    let left = roster.left(at(1), &id("a"), position(2), Some(Duration::from_secs(1)));
     assert_eq!(left, Some(Event::Leaving(id("a"))));
     assert!(roster.node(&id("a")).unwrap().entry.leaving);
-    assert_eq!(roster.left(at(2), &id("a"), place(3), None), None, "once");
+    assert_eq!(
+        roster.left(at(2), &id("a"), position(3), None),
+        None,
+        "once"
+    );
     // Older than the known registration.
     roster.registered(at(3), entry("b", "north", 9));
-    assert_eq!(roster.left(at(4), &id("b"), place(8), None), None);
+    assert_eq!(roster.left(at(4), &id("b"), position(8), None), None);
     assert!(!roster.node(&id("b")).unwrap().entry.leaving);
     // Not known yet: an older registration that arrives later takes no work.
-    assert_eq!(roster.left(at(5), &id("c"), place(5), None), None);
+    assert_eq!(roster.left(at(5), &id("c"), position(5), None), None);
     let added = roster.registered(at(6), entry("c", "north", 4));
     assert_eq!(added, Some(Event::Leaving(id("c"))));
 }
@@ -630,11 +641,11 @@
         roster.registered(at(0), entry);
     }
     let among = |versions: &Versions| {
-        let ask = Query {
+        let query = Query {
             versions,
-            ..case.ask(&[])
+            ..case.query(&[])
         };
-        roster.choose(at(0), &ask).map(|pick| pick.among)
+        roster.choose(at(0), &query).map(|pick| pick.among)
     };
     assert_eq!(among(&Versions::Any), Ok(3));
     assert_eq!(among(&Versions::Only(new.clone())), Ok(1));
--- a/coltsfoothall/tests/forward_stop.rs
+++ b/coltsfoothall/tests/forward_stop.rs
@@ -1,9 +1,9 @@
 //! A graceful shutdown accepts only requests that end before it does.
 //!
-//! The load consists of streams that cannot be retried, with a time limit of 15 s. They have 64
-//! events on average and 184 at most, log-normally distributed with sigma 0.44, at 25 ms per event,
-//! or 0.7 to 1.5 times that depending on the batch. These figures were measured on the deployments
-//! served. Callers keep using open connections for as long as they keep addresses.
+//! The load consists of drafts: streams that cannot be retried, with a time limit of 15 s. They have
+//! 64 events on average and 184 at most, log-normally distributed with sigma 0.44, at 25 ms per
+//! event, or 0.7 to 1.5 times that depending on the batch. These figures were measured on the
+//! deployments served. Callers keep using open connections for as long as they keep addresses.
 
 use std::time::Duration;
 
@@ -15,11 +15,11 @@
 use rand_pcg::Pcg64Mcg;
 
 const SECOND: Duration = Duration::from_secs(1);
-const GRACE: Duration = Duration::from_secs(8);
+const GRACE_PERIOD: Duration = Duration::from_secs(8);
 /// Time limit of a draft.
-const LIMIT: Duration = Duration::from_secs(15);
+const TIME_LIMIT: Duration = Duration::from_secs(15);
 /// Typical time of a draft.
-const USUAL: Duration = Duration::from_millis(64 * 25);
+const TYPICAL_DURATION: Duration = Duration::from_millis(64 * 25);
 
 fn at(millis: u64) -> Time {
     Time::START + Duration::from_millis(millis)
@@ -27,7 +27,7 @@
 
 #[test]
 fn moments_from_signal() {
-    let stop = Stop::new(at(50_404), GRACE, SECOND);
+    let stop = Stop::new(at(50_404), GRACE_PERIOD, SECOND);
     assert_eq!(stop.signalled, at(50_404));
     assert_eq!(
         stop.closes,
@@ -58,7 +58,7 @@
         history.record("draft", draft(random));
     }
     Need {
-        limit: LIMIT,
+        limit: TIME_LIMIT,
         longest: history.longest("draft"),
         elsewhere,
     }
@@ -67,9 +67,9 @@
 /// While another instance accepts requests, no draft that could be cut off is accepted, whatever the
 /// recorded times. A request whose limit ends within the time left is accepted.
 #[test]
-fn promise_kept() {
+fn uncertain_rejected() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
-    let stop = Stop::new(at(0), GRACE, SECOND);
+    let stop = Stop::new(at(0), GRACE_PERIOD, SECOND);
     for now in (0..8_000).step_by(50).map(at) {
         let draft = need(&mut random, true);
         assert!(!stop.allows(now, draft), "15 s at {now}");
@@ -85,22 +85,22 @@
 /// accepted early in the shutdown, and fewer than one in a hundred of those accepted are cut off.
 #[test]
 fn alone() {
-    let (mut taken, mut cut) = (0, 0);
+    let (mut accepted, mut cut) = (0, 0);
     for seed in 0..100 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let need = need(&mut random, false);
-        let stop = Stop::new(at(0), GRACE, SECOND);
-        assert!(need.time() > USUAL, "seed {seed}");
+        let stop = Stop::new(at(0), GRACE_PERIOD, SECOND);
+        assert!(need.time() > TYPICAL_DURATION, "seed {seed}");
         for _ in 0..100 {
             let now = at(random.random_range(0..3_000));
             if stop.allows(now, need) {
-                taken += 1;
+                accepted += 1;
                 cut += u32::from(now + draft(&mut random) > stop.cuts);
             }
         }
     }
-    assert!(taken > 5_000, "{taken} of 10,000 accepted");
-    assert!(cut * 100 < taken, "{cut} of {taken} cut off");
+    assert!(accepted > 5_000, "{accepted} of 10,000 accepted");
+    assert!(cut * 100 < accepted, "{cut} of {accepted} cut off");
 }
 
 /// One answer in twenty is long, and the short ones do not displace it.
@@ -120,11 +120,11 @@
     history.record("b", SECOND);
     assert_eq!(history.longest("a"), None, "each route has its own history");
     let need = Need {
-        limit: LIMIT,
+        limit: TIME_LIMIT,
         longest: history.longest("a"),
         elsewhere: false,
     };
-    assert_eq!(need.time(), LIMIT);
+    assert_eq!(need.time(), TIME_LIMIT);
     for n in 0..5_000 {
         history.record(&format!("route {n}"), SECOND);
     }
@@ -155,7 +155,7 @@
         longest in prop::option::of(0..20_000_u64),
         elsewhere: bool,
     ) {
-        let stop = Stop::new(at(signal), GRACE, SECOND);
+        let stop = Stop::new(at(signal), GRACE_PERIOD, SECOND);
         let now = at(signal + later);
         let limit = Duration::from_millis(limit);
         let longest = longest.map(Duration::from_millis);
--- a/coltsfoothall/tests/forward_upgrade.rs
+++ b/coltsfoothall/tests/forward_upgrade.rs
@@ -49,7 +49,7 @@
     version("v2")
 }
 
-fn place(revision: u64) -> Position {
+fn position(revision: u64) -> Position {
     let era = Era(1);
     Position { era, revision }
 }
@@ -59,7 +59,7 @@
         service: service(),
         target: version("v2"),
         limit: Duration::from_secs(limit),
-        position: place(revision),
+        position: position(revision),
     }
 }
 
@@ -81,7 +81,7 @@
 
 /// A fleet of instances in front of endpoints of both versions.
 struct Fleet {
-    books: Vec<Registry>,
+    registries: Vec<Registry>,
     /// Instances that neither send nor receive heartbeats.
     silent: usize,
     rng: StdRng,
@@ -96,14 +96,14 @@
 
 impl Fleet {
     fn new(count: usize, silent: usize, fault: Fault, seed: u64) -> Self {
-        let book = |number| Registry::new(Settings::default(), seed ^ number << 32);
-        let mut books: Vec<Registry> = (0..count as u64).map(book).collect();
-        for book in &mut books {
-            assert!(book.ordered(at(0), order(12, 5)));
-            book.record_present(&service(), Some(&old()));
+        let registry = |number| Registry::new(Settings::default(), seed ^ number << 32);
+        let mut registries: Vec<Registry> = (0..count as u64).map(registry).collect();
+        for registry in &mut registries {
+            assert!(registry.ordered(at(0), order(12, 5)));
+            registry.record_present(&service(), Some(&old()));
         }
         Self {
-            books,
+            registries,
             silent,
             rng: StdRng::seed_from_u64(seed),
             fault,
@@ -117,13 +117,13 @@
     }
 
     /// Whether an answer of the candidate fails, and the factor by which it is slower.
-    fn spoils(&mut self, now: Time, route: usize) -> (bool, u32) {
+    fn inject_fault(&mut self, now: Time, route: usize) -> (bool, u32) {
         let seconds = now.since(Time::START).as_secs();
-        let part = match self.fault {
+        let share = match self.fault {
             Fault::Nothing => 0.0,
-            Fault::Fails(part) => part,
-            Fault::Slow(part) => {
-                return (false, if self.rng.random_bool(part) { 5 } else { 1 });
+            Fault::Fails(share) => share,
+            Fault::Slow(share) => {
+                return (false, if self.rng.random_bool(share) { 5 } else { 1 });
             }
             Fault::OneRoute(bad) => f64::from(u8::from(bad == route)) / 3.0,
             Fault::From(second) => f64::from(u8::from(seconds >= second)) / 2.0,
@@ -135,88 +135,92 @@
                 f64::from(u8::from(self.this_second.1 > rate)) / 2.0
             }
         };
-        (self.rng.random_bool(part), 1)
+        (self.rng.random_bool(share), 1)
     }
 
     fn request(&mut self, now: Time, instance: usize) {
         let drawn = self.rng.random_range(0..10);
-        let mut rest = drawn;
+        let mut remaining = drawn;
         let route = ROUTES.iter().position(|(_, weight, _)| {
-            let found = rest < *weight;
-            rest = rest.saturating_sub(*weight);
+            let found = remaining < *weight;
+            remaining = remaining.saturating_sub(*weight);
             found
         });
         let route = route.unwrap();
         let (name, _, usual) = ROUTES[route];
-        let versions = self.books[instance].versions(&service(), name);
+        let versions = self.registries[instance].versions(&service(), name);
         let is_candidate = versions[0].has(Some(&new()));
         let run = version(if is_candidate { "v2" } else { "v1" });
-        self.books[instance].record_sent(&service(), name, Some(&run));
+        self.registries[instance].record_sent(&service(), name, Some(&run));
         let mut failed = self.rng.random_bool(usual);
         // Answer times of the baseline vary by a factor of three in both directions.
         let spread: f64 = self.rng.random_range(-1.0..1.0);
         let mut took = Duration::from_millis(100).mul_f64(3_f64.powf(spread));
-        let in_touch = instance >= self.silent;
+        let is_connected = instance >= self.silent;
         self.asked += 1;
         if is_candidate {
-            let (spoilt, times) = self.spoils(now, route);
-            failed |= spoilt;
+            let (injected, times) = self.inject_fault(now, route);
+            failed |= injected;
             took *= times;
-            if in_touch {
+            if is_connected {
                 self.exposed += 1;
                 self.last = Some(now);
             }
-            if spoilt || times > 1 {
+            if injected || times > 1 {
                 self.bad += 1;
                 if self.bad == 50 {
                     self.fiftieth = Some(now);
                 }
             }
         }
-        self.books[instance].record_answer(&service(), name, Some(&run), took, failed);
+        self.registries[instance].record_answer(&service(), name, Some(&run), took, failed);
     }
 
-    fn gossip(&mut self, now: Time, turn: usize) {
-        let count = self.books.len();
-        let told: Vec<Vec<Status>> = self.books.iter().map(|book| book.statuses(now)).collect();
-        for (speaker, told) in told.iter().enumerate().skip(self.silent) {
+    fn gossip(&mut self, now: Time, batch: usize) {
+        let count = self.registries.len();
+        let statuses: Vec<Vec<Status>> = self
+            .registries
+            .iter()
+            .map(|registry| registry.statuses(now))
+            .collect();
+        for (sender, report) in statuses.iter().enumerate().skip(self.silent) {
             for step in 0..HEARTBEATS_PER_BATCH.min(count) {
-                let listener = (speaker + 1 + turn * HEARTBEATS_PER_BATCH + step) % count;
-                if listener != speaker && listener >= self.silent {
-                    self.books[listener].merge_statuses(now, speaker as u64, told.clone());
+                let receiver = (sender + 1 + batch * HEARTBEATS_PER_BATCH + step) % count;
+                if receiver != sender && receiver >= self.silent {
+                    self.registries[receiver].merge_statuses(now, sender as u64, report.clone());
                 }
             }
         }
     }
 
-    /// Plays `seconds` at a rate; the first instance after the silent ones is the leader.
+    /// Simulates `seconds` at a request rate; the first instance after the silent ones is the leader.
     fn play(&mut self, seconds: u64, rate: u64) {
         let leader = self.silent;
-        let others: Vec<u64> = (leader as u64 + 1..self.books.len() as u64).collect();
+        let others: Vec<u64> = (leader as u64 + 1..self.registries.len() as u64).collect();
         let per_tick = rate * TICK_INTERVAL.as_millis() as u64 / 1_000;
         for tick in 0..seconds * 1_000 / TICK_INTERVAL.as_millis() as u64 {
             let millis = tick * TICK_INTERVAL.as_millis() as u64;
             let now = at(millis);
             for _ in 0..per_tick {
-                let instance = self.rng.random_range(0..self.books.len());
+                let instance = self.rng.random_range(0..self.registries.len());
                 self.request(now, instance);
             }
             if millis.is_multiple_of(HEARTBEAT_INTERVAL_MS) {
                 self.gossip(now, (millis / HEARTBEAT_INTERVAL_MS) as usize);
-                for book in &mut self.books {
-                    book.judge(now);
+                for registry in &mut self.registries {
+                    registry.judge(now);
                 }
                 let boots = others.clone();
                 let view = View { boots, open: 0 };
-                self.books[leader].advance(now, &service(), &view);
+                self.registries[leader].advance(now, &service(), &view);
             }
         }
     }
 
     fn stages(&self) -> Vec<Stage> {
-        let sound = self.books[self.silent..].iter();
-        sound
-            .map(|book| book.stage(&service()).unwrap().1)
+        let connected = self.registries[self.silent..].iter();
+        connected
+            .map(|registry| registry.stage(&service()).unwrap().1)
             .collect()
     }
 
@@ -232,8 +236,12 @@
             "{about}: {:?}",
             self.stages()
         );
-        let most = (self.asked as f64 * MAX_EXPOSED_SHARE) as u64 + SLACK_REQUESTS;
-        assert!(self.exposed <= most, "{about}: {} of {most}", self.exposed);
+        let max_exposed = (self.asked as f64 * MAX_EXPOSED_SHARE) as u64 + SLACK_REQUESTS;
+        assert!(
+            self.exposed <= max_exposed,
+            "{about}: {} of {max_exposed}",
+            self.exposed
+        );
         if let (Some(fiftieth), Some(last)) = (self.fiftieth, self.last) {
             let after = last.since(fiftieth);
             assert!(after <= ROLLBACK_TIMEOUT, "{about}: {after:?}");
@@ -285,8 +293,8 @@
             failed.push((seed, fleet.stages()[0]));
         }
     }
-    let most = seeds().count() / 100;
-    assert!(failed.len() <= most, "{failed:?}");
+    let max_failed = seeds().count() / 100;
+    assert!(failed.len() <= max_failed, "{failed:?}");
 }
 
 /// A version that fails only with more than its initial share is rolled back while it moves.
@@ -299,26 +307,26 @@
     }
 }
 
-/// The share of a version on trial holds for each instance and route to within one request, and for
-/// all of them in total, however few requests each one has.
+/// The limit on a candidate's share holds for each instance and route to within one request, and
+/// for all of them in total, however few requests each one has.
 #[test]
 fn share_held() {
     for (instances, requests) in [(1, 1_000), (82, 50), (300, 10), (1_000, 5)] {
         let mut all = 0;
         for seed in 0..instances {
-            let mut book = Registry::new(Settings::default(), seed);
-            book.ordered(at(0), order(12, 5));
-            book.record_present(&service(), Some(&old()));
+            let mut registry = Registry::new(Settings::default(), seed);
+            registry.ordered(at(0), order(12, 5));
+            registry.record_present(&service(), Some(&old()));
             let mut exposed = 0;
             for asked in 1..=requests {
-                let run = match &book.versions(&service(), "letters")[0] {
+                let run = match &registry.versions(&service(), "letters")[0] {
                     Versions::Only(only) => only.clone(),
                     _ => old(),
                 };
                 exposed += u64::from(run == new());
-                book.record_sent(&service(), "letters", Some(&run));
-                let most = (asked as f64 * MAX_EXPOSED_SHARE) as u64 + 1;
-                assert!(exposed <= most, "{exposed} of {asked}");
+                registry.record_sent(&service(), "letters", Some(&run));
+                let max_exposed = (asked as f64 * MAX_EXPOSED_SHARE) as u64 + 1;
+                assert!(exposed <= max_exposed, "{exposed} of {asked}");
             }
             all += exposed;
         }
@@ -331,15 +339,15 @@
 /// A candidate that starts late is not flooded with the requests that it missed.
 #[test]
 fn start_not_flooded() {
-    let mut book = Registry::new(Settings::default(), 1);
-    book.ordered(at(0), order(12, 5));
-    book.record_present(&service(), Some(&old()));
+    let mut registry = Registry::new(Settings::default(), 1);
+    registry.ordered(at(0), order(12, 5));
+    registry.record_present(&service(), Some(&old()));
     for _ in 0..1_000 {
-        book.record_sent(&service(), "letters", Some(&old()));
+        registry.record_sent(&service(), "letters", Some(&old()));
     }
     let mut at_once = 0;
-    while book.versions(&service(), "letters")[0].has(Some(&new())) {
-        book.record_sent(&service(), "letters", Some(&new()));
+    while registry.versions(&service(), "letters")[0].has(Some(&new())) {
+        registry.record_sent(&service(), "letters", Some(&new()));
         at_once += 1;
     }
     assert_eq!(at_once, 2);
@@ -347,91 +355,91 @@
 
 #[test]
 fn later_order_replaces() {
-    let mut book = Registry::new(Settings::default(), 1);
-    assert!(book.ordered(at(0), order(12, 5)));
-    assert!(!book.ordered(at(1), order(12, 5)), "the same one");
-    assert!(!book.ordered(at(1), order(12, 4)), "an older one");
-    book.settled(at(2), &service(), Stage::RolledBack);
+    let mut registry = Registry::new(Settings::default(), 1);
+    assert!(registry.ordered(at(0), order(12, 5)));
+    assert!(!registry.ordered(at(1), order(12, 5)), "the same one");
+    assert!(!registry.ordered(at(1), order(12, 4)), "an older one");
+    registry.settled(at(2), &service(), Stage::RolledBack);
     let again = Order {
         target: version("v3"),
         ..order(12, 6)
     };
-    assert!(book.ordered(at(3), again.clone()));
-    assert_eq!(book.stage(&service()), Some((&again, Stage::Trial)));
+    assert!(registry.ordered(at(3), again.clone()));
+    assert_eq!(registry.stage(&service()), Some((&again, Stage::Trial)));
 }
 
 /// A final stage in the store cannot be changed.
 #[test]
-fn final_stays() {
-    let mut book = Registry::new(Settings::default(), 1);
-    book.ordered(at(0), order(12, 5));
-    book.settled(at(1), &service(), Stage::Complete);
-    book.settled(at(2), &service(), Stage::RolledBack);
-    assert_eq!(book.stage(&service()).unwrap().1, Stage::Complete);
+fn final_stage_stays() {
+    let mut registry = Registry::new(Settings::default(), 1);
+    registry.ordered(at(0), order(12, 5));
+    registry.settled(at(1), &service(), Stage::Complete);
+    registry.settled(at(2), &service(), Stage::RolledBack);
+    assert_eq!(registry.stage(&service()).unwrap().1, Stage::Complete);
     let view = View::default();
-    assert_eq!(book.advance(at(60_000), &service(), &view), None);
+    assert_eq!(registry.advance(at(60_000), &service(), &view), None);
 }
 
 /// A version that never starts is rolled back at the time limit.
 #[test]
 fn absent_version_rolled_back() {
-    let mut book = Registry::new(Settings::default(), 1);
-    book.ordered(at(0), order(12, 5));
-    book.record_present(&service(), Some(&old()));
+    let mut registry = Registry::new(Settings::default(), 1);
+    registry.ordered(at(0), order(12, 5));
+    registry.record_present(&service(), Some(&old()));
     let view = View::default();
-    assert_eq!(book.advance(at(11_999), &service(), &view), None);
-    let change = book.advance(at(12_000), &service(), &view).unwrap();
+    assert_eq!(registry.advance(at(11_999), &service(), &view), None);
+    let change = registry.advance(at(12_000), &service(), &view).unwrap();
     assert_eq!(change.stage, Stage::RolledBack);
-    assert!(!book.versions(&service(), "letters")[0].has(Some(&new())));
+    assert!(!registry.versions(&service(), "letters")[0].has(Some(&new())));
 }
 
 /// An upgrade is complete only when every instance has moved and no request is open at the old
 /// endpoints.
 #[test]
 fn complete_when_moved() {
-    let mut book = Registry::new(Settings::default(), 1);
-    book.ordered(at(0), order(12, 5));
-    book.record_present(&service(), Some(&old()));
+    let mut registry = Registry::new(Settings::default(), 1);
+    registry.ordered(at(0), order(12, 5));
+    registry.record_present(&service(), Some(&old()));
     for _ in 0..100 {
         let took = Duration::from_millis(100);
-        book.record_answer(&service(), "letters", Some(&new()), took, false);
+        registry.record_answer(&service(), "letters", Some(&new()), took, false);
     }
-    let mut other = book.clone();
+    let mut other = registry.clone();
     let busy = View {
         boots: vec![7],
         open: 1,
     };
     let mut now = at(7_200);
     for _ in 0..10 {
-        book.advance(now, &service(), &busy);
+        registry.advance(now, &service(), &busy);
         now = now + Duration::from_millis(700);
     }
-    let moving = book.stage(&service()).unwrap().1;
+    let moving = registry.stage(&service()).unwrap().1;
     assert!(matches!(moving, Stage::Moving { .. }), "{moving:?}");
     let free = View { open: 0, ..busy };
     assert_eq!(
-        book.advance(now, &service(), &free),
+        registry.advance(now, &service(), &free),
         None,
         "one instance has not moved"
     );
-    other.merge_statuses(now, 1, book.statuses(now));
-    book.merge_statuses(now, 7, other.statuses(now));
-    let change = book.advance(now, &service(), &free).unwrap();
+    other.merge_statuses(now, 1, registry.statuses(now));
+    registry.merge_statuses(now, 7, other.statuses(now));
+    let change = registry.advance(now, &service(), &free).unwrap();
     assert_eq!(change.stage, Stage::Complete);
 }
 
 /// An upgrade to a version that already serves without a baseline completes after enough answers.
 #[test]
-fn already_there() {
-    let mut book = Registry::new(Settings::default(), 1);
-    book.ordered(at(0), order(12, 5));
-    book.record_present(&service(), Some(&new()));
-    assert_eq!(book.versions(&service(), "letters"), [Versions::Any]);
+fn candidate_already_serves() {
+    let mut registry = Registry::new(Settings::default(), 1);
+    registry.ordered(at(0), order(12, 5));
+    registry.record_present(&service(), Some(&new()));
+    assert_eq!(registry.versions(&service(), "letters"), [Versions::Any]);
     for _ in 0..30 {
         let took = Duration::from_millis(100);
-        book.record_answer(&service(), "letters", Some(&new()), took, false);
+        registry.record_answer(&service(), "letters", Some(&new()), took, false);
     }
-    let change = book
+    let change = registry
         .advance(at(1_000), &service(), &View::default())
         .unwrap();
     assert_eq!(change.stage, Stage::Complete);
--- a/coltsfoothall/tests/forward_usage.rs
+++ b/coltsfoothall/tests/forward_usage.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn notes_restored() {
+fn snapshot_restored() {
     let (mut one, mut two) = (counter(1), counter(2));
     one.record_start(7, &film());
     two.record_start(7, &film());
@@ -108,6 +108,6 @@
             leader.merge_counts(boot, &counts);
         }
     }
-    let note = serde_json::to_vec(&leader.snapshot(353_445_127)).unwrap();
-    assert!(note.len() < 200_000, "{} bytes", note.len());
+    let snapshot = serde_json::to_vec(&leader.snapshot(353_445_127)).unwrap();
+    assert!(snapshot.len() < 200_000, "{} bytes", snapshot.len());
 }
