--- a/coltsfoothall/tests/forward_egress.rs
+++ b/coltsfoothall/tests/forward_egress.rs
@@ -41,22 +41,24 @@
 fn spread(seed: u64, holders: usize, delivery_ms: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut limiters = vec![Limiter::default(); FLEET];
-    let mut since: Vec<Option<u64>> = vec![None; FLEET];
-    since[..holders].fill(Some(0));
+    let mut received_at: Vec<Option<u64>> = vec![None; FLEET];
+    received_at[..holders].fill(Some(0));
     let mut now = 0;
-    while since.iter().any(Option::is_none) {
+    while received_at.iter().any(Option::is_none) {
         now += REQUEST_INTERVAL_MS;
         assert!(now < MAX_SPREAD_MS, "seed {seed}: not all are served");
-        let served = |since: &Option<u64>| since.is_some_and(|since| since <= now);
-        let sources: Vec<usize> = (0..FLEET).filter(|index| served(&since[*index])).collect();
-        for since in since.iter_mut().filter(|since| since.is_none()) {
+        let served = |time: &Option<u64>| time.is_some_and(|time| time <= now);
+        let sources: Vec<usize> = (0..FLEET)
+            .filter(|index| served(&received_at[*index]))
+            .collect();
+        for time in received_at.iter_mut().filter(|time| time.is_none()) {
             let source = sources[random.next_u64() as usize % sources.len()];
             if limiters[source].admit(at(now), VALUE_BYTES) {
-                *since = Some(now + delivery_ms);
+                *time = Some(now + delivery_ms);
             }
         }
     }
-    since.into_iter().flatten().max().unwrap_or_default()
+    received_at.into_iter().flatten().max().unwrap_or_default()
 }
 
 #[test]
--- a/coltsfoothall/tests/forward_gossip.rs
+++ b/coltsfoothall/tests/forward_gossip.rs
@@ -56,9 +56,9 @@
     }
 }
 
-/// 300 instances and 1,000 endpoints, with each instance busy at two of them. The number of loads
-/// kept for other instances must follow their open work. A row for each pair of an instance and an
-/// endpoint took 25 MB and 9 ms per heartbeat with 300 instances and 2,997 endpoints.
+/// 300 instances and 1,000 endpoints; each instance has open requests at two of them. The number of
+/// loads kept for other instances must follow their open work. A row for each pair of an instance
+/// and an endpoint took 25 MB and 9 ms per heartbeat with 300 instances and 2,997 endpoints.
 #[test]
 fn rows_follow_work() {
     let mut roster = Roster::new(Settings::default());
--- a/coltsfoothall/tests/forward_parts.rs
+++ b/coltsfoothall/tests/forward_parts.rs
@@ -59,7 +59,7 @@
     vec![part(1, 500), part(100 + mark, 4_000), part(own, 600)]
 }
 
-/// Instances, endpoints, and which endpoint really prefilled which prefix.
+/// Rosters of the instances, and the prefixes that each endpoint has actually prefilled.
 struct Fleet {
     rosters: Vec<Roster>,
     prefilled: Vec<(id::Endpoint, u64)>,
--- a/coltsfoothall/tests/forward_peer.rs
+++ b/coltsfoothall/tests/forward_peer.rs
@@ -94,7 +94,11 @@
     let coverage = |heard| Coverage { members: 3, heard };
     assert_eq!(peers.coverage(at(0)), coverage(2));
     assert_eq!(peers.coverage(at(2_000)), coverage(1));
-    assert_eq!(peers.expire(at(5_000)), [1], "neither registered nor heard");
+    assert_eq!(
+        peers.expire(at(5_000)),
+        [1],
+        "neither registered nor heard from"
+    );
     assert_eq!(
         peers.coverage(at(5_000)).members,
         2,
--- a/coltsfoothall/tests/forward_reader.rs
+++ b/coltsfoothall/tests/forward_reader.rs
@@ -58,10 +58,10 @@
     )
 }
 
-/// All endpoints write their registration once a second. When all instances read these writes, 300
-/// instances and 2,997 endpoints needed 1.8 Gbit/s of the store's 1 Gbit/s, and the report that an
-/// endpoint is draining took 6.4 s. Only few instances may read, and followers must spread evenly
-/// over them.
+/// All endpoints write their registration once a second. With 300 instances that all read these
+/// writes and 2,997 endpoints, the reads needed 1.8 Gbit/s of the store's 1 Gbit/s, and the report
+/// that an endpoint is draining took 6.4 s. Only a few instances may read, and followers must spread
+/// evenly over them.
 #[test]
 fn beats_of_all() {
     for count in [60, 195, 330, 1_000] {
@@ -130,7 +130,7 @@
     }
 }
 
-/// Only consecutive failures lead to a read at the store.
+/// Only consecutive failures lead to a read from the store.
 #[test]
 fn separate_failures() {
     let fleet = fleet(195);
@@ -174,7 +174,8 @@
     }
 }
 
-/// When all readers of a domain are lost, the next ones by name read, without coordination.
+/// When all readers of a domain are lost, the next ones in name order take over, without
+/// coordination.
 #[test]
 fn readers_lost() {
     let fleet = fleet(195);
@@ -216,7 +217,7 @@
 /// Behavior of a reader during a span of time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Health {
-    Sound,
+    Healthy,
     /// It does not answer.
     Frozen,
     /// It answers that its data is too old.
@@ -256,7 +257,7 @@
                 let span = now.since(Time::START).as_millis() / SPAN.as_millis();
                 let spans = &health[index.unwrap()];
                 match spans[span as usize % spans.len()] {
-                    Health::Sound => {
+                    Health::Healthy => {
                         let round_trip = delay(budget.answer);
                         let age = delay(budget.oldest.saturating_sub(round_trip));
                         let as_of = now - age;
@@ -283,7 +284,7 @@
 
 fn health() -> impl Strategy<Value = Vec<Health>> {
     let one = prop_oneof![
-        3 => Just(Health::Sound),
+        3 => Just(Health::Healthy),
         1 => Just(Health::Frozen),
         1 => Just(Health::Stale),
     ];
@@ -292,7 +293,8 @@
 
 proptest! {
     /// Whatever the readers do, together or individually, and however old their data is, a
-    /// follower learns of a draining endpoint within the time in which it must stop getting work.
+    /// follower learns of a draining endpoint within the time in which the endpoint must stop getting
+    /// work.
     #[test]
     fn news_in_time(
         count in prop_oneof![Just(100_usize), Just(300), Just(1_000)],
