--- a/coltsfoothall/tests/forward_upgrade.rs
+++ b/coltsfoothall/tests/forward_upgrade.rs
@@ -193,7 +193,8 @@
         }
     }
 
-    /// Simulates `seconds` at a request rate; the first instance after the silent ones is the leader.
+    /// Simulates `seconds` at a request rate; the first instance after the silent ones is the
+    /// leader.
     fn play(&mut self, seconds: u64, rate: u64) {
         let leader = self.silent;
         let others: Vec<u64> = (leader as u64 + 1..self.registries.len() as u64).collect();
