--- a/coltsfoothall-entry/src/intake.rs
+++ b/coltsfoothall-entry/src/intake.rs
@@ -84,7 +84,7 @@
 fn workspace(headers: &HeaderMap, view: &View) -> Result<id::Workspace, Fault> {
     // Without a configuration no token is known, so none can be rejected as wrong.
     if view.catalog.revision == Revision::default() {
-        let message = "this entry instance has no configuration yet; use another";
+        let message = "this entry instance knows no configuration yet; use another";
         let fault = Fault::new(Code::Unavailable, message);
         return Err(Fault {
             retry_after_ms: Some(RETRY_NOT_READY_AFTER),
--- a/coltsfoothall-entry/src/operator.rs
+++ b/coltsfoothall-entry/src/operator.rs
@@ -100,8 +100,7 @@
 }
 
 fn no_config() -> Fault {
-    let message =
-        "the key-value service does not answer, and this instance has no configuration yet";
+    let message = "the key-value service does not answer, and no configuration is known here yet";
     Fault {
         retry_after_ms: Some(RETRY_NOT_READY_AFTER),
         ..Fault::new(Code::StoreDown, message)
--- a/coltsfoothall-entry/src/owned.rs
+++ b/coltsfoothall-entry/src/owned.rs
@@ -306,7 +306,7 @@
                 // A new owner releases the text once its own copies hold it.
                 return Err(retry_later(
                     Code::Unavailable,
-                    "the answer is not available yet",
+                    "the answer is not there yet",
                 ));
             }
             return Err(unresumable());
--- a/coltsfoothall-forward/src/attempt.rs
+++ b/coltsfoothall-forward/src/attempt.rs
@@ -245,7 +245,7 @@
                 let status = response.status().as_u16();
                 let reply = state.adapter.parse_reply(status, response.headers());
                 if reply.id.is_some() && reply.id != job.call.id {
-                    let fault = Fault::Broken("the response has the id of another request".into());
+                    let fault = Fault::Broken("the answer belongs to another request".into());
                     return Err((fault, share));
                 }
                 return Ok(Sent {
--- a/coltsfoothall-forward/src/dispatch.rs
+++ b/coltsfoothall-forward/src/dispatch.rs
@@ -161,7 +161,7 @@
                     .wait
                     .saturating_sub(job.route.target_latency.duration() / 2);
                 return Err(unavailable(
-                    "expected wait too long at all endpoints",
+                    "all endpoints are behind",
                     retry_after.max(FULL_RETRY_DELAY),
                 ));
             }
@@ -231,7 +231,7 @@
                     continue;
                 }
                 state.count_run(job.workspace.as_ref());
-                return Err(bad_gateway("the endpoint interrupted the response"));
+                return Err(bad_gateway("the endpoint broke off"));
             }
         };
         trail.exclude.push(pick.endpoint);
--- a/coltsfoothall-forward/src/intake.rs
+++ b/coltsfoothall-forward/src/intake.rs
@@ -80,10 +80,7 @@
     let id = call.id.clone();
     let path = head.uri.path().to_owned();
     let result = if connection.is_ambiguous() {
-        Err(Refusal::Bad(
-            StatusCode::BAD_REQUEST,
-            "conflicting message lengths",
-        ))
+        Err(Refusal::Bad(StatusCode::BAD_REQUEST, "two framings"))
     } else {
         match admit(state, connection, call, head, content, received_at).await {
             Ok(job) => finish(state, job).await,
@@ -169,15 +166,12 @@
             ));
         }
         Ok(Err(_broken)) => {
-            return Err(Refusal::Bad(
-                StatusCode::BAD_REQUEST,
-                "request body interrupted",
-            ));
+            return Err(Refusal::Bad(StatusCode::BAD_REQUEST, "broken body"));
         }
         Err(_elapsed) => {
             return Err(Refusal::Bad(
                 StatusCode::REQUEST_TIMEOUT,
-                "request body not received in time",
+                "body came too slowly",
             ));
         }
     };
@@ -190,7 +184,7 @@
     let verdict = state.suspicions.borrow().verdict(state.now(), fingerprint);
     if verdict == Verdict::Poisonous {
         return Err(unavailable(
-            "similar requests crashed endpoints",
+            "such requests crashed endpoints",
             POISONOUS_RETRY_DELAY,
         ));
     }
@@ -249,7 +243,7 @@
     ));
     Err(Refusal::NotRun(
         StatusCode::TOO_MANY_REQUESTS,
-        "rate limit of the workspace exceeded",
+        "over the workspace's rate",
         short.retry_after,
     ))
 }
--- a/coltsfoothall-forward/src/refusal.rs
+++ b/coltsfoothall-forward/src/refusal.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 
 /// Reason for aborting a response when this instance shuts down.
-pub const SHUTTING_DOWN: &str = "instance is shutting down";
+pub const SHUTTING_DOWN: &str = "this instance stops";
 
 /// Why a request gets no response from an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/coltsfoothall-forward/src/relay.rs
+++ b/coltsfoothall-forward/src/relay.rs
@@ -67,7 +67,7 @@
         state.count_run(job.workspace.as_ref());
         sent.share.end(End::Failed);
         trail.exclude.push(endpoint);
-        return Err(Failure::broken("the response is not the endpoint's own"));
+        return Err(Failure::broken("the answer is not the endpoint's own"));
     }
     if status.is_success() && job.route.kind.streams() {
         return stream(state, job, sent, trail).await;
@@ -179,7 +179,7 @@
             ));
             trail.exclude.push(endpoint);
             return Err(Failure::broken(
-                "the stream was interrupted before its first event",
+                "the stream broke off before its first event",
             ));
         }
     };
@@ -223,7 +223,7 @@
                 }
                 Some(Err(error)) => return Next::Broken(error.to_string()),
                 None if self.splitter.is_within() => {
-                    return Next::Broken("stream ended within an event".into());
+                    return Next::Broken("it ended within an event".into());
                 }
                 None => return Next::End,
             }
@@ -267,9 +267,9 @@
                         }
                         self.finish(End::Failed);
                         self.trail.exclude.extend(endpoint.clone());
-                        ("no event arrived in time".into(), true)
+                        ("no event came".into(), true)
                     }
-                    Err(_elapsed) => return Some(Err(self.abort("deadline exceeded"))),
+                    Err(_elapsed) => return Some(Err(self.abort("its time is over"))),
                 };
             event::BROKE_OFF.emit(format_args!(
                 "request={} endpoint={} reason={reason:?} events={}",
@@ -278,14 +278,14 @@
                 self.splitter.events()
             ));
             if !can_resume {
-                return Some(Err(self.abort("no other endpoint can resume the stream")));
+                return Some(Err(self.abort("nobody goes on with it")));
             }
             match tokio::time::timeout_at(due, self.resume()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_refusal)) => {
-                    return Some(Err(self.abort("no other endpoint can resume the stream")));
+                    return Some(Err(self.abort("nobody goes on with it")));
                 }
-                Err(_elapsed) => return Some(Err(self.abort("deadline exceeded"))),
+                Err(_elapsed) => return Some(Err(self.abort("its time is over"))),
             }
         }
     }
--- a/coltsfoothall-forward/src/stop.rs
+++ b/coltsfoothall-forward/src/stop.rs
@@ -101,10 +101,7 @@
     } else {
         NO_PEER_RETRY_DELAY
     };
-    Err(unavailable(
-        "instance is shutting down; use another",
-        retry_after,
-    ))
+    Err(unavailable("this instance stops; use another", retry_after))
 }
 
 /// Whether another instance is ready.
