--- a/coltsfoothall-shell/src/metric.rs
+++ b/coltsfoothall-shell/src/metric.rs
@@ -123,7 +123,7 @@
             latency: seconds(
                 &meter,
                 "request.latency",
-                "Time to the complete answer",
+                "Time to the whole answer",
                 LATENCY_BOUNDS_SECONDS,
             ),
             first: seconds(
@@ -139,7 +139,7 @@
                 BETWEEN_TOKENS_BOUNDS_SECONDS,
             ),
             requests: count(&meter, "requests", "Requests ended, by code and outcome"),
-            retries: count(&meter, "retries", "Attempts beyond the first of a request"),
+            retries: count(&meter, "retries", "Attempts after a request's first"),
             recomputed: count(&meter, "recomputed_tokens", "Tokens computed a second time"),
             dropped: count(
                 &meter,
@@ -152,15 +152,15 @@
             behind: level(
                 &meter,
                 "configuration_behind_milliseconds",
-                "Time since a newer configuration than the one in force is known to exist",
+                "How long a newer configuration is known to exist",
             ),
             slots: level(&meter, "slots", "Slots that this instance owns"),
-            queued: level(&meter, "queued", "Requests queued for an endpoint"),
-            broken: count(&meter, "broken_rules", "Invariants found violated, by rule"),
+            queued: level(&meter, "queued", "Requests that wait for an endpoint"),
+            broken: count(&meter, "broken_rules", "Invariants found broken, by rule"),
             store: count(
                 &meter,
                 "store_calls",
-                "Calls to the key-value service, by result",
+                "Calls of the key-value service, by result",
             ),
             peer: count(&meter, "peer_bytes", "Bytes between entry instances"),
             provider,
